--- a/Makefile
+++ b/Makefile
@@ -15,7 +15,7 @@
 	test -x $(BIN)/python || $(PYTHON) -m venv $(VENV)
 	$(BIN)/pip install --quiet -c constraints.txt setuptools wheel
 	$(BIN)/pip install --quiet -c constraints.txt --no-build-isolation \
-		$(foreach lib,$(LIBS),-e libs/$(lib)) -e platform hypothesis ruff
+		$(foreach lib,$(LIBS),-e libs/$(lib)) -e platform hypothesis rope ruff
 	touch $(STAMP)
 
 format: install
