--- a/libs/policy/src/cherryrudder/policy/admission.py
+++ b/libs/policy/src/cherryrudder/policy/admission.py
@@ -17,14 +17,14 @@
 from cherryrudder.model.outcomes import Refusal
 
 from . import cost, fairqueue, limits, refusal, waits
-from .fairqueue import Ahead, FairQueue, Waiting
+from .fairqueue import FairQueue, QueueAhead, QueuedRequest
 from .limits import Limits, Share
 from .offers import Admitted, GaveUp, Offer, Queued, Running, Started
-from .refusal import Drain, Turns
+from .refusal import Drain, RetrySchedule
 
 # Waits of queued requests are looked at again this often, which costs one pass over
 # the queue; a caller learns of a lost endpoint this much later at the most.
-REVIEW_S = 0.25
+REVIEW_INTERVAL_S = 0.25
 # So many requests of a pass may let others go first; more would make the pass dear and
 # the order unfair.
 MAX_SKIPPED = 8
@@ -41,7 +41,7 @@
     "Started",
     "cancel",
     "demand",
-    "forget_contract",
+    "drop_contract",
     "offer",
     "put_back",
     "release",
@@ -58,7 +58,7 @@
         self.costs = cost.CostModel()
         self.limits: dict[str, Limits] = {}
         self.drains: dict[str, Drain] = {}
-        self.turns = Turns()
+        self.retry_schedule = RetrySchedule()
         self.offers: dict[str, tuple[Offer, cost.Estimate]] = {}
         self.running: dict[str, Running] = {}
         self.given_up: list[GaveUp] = []
@@ -80,7 +80,7 @@
     fairqueue.set_weight(admission.queue, contract.customer, contract.tokens_per_s)
 
 
-def forget_contract(admission: Admission, customer: str) -> bool:
+def drop_contract(admission: Admission, customer: str) -> bool:
     """Drop a retired contract's state; tell whether nothing of it runs or waits."""
     own = admission.limits.get(customer)
     if own is None:
@@ -89,8 +89,8 @@
         return False
     del admission.limits[customer]
     fairqueue.remove_customer(admission.queue, customer)
-    cost.forget_customer(admission.costs, customer)
-    refusal.forget_customer(admission.turns, customer)
+    cost.drop_customer(admission.costs, customer)
+    refusal.drop_customer(admission.retry_schedule, customer)
     return True
 
 
@@ -127,14 +127,14 @@
     drain.running_tokens -= running.cost.cost_tokens
     refusal.note_blocked(drain, now_s)
     tokens = running.cost.cost_tokens
-    fairqueue.settle_tag(admission.queue, running.offer.customer, -tokens)
+    fairqueue.adjust_start_tag(admission.queue, running.offer.customer, -tokens)
     asked, estimated = running.offer, running.cost
     arrived_s = now_s - (running.started_s - running.arrived_s)
     return _enqueue(admission, asked, own, estimated, arrived_s, now_s)
 
 
 def release(
-    admission: Admission, now_s, can_place, lets_pass=None
+    admission: Admission, now_s, can_place, should_defer=None
 ) -> list[Started | GaveUp]:
     """Start what there is room for, give up what cannot be served in time.
 
@@ -146,13 +146,13 @@
     admission.given_up = []
     for request in fairqueue.take_expired(admission.queue, now_s):
         results.append(_give_up(admission, request, now_s))
-    started, skipped = _start_waiting(admission, now_s, can_place, lets_pass)
+    started, skipped = _start_waiting(admission, now_s, can_place, should_defer)
     if skipped:
         # None of the others took the room: who let them go first takes it now.
         more, _ = _start_waiting(admission, now_s, can_place, None)
         started += more
     results += started
-    if now_s - admission.reviewed_s >= REVIEW_S:
+    if now_s - admission.reviewed_s >= REVIEW_INTERVAL_S:
         admission.reviewed_s = now_s
         results += _review(admission, now_s)
     return results
@@ -166,7 +166,7 @@
     customer = running.offer.customer
     tokens = running.cost.cost_tokens
     limits.finish(admission.limits[customer], tokens, used_tokens, now_s)
-    fairqueue.settle_tag(admission.queue, customer, used_tokens - tokens)
+    fairqueue.adjust_start_tag(admission.queue, customer, used_tokens - tokens)
     drain = admission.drains[running.offer.model]
     refusal.note_finish(drain, tokens, now_s - running.started_s, now_s)
     # A cancelled request was cut short, so its length says nothing about others'.
@@ -223,7 +223,7 @@
     start_by_s = asked.deadline_s - refusal.run_s(
         _drain(admission, asked.model), tokens
     )
-    request = Waiting(
+    request = QueuedRequest(
         asked.request_id,
         asked.customer,
         asked.model,
@@ -234,7 +234,7 @@
         min(start_by_s, arrived_s + contract.max_wait_s),
     )
     wait = _wait(admission, request, now_s)
-    budget_s = waits.budget_s(contract, request, start_by_s, now_s)
+    budget_s = waits.wait_budget_s(contract, request, start_by_s, now_s)
     if wait.total_s > budget_s:
         is_own = wait.limit_s > wait.platform_s
         return _refuse(admission, request, is_own, wait.total_s - budget_s, now_s)
@@ -246,7 +246,7 @@
 
 
 def _wait(admission, request, now_s):
-    ahead = fairqueue.own_ahead(admission.queue, request)
+    ahead = fairqueue.count_ahead(admission.queue, request)
     return _wait_behind(admission, request, ahead, now_s)
 
 
@@ -259,13 +259,15 @@
 def _refuse(admission, request, is_own, over_s, now_s):
     tokens = request.cost_tokens
     if is_own:
-        turn_s = limits.turn_s(admission.limits[request.customer], tokens)
+        turn_s = limits.request_interval_s(admission.limits[request.customer], tokens)
         key = (request.customer, "")
     else:
         rate = refusal.drain_rate(_drain(admission, request.model), now_s)
         turn_s = tokens / rate if rate else math.inf
         key = ("", request.model)
-    retry_s = refusal.retry_after_s(admission.turns, key, over_s, turn_s, now_s)
+    retry_s = refusal.retry_after_s(
+        admission.retry_schedule, key, over_s, turn_s, now_s
+    )
     answer = refusal.own_limit if is_own else refusal.platform_full
     return answer(retry_s)
 
@@ -294,7 +296,7 @@
     return GaveUp(request.request_id, answer)
 
 
-def _start_waiting(admission, now_s, can_place, lets_pass):
+def _start_waiting(admission, now_s, can_place, should_defer):
     queue = admission.queue
     started, blocked, skipped = [], set(), set()
     order = [(queue.flows[name].start_tag, name) for name in queue.active]
@@ -309,9 +311,9 @@
         flow.is_limited = not limits.is_within(own, request.cost_tokens, now_s)
         if flow.is_limited:
             continue
-        may_skip = lets_pass is not None and len(skipped) < MAX_SKIPPED
+        may_defer = should_defer is not None and len(skipped) < MAX_SKIPPED
         waited_s = now_s - request.arrived_s
-        if may_skip and lets_pass(request.request_id, waited_s):
+        if may_defer and should_defer(request.request_id, waited_s):
             skipped.add(request.request_id)
         elif can_place(request.request_id):
             started.append(_start_queued(admission, request, now_s))
@@ -351,7 +353,7 @@
         model_tokens[request.model] -= request.cost_tokens
         if request.model in in_time:
             continue
-        ahead = Ahead(count, tokens, model_tokens[request.model])
+        ahead = QueueAhead(count, tokens, model_tokens[request.model])
         wait = _wait_behind(admission, request, ahead, now_s)
         if wait.total_s <= (request.expires_s - now_s) * REVIEW_MARGIN:
             in_time.add(request.model)
--- a/libs/policy/src/cherryrudder/policy/admissionview.py
+++ b/libs/policy/src/cherryrudder/policy/admissionview.py
@@ -30,7 +30,7 @@
     models = {
         name: {
             "running_tokens": drain.running_tokens,
-            "hold_s": refusal.hold_s(drain),
+            "hold_s": refusal.mean_run_s(drain),
             "customers_waiting": len(admission.queue.by_model.get(name, ())),
         }
         for name, drain in admission.drains.items()
--- a/libs/policy/src/cherryrudder/policy/affinity.py
+++ b/libs/policy/src/cherryrudder/policy/affinity.py
@@ -17,15 +17,15 @@
 
 # Prefixes are ranked by hash slot, so that a ranking can be kept: 1024 slots over 40
 # engines put some 25 slots on each, an imbalance that the load bound smooths out.
-SLOTS = 1024
+HASH_SLOTS = 1024
 # The first choice and the one that takes what is above its bound.
-RANKED = 2
+RANKED_COUNT = 2
 # An endpoint with more than this times the mean in flight is passed over. A quarter
 # above the mean is the usual choice for consistent hashing with bounded loads.
 LOAD_BOUND = 1.25
 # With less than this part of its slots in use an endpoint isn't overloaded, whatever
 # the mean; otherwise affinity would end at two requests when little is in flight.
-FREE_PART = 0.5
+UNLOADED_FRACTION = 0.5
 # Prefixes remembered per endpoint from its events; more than an engine's cache holds of
 # long ones.
 MAX_PREFIXES = 2000
@@ -52,16 +52,16 @@
         self.holders: dict[str, set[str]] = {}
 
 
-def slot_of(prefix: str) -> int:
+def hash_slot(prefix: str) -> int:
     """Return a prefix's hash slot."""
-    return xxhash.xxh3_64_intdigest(prefix.encode("utf-8", "replace")) % SLOTS
+    return xxhash.xxh3_64_intdigest(prefix.encode("utf-8", "replace")) % HASH_SLOTS
 
 
 def rank(endpoints, slot: int) -> tuple[str, ...]:
     """Return the first choices for a slot by rendezvous hashing."""
     hashed = xxhash.xxh3_64_intdigest
     scored = [(hashed(name.encode(), slot), name) for name in endpoints]
-    return tuple(name for _, name in sorted(scored, reverse=True)[:RANKED])
+    return tuple(name for _, name in sorted(scored, reverse=True)[:RANKED_COUNT])
 
 
 def load_bound(in_flight: int, endpoints: int, slots: int) -> float:
@@ -70,7 +70,7 @@
     `in_flight` is the sum over its group of so many endpoints.
     """
     mean = (in_flight + 1) / max(1, endpoints)
-    return max(1.0, LOAD_BOUND * mean, FREE_PART * slots)
+    return max(1.0, LOAD_BOUND * mean, UNLOADED_FRACTION * slots)
 
 
 def apply_event(view: CacheView, endpoint: str, event: CacheEvent) -> None:
@@ -81,7 +81,7 @@
     if last is not None and event.number != last + 1:
         # What was evicted in the gap is unknown: keeping the view would send requests
         # to caches that have long dropped the prefix.
-        forget_endpoint(view, endpoint)
+        drop_endpoint(view, endpoint)
     view.numbers[endpoint] = event.number
     if event.is_stored:
         note_stored(view, endpoint, event.prefix)
@@ -104,7 +104,7 @@
     return prefix in view.prefixes.get(endpoint, ())
 
 
-def forget_endpoint(view: CacheView, endpoint: str) -> None:
+def drop_endpoint(view: CacheView, endpoint: str) -> None:
     """Drop all that is known of an endpoint's cache."""
     for prefix in list(view.prefixes.get(endpoint, ())):
         _drop(view, endpoint, prefix)
--- a/libs/policy/src/cherryrudder/policy/cost.py
+++ b/libs/policy/src/cherryrudder/policy/cost.py
@@ -16,7 +16,7 @@
 # on the long side, and the first settlement replaces it.
 FIRST_ANSWER_PART = 0.5
 # A new answer counts a tenth, so some twenty answers forget an old habit.
-LEARNING_PART = 0.1
+LEARNING_RATE = 0.1
 
 
 class Estimate(NamedTuple):
@@ -46,10 +46,10 @@
     if known is None:
         costs.answer_tokens[key] = float(answer_tokens)
         return
-    costs.answer_tokens[key] = known + LEARNING_PART * (answer_tokens - known)
+    costs.answer_tokens[key] = known + LEARNING_RATE * (answer_tokens - known)
 
 
-def forget_customer(costs: CostModel, customer: str) -> None:
+def drop_customer(costs: CostModel, customer: str) -> None:
     """Drop what was learned of a customer whose contract has ended."""
     for key in [key for key in costs.answer_tokens if key[0] == customer]:
         del costs.answer_tokens[key]
--- a/libs/policy/src/cherryrudder/policy/credits.py
+++ b/libs/policy/src/cherryrudder/policy/credits.py
@@ -58,14 +58,14 @@
     others = issuer.holdings.values()
     taken = sum(max(other.count, other.running) for other in others)
     free = max(0, issuer.slots - taken - running)
-    spare = 0 if issuer.is_leaving else _part(issuer, wanted, free, running)
+    spare = 0 if issuer.is_leaving else _spare_credits(issuer, wanted, free, running)
     count = running + spare
     issuer.number += 1
     issuer.holdings[entry] = Holding(count, running, wanted, now_s)
     return Credits(issuer.endpoint, issuer.number, count)
 
 
-def _part(issuer, wanted, free, running):
+def _spare_credits(issuer, wanted, free, running):
     """Return the part of the free slots for an entry that wants so many."""
     others = issuer.holdings.values()
     # An entry that wants nothing now may still keep one, so that its next request
--- a/libs/policy/src/cherryrudder/policy/dispatch.py
+++ b/libs/policy/src/cherryrudder/policy/dispatch.py
@@ -92,12 +92,12 @@
     if isinstance(answer, adm.Admitted) and not _place(dispatcher, request_id, now_s):
         answer = adm.put_back(dispatcher.admission, request_id, now_s)
     if isinstance(answer, Refusal):
-        _answer(dispatcher, request_id, answer)
+        _refuse(dispatcher, request_id, answer)
     return advance(dispatcher, now_s)
 
 
 def finished(
-    dispatcher, request_id, used_tokens, duration_s, now_s: float, own_s=None
+    dispatcher, request_id, used_tokens, duration_s, now_s: float, endpoint_time_s=None
 ) -> list:
     """End a request that was answered whole.
 
@@ -111,11 +111,15 @@
     work = dispatcher.works[request_id]
     answer_tokens = max(0.0, used_tokens - work.offer.prompt_tokens)
     for endpoint in dispatcher.placed.pop(request_id).stages:
-        known_s = own_s(endpoint, answer_tokens) if own_s is not None else 0.0
+        known_s = (
+            endpoint_time_s(endpoint, answer_tokens)
+            if endpoint_time_s is not None
+            else 0.0
+        )
         took_s = known_s or duration_s
         placement.ended(dispatcher.fleet, endpoint, answer_tokens, took_s, now_s)
     adm.settle(dispatcher.admission, request_id, used_tokens, now_s)
-    _forget(dispatcher, request_id)
+    _drop(dispatcher, request_id)
     return advance(dispatcher, now_s)
 
 
@@ -131,7 +135,7 @@
     # Late news of an attempt that has been replaced must not end the one that runs.
     if placed is None or endpoint not in placed.stages:
         return []
-    expected_s = _take_off(dispatcher, request_id, endpoint, now_s)
+    expected_s = _release_slots(dispatcher, request_id, endpoint, now_s)
     work = dispatcher.works[request_id]
     tried = (*dispatcher.tried.get(request_id, ()), endpoint)
     dispatcher.tried[request_id] = tried
@@ -161,9 +165,9 @@
     if request_id not in dispatcher.works:
         return []
     if not adm.cancel(dispatcher.admission, request_id, now_s):
-        _take_off(dispatcher, request_id, "", now_s)
+        _release_slots(dispatcher, request_id, "", now_s)
         adm.settle(dispatcher.admission, request_id, used_tokens, now_s)
-    _forget(dispatcher, request_id)
+    _drop(dispatcher, request_id)
     return advance(dispatcher, now_s)
 
 
@@ -193,8 +197,8 @@
     else:
         return None
     # One that is to stop is relieved by plan; that is no fault of its own.
-    take_off = placement.withdrawn if lost.is_leaving else placement.failed
-    take_off(dispatcher.fleet, endpoint, now_s)
+    release = placement.withdrawn if lost.is_leaving else placement.failed
+    release(dispatcher.fleet, endpoint, now_s)
     placement.began(dispatcher.fleet, found.endpoint, now_s)
     stages = tuple(
         found.endpoint if name == endpoint else name for name in placed.stages
@@ -209,13 +213,13 @@
     def place(request_id):
         return _place(dispatcher, request_id, now_s)
 
-    def lets_pass(request_id, waited_s):
-        return _lets_pass(dispatcher, request_id, waited_s, now_s)
+    def should_defer(request_id, waited_s):
+        return _should_defer(dispatcher, request_id, waited_s, now_s)
 
-    results = adm.release(dispatcher.admission, now_s, place, lets_pass)
+    results = adm.release(dispatcher.admission, now_s, place, should_defer)
     for result in results:
         if isinstance(result, adm.GaveUp):
-            _answer(dispatcher, result.request_id, result.refusal)
+            _refuse(dispatcher, result.request_id, result.refusal)
     effects, dispatcher.effects = dispatcher.effects, []
     return effects
 
@@ -283,7 +287,7 @@
     return True
 
 
-def _lets_pass(dispatcher, request_id, waited_s, now_s):
+def _should_defer(dispatcher, request_id, waited_s, now_s):
     work = dispatcher.works[request_id]
     if not work.prefix:
         return False
@@ -291,10 +295,12 @@
     chain = placement.choose_chain(dispatcher.fleet, need, now_s)
     if chain is None:
         return False
-    return placement.waits_for_prefix(dispatcher.fleet, need, chain, waited_s, now_s)
+    return placement.should_defer_for_prefix(
+        dispatcher.fleet, need, chain, waited_s, now_s
+    )
 
 
-def _take_off(dispatcher, request_id, endpoint, now_s):
+def _release_slots(dispatcher, request_id, endpoint, now_s):
     """Give the slots back, blame the endpoint that failed; return the expected time."""
     placed = dispatcher.placed.pop(request_id)
     for name in placed.stages:
@@ -305,17 +311,17 @@
     return placed.expected_s
 
 
-def _answer(dispatcher, request_id, refusal):
+def _refuse(dispatcher, request_id, refusal):
     dispatcher.effects.append(Answer(request_id, refusal))
-    _forget(dispatcher, request_id)
+    _drop(dispatcher, request_id)
 
 
 def _fail(dispatcher, request_id, is_certain_not_run, verdict):
     outcome = Outcome.NOT_RUN if is_certain_not_run else Outcome.UNKNOWN
     dispatcher.effects.append(Failed(request_id, outcome, verdict))
-    _forget(dispatcher, request_id)
+    _drop(dispatcher, request_id)
 
 
-def _forget(dispatcher, request_id):
+def _drop(dispatcher, request_id):
     dispatcher.works.pop(request_id, None)
     dispatcher.tried.pop(request_id, None)
--- a/libs/policy/src/cherryrudder/policy/ejection.py
+++ b/libs/policy/src/cherryrudder/policy/ejection.py
@@ -21,30 +21,30 @@
 MIN_PEERS = 3
 # Three in a row, or half of the recent ones.
 MAX_FAILURES = 3
-MAX_FAILURE_PART = 0.5
+MAX_FAILURE_FRACTION = 0.5
 # The most of a kind that may be ejected at once.
-EJECT_PART = 1 / 3
+MAX_EJECTED_FRACTION = 1 / 3
 # First and longest ejection; each one after the other doubles. Two seconds outlast a
 # restart, and after a minute a repaired endpoint is worth a probe.
 FIRST_EJECTION_S = 2.0
-LONGEST_EJECTION_S = 60.0
+MAX_EJECTION_S = 60.0
 # Good probes in a row before an endpoint gets its full part again.
-GOOD_PROBES = 3
+REQUIRED_PROBES = 3
 # Silence with work in flight is a fault past four times the longest gap that the kind
 # has shown, and never below a second, which lost packets and pauses can explain.
 SILENCE_RATIO = 4.0
 MIN_SILENCE_S = 1.0
 # Until a kind has answered at all: the longest time to a first answer that callers
 # bear.
-FIRST_SILENCE_S = 10.0
+DEFAULT_SILENCE_S = 10.0
 # Answers from here on count as long; the price of a longer one is its decoding.
 LONG_TOKENS = 256
 # Each sample counts a fifth, so ten samples forget an old speed.
-LEARNING_PART = 0.2
+LEARNING_RATE = 0.2
 # A longest gap is forgotten over some twenty seconds. By time and not by signals, which
 # come by the thousand when tokens stream: the gap of a long prompt's prefill would be
 # forgotten within milliseconds, and the next such prompt be taken for a fault.
-GAP_MEMORY_S = 20.0
+GAP_DECAY_S = 20.0
 
 
 class Health:
@@ -59,7 +59,7 @@
         self.signal_s = 0.0
         self.ejections = 0
         self.ejected_until_s = 0.0
-        self.good_probes = GOOD_PROBES
+        self.good_probes = REQUIRED_PROBES
 
 
 class KindHealth:
@@ -91,14 +91,14 @@
 
 def is_probing(health: Health) -> bool:
     """Tell whether an endpoint gets one request at a time, to see if it has healed."""
-    return health.good_probes < GOOD_PROBES
+    return health.good_probes < REQUIRED_PROBES
 
 
 def note_signal(health: Health, kind: KindHealth, now_s: float) -> None:
     """Note that an endpoint with work in flight has answered something."""
     gap_s = min(now_s - health.signal_s, silence_s(kind))
     passed_s = max(0.0, now_s - kind.signal_s)
-    kept_s = kind.gap_s * math.exp(-passed_s / GAP_MEMORY_S)
+    kept_s = kind.gap_s * math.exp(-passed_s / GAP_DECAY_S)
     kind.gap_s = max(gap_s, kept_s)
     kind.signal_s = health.signal_s = now_s
 
@@ -107,11 +107,11 @@
     """Take in an answered request."""
     size = size_class(tokens)
     sample_s = duration_s / max(1.0, tokens)
-    part = LEARNING_PART if health.samples[size] else 1.0
+    part = LEARNING_RATE if health.samples[size] else 1.0
     health.token_s[size] += part * (sample_s - health.token_s[size])
     health.samples[size] += 1
     health.failures = 0
-    health.failure_part *= 1 - LEARNING_PART
+    health.failure_part *= 1 - LEARNING_RATE
     if not is_probing(health):
         return
     median_s = kind.median_s[size]
@@ -126,7 +126,7 @@
 def note_failure(health: Health, now_s: float) -> None:
     """Take in a failed request; a failed probe ejects again at once."""
     health.failures += 1
-    health.failure_part += LEARNING_PART * (1 - health.failure_part)
+    health.failure_part += LEARNING_RATE * (1 - health.failure_part)
     if is_probing(health):
         eject(health, now_s)
 
@@ -134,14 +134,14 @@
 def silence_s(kind: KindHealth) -> float:
     """Return after how long a silence with work in flight is a fault."""
     if not kind.gap_s:
-        return FIRST_SILENCE_S
+        return DEFAULT_SILENCE_S
     return max(MIN_SILENCE_S, SILENCE_RATIO * kind.gap_s)
 
 
 def eject(health: Health, now_s: float) -> None:
     """Give an endpoint no work for a time, then one request at a time."""
     length_s = FIRST_EJECTION_S * 2**health.ejections
-    health.ejected_until_s = now_s + min(length_s, LONGEST_EJECTION_S)
+    health.ejected_until_s = now_s + min(length_s, MAX_EJECTION_S)
     health.ejections = min(health.ejections + 1, 8)
     health.good_probes = 0
     health.failures = 0
@@ -154,16 +154,16 @@
     """Eject the worst of a kind, within the cap; return those that were ejected."""
     for size in (0, 1):
         kind.median_s[size] = _median(peers, size) or kind.median_s[size]
-    room = int(len(peers) * EJECT_PART)
+    room = int(len(peers) * MAX_EJECTED_FRACTION)
     # With two endpoints one may go; the only one of its kind never does.
     room = max(room, int(len(peers) > 1))
     room -= sum(is_ejected(peer.health, now_s) for peer in peers)
     faults = []
     for peer in peers:
         if not is_ejected(peer.health, now_s):
-            badness = _badness(peer, kind, now_s)
-            if badness > 0:
-                faults.append((badness, peer.endpoint, peer.health))
+            score = _fault_score(peer, kind, now_s)
+            if score > 0:
+                faults.append((score, peer.endpoint, peer.health))
     faults.sort(reverse=True, key=lambda fault: fault[:2])
     worst = faults[: max(0, room)]
     for _, _, health in worst:
@@ -171,12 +171,12 @@
     return [endpoint for _, endpoint, _ in worst]
 
 
-def _badness(peer, kind, now_s):
+def _fault_score(peer, kind, now_s):
     """Return 0 for a sound endpoint; silent and failing ones come before slow ones."""
     health = peer.health
     if peer.in_flight and now_s - health.signal_s > silence_s(kind):
         return 1e6
-    if health.failures >= MAX_FAILURES or health.failure_part > MAX_FAILURE_PART:
+    if health.failures >= MAX_FAILURES or health.failure_part > MAX_FAILURE_FRACTION:
         return 1e5
     worst = 0.0
     for size in (0, 1):
--- a/libs/policy/src/cherryrudder/policy/fairqueue.py
+++ b/libs/policy/src/cherryrudder/policy/fairqueue.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits; `order_s` places it within its customer's lane."""
 
     request_id: str
@@ -34,7 +34,7 @@
     expires_s: float
 
 
-class Ahead(NamedTuple):
+class QueueAhead(NamedTuple):
     """What goes before a request: of all its customer's, and those of its model."""
 
     count: int
@@ -60,13 +60,13 @@
 
     def __init__(self, max_queued):
         self.max_queued = max_queued
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, QueuedRequest] = {}
         self.flows: dict[str, Flow] = {}
         self.active: set[str] = set()
         # For each model that is waited for, the customers that wait for it.
         self.by_model: dict[str, dict[str, Flow]] = {}
         self.expiries: list[tuple[float, int, str]] = []
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.sequence = 0
 
 
@@ -90,13 +90,13 @@
     return queue.sequence
 
 
-def push(queue: FairQueue, request: Waiting) -> None:
+def push(queue: FairQueue, request: QueuedRequest) -> None:
     """Add a request; the caller has made room for it."""
     flow = queue.flows[request.customer]
     if request.customer not in queue.active:
         # An idle customer saves up no turns: without this one that was quiet all night
         # would hold the platform alone until it had used them up.
-        flow.start_tag = max(flow.start_tag, queue.virtual)
+        flow.start_tag = max(flow.start_tag, queue.virtual_time)
         queue.active.add(request.customer)
     model = request.model
     entry = (request.order_s, request.sequence, request.request_id)
@@ -109,7 +109,7 @@
     heapq.heappush(queue.expiries, expiry)
 
 
-def remove(queue: FairQueue, request_id: str) -> Waiting | None:
+def remove(queue: FairQueue, request_id: str) -> QueuedRequest | None:
     """Take a request out; its heap entries are skipped when they come up."""
     request = queue.waiting.pop(request_id, None)
     if request is None:
@@ -129,7 +129,7 @@
     return request
 
 
-def head(queue, customer, blocked: set[str], skipped: set[str]) -> Waiting | None:
+def head(queue, customer, blocked: set[str], skipped: set[str]) -> QueuedRequest | None:
     """Return the customer's first request for a model that is not blocked.
 
     Skipped requests are passed over; they keep their turn.
@@ -154,20 +154,20 @@
     flow = queue.flows[customer]
     if flow.is_limited or customer not in queue.active:
         # Time spent behind its own limit earns a customer no turns either.
-        flow.start_tag = max(flow.start_tag, queue.virtual)
+        flow.start_tag = max(flow.start_tag, queue.virtual_time)
         flow.is_limited = False
-    queue.virtual = max(queue.virtual, flow.start_tag)
+    queue.virtual_time = max(queue.virtual_time, flow.start_tag)
     flow.start_tag += cost_tokens / flow.weight
 
 
-def settle_tag(queue: FairQueue, customer: str, difference_tokens: float) -> None:
+def adjust_start_tag(queue: FairQueue, customer: str, difference_tokens: float) -> None:
     """Charge (or, below zero, give back) what the estimate missed."""
     flow = queue.flows.get(customer)
     if flow is not None:
         flow.start_tag += difference_tokens / flow.weight
 
 
-def take_expired(queue: FairQueue, now_s: float) -> list[Waiting]:
+def take_expired(queue: FairQueue, now_s: float) -> list[QueuedRequest]:
     """Take out every request whose time is over."""
     expired = []
     while queue.expiries and queue.expiries[0][0] <= now_s:
@@ -177,14 +177,14 @@
     return expired
 
 
-def in_order(queue: FairQueue, customer: str) -> list[Waiting]:
+def in_order(queue: FairQueue, customer: str) -> list[QueuedRequest]:
     """Return a customer's requests in the order in which they will start."""
     lanes = queue.flows[customer].lanes.values()
     entries = sorted(entry for lane in lanes for entry in lane)
     return [queue.waiting[entry[2]] for entry in entries if not _is_stale(queue, entry)]
 
 
-def own_ahead(queue: FairQueue, request: Waiting) -> Ahead:
+def count_ahead(queue: FairQueue, request: QueuedRequest) -> QueueAhead:
     """Return what goes before a request of its own customer's."""
     count, tokens, model_tokens = 0, 0.0, 0.0
     for model, lane in queue.flows[request.customer].lanes.items():
@@ -196,7 +196,7 @@
             tokens += cost_tokens
             if model == request.model:
                 model_tokens += cost_tokens
-    return Ahead(count, tokens, model_tokens)
+    return QueueAhead(count, tokens, model_tokens)
 
 
 def tokens_ahead(queue: FairQueue, customer, model, own_tokens: float) -> float:
@@ -208,7 +208,7 @@
     flow = queue.flows[customer]
     tag = flow.start_tag
     if customer not in queue.active:
-        tag = max(tag, queue.virtual)
+        tag = max(tag, queue.virtual_time)
     finish_tag = tag + own_tokens / flow.weight
     ahead = own_tokens
     for other in queue.by_model.get(model, {}).values():
@@ -220,7 +220,7 @@
     return ahead
 
 
-def last_of_longest(queue: FairQueue) -> Waiting | None:
+def last_of_longest(queue: FairQueue) -> QueuedRequest | None:
     """Return the last request of the customer with the most tokens for its weight."""
     longest, most = None, -math.inf
     for name in queue.active:
--- a/libs/policy/src/cherryrudder/policy/fleet.py
+++ b/libs/policy/src/cherryrudder/policy/fleet.py
@@ -21,12 +21,12 @@
 
 # Each kind is looked at twice a second for slow and silent endpoints: a fraction of the
 # shortest silence that counts as a fault.
-REVIEW_S = 0.5
+REVIEW_INTERVAL_S = 0.5
 # An endpoint that fails half of its requests counts as three times slower.
 FAILURE_WEIGHT = 4.0
 # An endpoint that announces no speed is taken for one of average speed.
-UNKNOWN_TOKEN_S = 0.02
-SEQUENCE = Announcement._fields.index("sequence")
+DEFAULT_TOKEN_S = 0.02
+SEQUENCE_INDEX = Announcement._fields.index("sequence")
 
 
 class Member:
@@ -44,7 +44,7 @@
         self.in_flight = 0
         self.health = Health()
         self.health.signal_s = now_s
-        self.is_listed = True
+        self.is_announced = True
         self.is_leaving = False
 
 
@@ -112,19 +112,19 @@
             continue
         seen.add(announcement.endpoint)
         known = fleet.members.get(announcement.endpoint)
-        if known is None or not known.is_listed:
-            _list(fleet, announcement, known, now_s)
-        elif not _says_the_same(known.announcement, announcement):
-            _list(fleet, announcement, known, now_s)
+        if known is None or not known.is_announced:
+            _register(fleet, announcement, known, now_s)
+        elif not _is_unchanged(known.announcement, announcement):
+            _register(fleet, announcement, known, now_s)
     for name in [name for name in fleet.members if name not in seen]:
-        _unlist(fleet, fleet.members[name], now_s)
+        _unregister(fleet, fleet.members[name], now_s)
 
 
 def set_stops(fleet: Fleet, stops: Iterable[Stop], now_s: float) -> None:
     """Put the planned stops in force."""
     fleet.stops = tuple(stops)
     for member in fleet.members.values():
-        _set_leaving(fleet, member)
+        _update_leaving(fleet, member)
         refresh(member, now_s)
 
 
@@ -178,7 +178,7 @@
     kind = member.kind.health
     ejection.note_signal(member.health, kind, now_s)
     ejection.note_answer(member.health, kind, tokens, duration_s, now_s)
-    _take_off(fleet, member, now_s)
+    _release_slot(fleet, member, now_s)
 
 
 def failed(fleet: Fleet, endpoint: str, now_s: float) -> None:
@@ -188,14 +188,14 @@
         return
     ejection.note_failure(member.health, now_s)
     member.health.signal_s = now_s
-    _take_off(fleet, member, now_s)
+    _release_slot(fleet, member, now_s)
 
 
 def withdrawn(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Count a request that was cancelled, or failed by no fault of this endpoint."""
     member = fleet.members.get(endpoint)
     if member is not None:
-        _take_off(fleet, member, now_s)
+        _release_slot(fleet, member, now_s)
 
 
 def review(fleet: Fleet, now_s: float) -> list[str]:
@@ -205,7 +205,7 @@
     """
     if now_s < fleet.review_due_s:
         return []
-    fleet.review_due_s = now_s + REVIEW_S
+    fleet.review_due_s = now_s + REVIEW_INTERVAL_S
     ejected = []
     for kind in fleet.kinds.values():
         ejected += _review_kind(kind, now_s)
@@ -233,7 +233,7 @@
 
 def free_slots(member: Member, now_s: float) -> int:
     """Return how many requests an endpoint may be sent now."""
-    if not member.is_listed or member.is_leaving:
+    if not member.is_announced or member.is_leaving:
         return 0
     if ejection.is_ejected(member.health, now_s):
         return 0
@@ -249,7 +249,7 @@
     token_s = token_s or member.kind.health.median_s[size]
     if not token_s:
         speed = announcement.tokens_per_s
-        token_s = announcement.slots / speed if speed > 0 else UNKNOWN_TOKEN_S
+        token_s = announcement.slots / speed if speed > 0 else DEFAULT_TOKEN_S
     load = 1.0 + member.in_flight / max(1, announcement.slots)
     return token_s * load * (1.0 + FAILURE_WEIGHT * health.failure_part)
 
@@ -266,30 +266,30 @@
     return ejected
 
 
-def _list(fleet, announcement, known, now_s):
-    if known is not None and not _is_continued(known.announcement, announcement):
+def _register(fleet, announcement, known, now_s):
+    if known is not None and not _is_same_job(known.announcement, announcement):
         # Another process or another job: what was in flight before is lost, and what
         # was learned doesn't hold.
-        _unlist(fleet, known, now_s)
+        _unregister(fleet, known, now_s)
         fleet.members.pop(announcement.endpoint, None)
-        _forget_caches(fleet, announcement.endpoint)
+        _drop_caches(fleet, announcement.endpoint)
         known = None
     if known is None:
-        group = _group(fleet, announcement)
-        known = Member(announcement, group, _kind(fleet, announcement), now_s)
+        group = _get_group(fleet, announcement)
+        known = Member(announcement, group, _get_kind(fleet, announcement), now_s)
         fleet.members[announcement.endpoint] = known
     elif not known.credits_number:
         known.credits = announcement.slots
     known.announcement = announcement
-    known.is_listed = True
+    known.is_announced = True
     _join_group(known)
-    _set_leaving(fleet, known)
+    _update_leaving(fleet, known)
     refresh(known, now_s)
 
 
-def _is_continued(announcement, other):
+def _is_same_job(announcement, other):
     is_same_process = announcement.incarnation == other.incarnation
-    return is_same_process and _sort(announcement) == _sort(other)
+    return is_same_process and _kind_key(announcement) == _kind_key(other)
 
 
 def _join_group(member):
@@ -301,8 +301,8 @@
         member.kind.members[name] = member
 
 
-def _unlist(fleet, member, now_s):
-    member.is_listed = False
+def _unregister(fleet, member, now_s):
+    member.is_announced = False
     refresh(member, now_s)
     name = member.announcement.endpoint
     if member.group.members.pop(name, None) is not None:
@@ -311,26 +311,26 @@
         member.kind.members.pop(name, None)
     if not member.in_flight:
         fleet.members.pop(name, None)
-        _forget_caches(fleet, name)
+        _drop_caches(fleet, name)
 
 
-def _forget_caches(fleet, endpoint):
-    affinity.forget_endpoint(fleet.caches, endpoint)
-    affinity.forget_endpoint(fleet.sent, endpoint)
+def _drop_caches(fleet, endpoint):
+    affinity.drop_endpoint(fleet.caches, endpoint)
+    affinity.drop_endpoint(fleet.sent, endpoint)
 
 
-def _take_off(fleet, member, now_s):
+def _release_slot(fleet, member, now_s):
     if member.in_flight:
         member.in_flight -= 1
-        if member.is_listed:
+        if member.is_announced:
             member.group.in_flight -= 1
-    if not member.is_listed and not member.in_flight:
+    if not member.is_announced and not member.in_flight:
         fleet.members.pop(member.announcement.endpoint, None)
         return
     refresh(member, now_s)
 
 
-def _set_leaving(fleet, member):
+def _update_leaving(fleet, member):
     member.is_leaving = leaving.is_leaving(member.announcement, fleet.stops)
 
 
@@ -354,19 +354,19 @@
     )
 
 
-def _says_the_same(announcement, other):
+def _is_unchanged(announcement, other):
     # All but the sequence number, which changes with each renewal of the lease.
     return announcement is other or (
-        announcement[:SEQUENCE] == other[:SEQUENCE]
-        and announcement[SEQUENCE + 1 :] == other[SEQUENCE + 1 :]
+        announcement[:SEQUENCE_INDEX] == other[:SEQUENCE_INDEX]
+        and announcement[SEQUENCE_INDEX + 1 :] == other[SEQUENCE_INDEX + 1 :]
     )
 
 
-def _sort(announcement):
+def _kind_key(announcement):
     return group_key(announcement), announcement.accelerator
 
 
-def _group(fleet, announcement):
+def _get_group(fleet, announcement):
     key = group_key(announcement)
     group = fleet.groups.get(key)
     if group is not None:
@@ -381,8 +381,8 @@
     return group
 
 
-def _kind(fleet, announcement):
-    key = _sort(announcement)
+def _get_kind(fleet, announcement):
+    key = _kind_key(announcement)
     kind = fleet.kinds.get(key)
     if kind is None:
         kind = fleet.kinds[key] = KindReview()
--- a/libs/policy/src/cherryrudder/policy/limits.py
+++ b/libs/policy/src/cherryrudder/policy/limits.py
@@ -82,7 +82,9 @@
         self.contract = contract
         self.share = share
         self.running = 0
-        self.requests = Bucket(share.requests_per_s, _depth(share, contract), now_s)
+        self.requests = Bucket(
+            share.requests_per_s, _request_depth(share, contract), now_s
+        )
         depth = share.tokens_per_s * contract.burst_s
         self.tokens = Bucket(share.tokens_per_s, depth, now_s)
         self.offered_requests = 0.0
@@ -94,7 +96,9 @@
     """Put a changed contract or share in force."""
     limits.contract = contract
     limits.share = share
-    resize(limits.requests, share.requests_per_s, _depth(share, contract), now_s)
+    resize(
+        limits.requests, share.requests_per_s, _request_depth(share, contract), now_s
+    )
     depth = share.tokens_per_s * contract.burst_s
     resize(limits.tokens, share.tokens_per_s, depth, now_s)
 
@@ -134,7 +138,7 @@
     limits.tokens.level = min(limits.tokens.depth, level)
 
 
-def limit_wait_s(limits, ahead, ahead_tokens, cost_tokens, hold_s, now_s) -> float:
+def limit_wait_s(limits, ahead, ahead_tokens, cost_tokens, run_s, now_s) -> float:
     """Return the wait behind the customer's own limits, with its requests ahead.
 
     `hold_s` is how long a request usually runs.
@@ -148,11 +152,11 @@
     free = slots - limits.running
     slots_s = 0.0
     if ahead >= free:
-        slots_s = (ahead - free + 1) * hold_s / slots
+        slots_s = (ahead - free + 1) * run_s / slots
     return max(tokens_s, requests_s, slots_s)
 
 
-def turn_s(limits: Limits, cost_tokens: float) -> float:
+def request_interval_s(limits: Limits, cost_tokens: float) -> float:
     """Return the time in which the limits make room for one such request."""
     rates = limits.share
     if rates.requests_per_s <= 0 or rates.tokens_per_s <= 0:
@@ -177,7 +181,7 @@
     )
 
 
-def _depth(share, contract):
+def _request_depth(share, contract):
     return max(MIN_BURST_REQUESTS, share.requests_per_s * contract.burst_s)
 
 
--- a/libs/policy/src/cherryrudder/policy/otherload.py
+++ b/libs/policy/src/cherryrudder/policy/otherload.py
@@ -32,12 +32,12 @@
     def __init__(self):
         self.told: dict[str, Load] = {}
         self.own_then: dict[str, Load] = {}
-        self._own_before: dict[str, Load] = {}
+        self._own_last_sent: dict[str, Load] = {}
 
 
 def note_beat(load: OtherLoad, own: Mapping[str, Load]) -> None:
     """Take note of what this entry has running as it tells the others."""
-    load._own_before = dict(own)
+    load._own_last_sent = dict(own)
 
 
 def hear(load: OtherLoad, told: Mapping[str, Load]) -> None:
@@ -47,7 +47,7 @@
     compared with what it had at the beat that was answered.
     """
     load.told = dict(told)
-    load.own_then = load._own_before
+    load.own_then = load._own_last_sent
 
 
 def estimate(load: OtherLoad, address: str, own: Load, peers: float) -> Load:
--- a/libs/policy/src/cherryrudder/policy/permits.py
+++ b/libs/policy/src/cherryrudder/policy/permits.py
@@ -17,21 +17,21 @@
 # the next doesn't put that one over the limit.
 SAFE_SHARE = 0.95
 # An endpoint is asked at least this often whether its limit still holds.
-LEAST_PER_S = 0.1
+MIN_PER_S = 0.1
 # Beside one whole permit, what comes free within this time is saved up for whoever asks
 # next.
-SAVED_S = 0.25
+BURST_S = 0.25
 # A permit is for a request that waits for it: its entry uses it at once.
-VALID_S = 0.25
+PERMIT_LIFETIME_S = 0.25
 # Entries that were told to wait count for this long if they don't come back.
-WAITING_S = 2.0
+WAITING_LIFETIME_S = 2.0
 # Between two asks of an entry that got no permit, at least and at most.
-LEAST_PAUSE_S = 0.02
-MOST_PAUSE_S = 1.0
+MIN_PAUSE_S = 0.02
+MAX_PAUSE_S = 1.0
 # Asks without an answer for this long say that nobody gives permits.
-UNANSWERED_S = 2.0
+ISSUER_TIMEOUT_S = 2.0
 # An ask this old is no longer waited for.
-PENDING_S = 0.3
+ANSWER_TIMEOUT_S = 0.3
 
 
 class Grant(NamedTuple):
@@ -57,13 +57,13 @@
 
 def issue(issuer: Issuer, sender: str, count: int, per_s: float, now_s: float) -> Grant:
     """Hand out as many permits of those asked for as the limit has left."""
-    rate = max(SAFE_SHARE * per_s, LEAST_PER_S)
-    most = 1.0 + rate * SAVED_S
+    rate = max(SAFE_SHARE * per_s, MIN_PER_S)
+    most = 1.0 + rate * BURST_S
     issuer.saved = min(most, issuer.saved + rate * (now_s - issuer.filled_s))
     issuer.filled_s = now_s
     permits = min(count, int(issuer.saved))
     issuer.saved -= permits
-    _forget_waiting(issuer, now_s)
+    _drop_stale_waiting(issuer, now_s)
     issuer.waiting_s.pop(sender, None)
     if permits >= count:
         return Grant(permits)
@@ -72,9 +72,9 @@
     return Grant(permits, next_s, next_s + (len(issuer.waiting_s) - 1) / rate)
 
 
-def _forget_waiting(issuer, now_s):
+def _drop_stale_waiting(issuer, now_s):
     waiting = issuer.waiting_s.items()
-    issuer.waiting_s = {e: s for e, s in waiting if now_s - s < WAITING_S}
+    issuer.waiting_s = {e: s for e, s in waiting if now_s - s < WAITING_LIFETIME_S}
 
 
 class Holder:
@@ -89,17 +89,17 @@
         # The issuer has none before.
         self.not_before_s = float("-inf")
         # When all that wait will have had their permit, as it said.
-        self.served_s = float("-inf")
+        self.queue_served_s = float("-inf")
         # Since when asks are not answered, None while they are.
         self.unanswered_s: float | None = None
         # When the entry last took an even part for want of an issuer.
-        self.even_s = float("-inf")
+        self.fallback_s = float("-inf")
 
 
 def has_permit(holder: Holder, per_s: float, entries: int, now_s: float) -> bool:
     """Tell whether a request may be sent now."""
     holder.until_s = [until_s for until_s in holder.until_s if now_s < until_s]
-    return bool(holder.until_s) or _has_even_part(holder, per_s, entries, now_s)
+    return bool(holder.until_s) or _has_fallback_permit(holder, per_s, entries, now_s)
 
 
 def use(holder: Holder, now_s: float) -> None:
@@ -107,17 +107,17 @@
     if holder.until_s:
         holder.until_s.pop(0)
     else:
-        holder.even_s = now_s
+        holder.fallback_s = now_s
 
 
-def _has_even_part(holder, per_s, entries, now_s):
+def _has_fallback_permit(holder, per_s, entries, now_s):
     """Tell whether an entry that reaches no issuer may send one request by itself.
 
     It can't know of the others, so it takes no more than each of them could.
     """
-    if holder.unanswered_s is None or now_s - holder.unanswered_s < UNANSWERED_S:
+    if holder.unanswered_s is None or now_s - holder.unanswered_s < ISSUER_TIMEOUT_S:
         return False
-    since_s = max(holder.even_s, holder.unanswered_s)
+    since_s = max(holder.fallback_s, holder.unanswered_s)
     return (now_s - since_s) * SAFE_SHARE * per_s >= max(1, entries)
 
 
@@ -128,9 +128,9 @@
 
 def note_ask(holder: Holder, now_s: float) -> None:
     """Count an ask that goes out."""
-    if now_s - holder.asked_s > PENDING_S:
+    if now_s - holder.asked_s > ANSWER_TIMEOUT_S:
         holder.pending = 0
-    if holder.unanswered_s is None or now_s - holder.asked_s > UNANSWERED_S:
+    if holder.unanswered_s is None or now_s - holder.asked_s > ISSUER_TIMEOUT_S:
         holder.unanswered_s = now_s
     holder.pending += 1
     holder.asked_s = now_s
@@ -140,22 +140,22 @@
     """Tell whether an answer that may bring a permit is under way."""
     return (
         holder.pending > 0
-        and now_s - holder.asked_s < PENDING_S
+        and now_s - holder.asked_s < ANSWER_TIMEOUT_S
         and now_s >= holder.not_before_s
     )
 
 
 def wait_s(holder: Holder, now_s: float) -> float:
     """Return the time until the next permit that nobody waits for yet."""
-    return max(0.0, holder.served_s - now_s)
+    return max(0.0, holder.queue_served_s - now_s)
 
 
 def take(holder: Holder, grant: Grant, now_s: float) -> None:
     """Take an issuer's answer."""
     holder.pending = max(0, holder.pending - 1)
     holder.unanswered_s = None
-    holder.until_s += [now_s + VALID_S] * grant.permits
-    holder.served_s = now_s + grant.wait_s
+    holder.until_s += [now_s + PERMIT_LIFETIME_S] * grant.permits
+    holder.queue_served_s = now_s + grant.wait_s
     if not grant.permits:
-        pause_s = max(LEAST_PAUSE_S, grant.next_s)
-        holder.not_before_s = now_s + min(MOST_PAUSE_S, pause_s)
+        pause_s = max(MIN_PAUSE_S, grant.next_s)
+        holder.not_before_s = now_s + min(MAX_PAUSE_S, pause_s)
--- a/libs/policy/src/cherryrudder/policy/placement.py
+++ b/libs/policy/src/cherryrudder/policy/placement.py
@@ -59,25 +59,25 @@
     "set_credits",
     "set_stops",
     "update",
-    "waits_for_prefix",
+    "should_defer_for_prefix",
     "withdrawn",
 ]
 
 # Up to so many open endpoints of a range and data centre are all looked at: the users'
 # forty engines in three data centres.
-SCANNED = 16
+FULL_SCAN_MAX = 16
 # Of more than that so many are drawn. Two already avoid the worst choice; four find the
 # best of four kinds of accelerator in most draws.
-DRAWN = 4
+SAMPLE_SIZE = 4
 # Partial chains kept at each layer boundary; more than the data centres near the entry
 # have changed no choice in trials.
-BEAM = 3
+BEAM_WIDTH = 3
 # A cached prefix saves its prefill, about this part of a short answer's time.
-PREFIX_SAVED_PART = 0.3
+PREFIX_SAVED_FRACTION = 0.3
 # A fleet with at most this part of its endpoints open is nearly full.
-FULL_PART = 0.1
+NEARLY_FULL_FRACTION = 0.1
 # How long a request lets others go first: about the time of the prefill that it saves.
-PATIENCE_S = 0.5
+MAX_DEFER_S = 0.5
 
 
 class Need(NamedTuple):
@@ -104,7 +104,7 @@
     cost_s: float
 
 
-class Partial(NamedTuple):
+class PartialChain(NamedTuple):
     """The first stages of a chain."""
 
     slowest_s: float
@@ -133,22 +133,24 @@
     return Chain(stages, best.cost_s * max(1.0, need.tokens))
 
 
-def waits_for_prefix(fleet: Fleet, need: Need, chain: Chain, waited_s, now_s) -> bool:
+def should_defer_for_prefix(
+    fleet: Fleet, need: Need, chain: Chain, waited_s, now_s
+) -> bool:
     """Tell whether a request should let others go first to the one endpoint with room.
 
     When the fleet is nearly full, each request would go to whichever endpoint frees a
     slot, and be computed anew there; the fleet would lose the speed that its caches
     gave it, and stay full. Of those that wait, one whose prefix is there goes instead.
     """
-    if not need.prefix or waited_s >= PATIENCE_S:
+    if not need.prefix or waited_s >= MAX_DEFER_S:
         return False
     first = chain.stages[0]
     group = fleet.groups[group_key(first)]
     has_room = sum(len(opened.members) for opened in group.open.values())
-    if has_room > FULL_PART * len(group.members) + 1:
+    if has_room > NEARLY_FULL_FRACTION * len(group.members) + 1:
         return False
     is_ranked = first.endpoint in _ranked(group, need.prefix)[:1]
-    return not is_ranked and not _holds(fleet, first.endpoint, need.prefix)
+    return not is_ranked and not _holds_prefix(fleet, first.endpoint, need.prefix)
 
 
 def note_sent(fleet: Fleet, chain: Chain, prefix: str) -> None:
@@ -175,12 +177,12 @@
 
 
 def _best_chain(fleet: Fleet, layer_map: LayerMap, need: Need, now_s):
-    beams = {0: [Partial(0.0, 0.0, fleet.home, ())]}
+    beams = {0: [PartialChain(0.0, 0.0, fleet.home, ())]}
     finished = []
     while beams:
         # Every range ends past its start, so the lowest boundary is complete.
         boundary = min(beams)
-        partials = sorted(beams.pop(boundary), key=_cost)[:BEAM]
+        partials = sorted(beams.pop(boundary), key=_cost)[:BEAM_WIDTH]
         if boundary == layer_map.layers:
             finished = partials
             break
@@ -207,7 +209,7 @@
 
 def _append(fleet, partial, candidate):
     place = candidate.member.announcement.place
-    return Partial(
+    return PartialChain(
         max(partial.slowest_s, candidate.cost_s),
         partial.links_s + links.hop_s(fleet.links, partial.end, place),
         place,
@@ -242,67 +244,69 @@
     size = ejection.size_class(need.tokens)
     for opened in group.open.values():
         best, best_s = None, math.inf
-        for member in _drawn(fleet, opened.members, need.exclude):
+        for member in _sample(fleet, opened.members, need.exclude):
             cost_s = member.cost_s[size]
-            if need.prefix and _holds(fleet, member.announcement.endpoint, need.prefix):
-                cost_s *= 1 - PREFIX_SAVED_PART
+            if need.prefix and _holds_prefix(
+                fleet, member.announcement.endpoint, need.prefix
+            ):
+                cost_s *= 1 - PREFIX_SAVED_FRACTION
             if cost_s < best_s:
                 best, best_s = member, cost_s
         if best is not None:
             found.append(Candidate(best, best_s))
     if need.prefix:
-        found += _caching(fleet, group, need, now_s)
+        found += _cache_candidates(fleet, group, need, now_s)
     return found
 
 
-def _drawn(fleet, members, exclude):
+def _sample(fleet, members, exclude):
     count = len(members)
-    drawn = members
-    if count > SCANNED:
-        drawn = [members[int(fleet.rng.random() * count)] for _ in range(DRAWN)]
+    sampled = members
+    if count > FULL_SCAN_MAX:
+        sampled = [members[int(fleet.rng.random() * count)] for _ in range(SAMPLE_SIZE)]
     if not exclude:
-        return drawn
-    kept = [m for m in drawn if m.announcement.endpoint not in exclude]
-    if kept or count <= SCANNED:
+        return sampled
+    kept = [m for m in sampled if m.announcement.endpoint not in exclude]
+    if kept or count <= FULL_SCAN_MAX:
         return kept
     # All that were drawn are excluded: only a full look can tell that none is left.
     return [m for m in members if m.announcement.endpoint not in exclude]
 
 
-def _caching(fleet, group, need, now_s):
+def _cache_candidates(fleet, group, need, now_s):
     holders = affinity.holders_of(fleet.caches, need.prefix)
     # A hot prefix is held by many; the endpoints that were drawn stand for those.
-    names = [name for name in islice(holders, DRAWN) if name in group.members]
+    names = [name for name in islice(holders, SAMPLE_SIZE) if name in group.members]
     for name in _ranked(group, need.prefix):
         # The second choice is for what is above the bound of the first: spread over
         # both from the start, the prefix would be computed and kept twice.
-        if _takes(group, name, need, now_s):
+        if _accepts(group, name, need, now_s):
             names.append(name)
             break
     found = []
     for name in dict.fromkeys(names):
-        if _takes(group, name, need, now_s):
+        if _accepts(group, name, need, now_s):
             member = group.members[name]
             cost_s = member.cost_s[ejection.size_class(need.tokens)]
-            found.append(Candidate(member, cost_s * (1 - PREFIX_SAVED_PART)))
+            found.append(Candidate(member, cost_s * (1 - PREFIX_SAVED_FRACTION)))
     return found
 
 
 def _ranked(group, prefix):
-    slot = affinity.slot_of(prefix)
+    slot = affinity.hash_slot(prefix)
     ranked = group.ranked.get(slot)
     if ranked is None:
         ranked = group.ranked[slot] = affinity.rank(group.members, slot)
     return ranked
 
 
-def _holds(fleet, endpoint, prefix):
+def _holds_prefix(fleet, endpoint, prefix):
     return affinity.holds(fleet.caches, endpoint, prefix) or affinity.holds(
         fleet.sent, endpoint, prefix
     )
 
 
-def _takes(group, name, need, now_s):
+def _accepts(group, name, need, now_s):
     member = group.members[name]
     if name in need.exclude or free_slots(member, now_s) <= 0:
         return False
--- a/libs/policy/src/cherryrudder/policy/refusal.py
+++ b/libs/policy/src/cherryrudder/policy/refusal.py
@@ -18,13 +18,13 @@
 
 # Each finished request keeps this part of the older mean: about fifty requests, enough
 # to smooth long and short ones and few enough to follow a lost endpoint in seconds.
-KEEP_PART = 0.98
+MEAN_DECAY = 0.98
 # A model that can start nothing while nothing of it runs is taken for unserved after
 # this time: longer than a lost report or a restarted sidecar's next announcement.
 UNSERVED_S = 1.0
 # What a caller is told when nothing drains at all and no estimate can be made: the time
 # in which a lost endpoint is noticed and replaced.
-UNKNOWN_RETRY_S = 5.0
+DEFAULT_RETRY_AFTER_S = 5.0
 # Nobody is sent away for longer: past a minute the estimate says nothing.
 MAX_RETRY_AFTER_S = 60.0
 # A run half as long again as the mean is common (uncached prompts, long answers), and
@@ -33,7 +33,7 @@
 # Credits that are asked for come within a round trip, or with the next report.
 CREDIT_WAIT_S = 0.3
 # Without a blocked request for so long a model counts as idle.
-CALM_S = 1.0
+IDLE_AFTER_S = 1.0
 # A refusal always asks for some pause, the least that a caller's timer keeps.
 MIN_RETRY_AFTER_S = 0.1
 
@@ -43,10 +43,10 @@
 
     def __init__(self):
         self.running_tokens = 0.0
-        self.quiet_since_s = 0.0
+        self.no_finish_since_s = 0.0
         self.blocked_since_s: float | None = None
         self.last_blocked_s = -math.inf
-        self.asking_until_s = -math.inf
+        self.credits_due_s = -math.inf
         self.finished_tokens = 0.0
         self.finished_token_s = 0.0
         self.finished_s = 0.0
@@ -67,7 +67,7 @@
 def note_start(drain: Drain, cost_tokens: float, now_s: float) -> None:
     """Count a request that starts."""
     if drain.running_tokens <= 0:
-        drain.quiet_since_s = now_s
+        drain.no_finish_since_s = now_s
     drain.running_tokens += cost_tokens
     drain.blocked_since_s = None
 
@@ -75,11 +75,11 @@
 def note_finish(drain: Drain, cost_tokens, duration_s: float, now_s: float) -> None:
     """Count a request that ran `duration_s` and has ended."""
     drain.running_tokens = max(0.0, drain.running_tokens - cost_tokens)
-    drain.quiet_since_s = now_s
-    drain.finished_tokens = drain.finished_tokens * KEEP_PART + cost_tokens
+    drain.no_finish_since_s = now_s
+    drain.finished_tokens = drain.finished_tokens * MEAN_DECAY + cost_tokens
     weighted = cost_tokens * duration_s
-    drain.finished_token_s = drain.finished_token_s * KEEP_PART + weighted
-    drain.finished_s = drain.finished_s * KEEP_PART + duration_s
+    drain.finished_token_s = drain.finished_token_s * MEAN_DECAY + weighted
+    drain.finished_s = drain.finished_s * MEAN_DECAY + duration_s
 
 
 def note_blocked(drain: Drain, now_s: float) -> None:
@@ -89,12 +89,12 @@
     # A burst on an idle platform finds few credits, since an entry without load holds
     # few; more are under way. Calling that full would refuse callers for whom there is
     # room. Where requests wait all the time, credits are asked for all the time.
-    if now_s - drain.last_blocked_s > CALM_S:
-        drain.asking_until_s = now_s + CREDIT_WAIT_S
+    if now_s - drain.last_blocked_s > IDLE_AFTER_S:
+        drain.credits_due_s = now_s + CREDIT_WAIT_S
     drain.last_blocked_s = now_s
 
 
-def hold_s(drain: Drain) -> float:
+def mean_run_s(drain: Drain) -> float:
     """Return how long requests run, by tokens; 0 if none has finished yet."""
     if not drain.finished_tokens:
         return 0.0
@@ -117,7 +117,7 @@
         return 0.0 if is_unserved else None
     # The time since the last finish bounds the rate from above. Without it, frozen
     # engines would keep the rate of before and callers would wait for nothing.
-    lasted_s = max(hold_s(drain), now_s - drain.quiet_since_s)
+    lasted_s = max(mean_run_s(drain), now_s - drain.no_finish_since_s)
     return drain.running_tokens / lasted_s if lasted_s > 0 else None
 
 
@@ -126,7 +126,7 @@
     # While endpoints have room, what runs is held down by customers' own limits and
     # says nothing of the platform's rate: callers past their own limit would be told
     # that the platform is full.
-    if drain.blocked_since_s is None or now_s < drain.asking_until_s:
+    if drain.blocked_since_s is None or now_s < drain.credits_due_s:
         return 0.0
     rate = drain_rate(drain, now_s)
     if rate is None:
@@ -134,30 +134,32 @@
     return ahead_tokens / rate if rate > 0 else math.inf
 
 
-class Turns:
+class RetrySchedule:
     """When the callers that were sent away last were told to come back."""
 
     def __init__(self):
         self.next_s: dict[tuple[str, str], float] = {}
 
 
-def retry_after_s(turns: Turns, key, over_s: float, turn_s: float, now_s) -> float:
+def retry_after_s(
+    schedule: RetrySchedule, key, over_s: float, interval_s: float, now_s
+) -> float:
     """Return when to come back: once the wait has fallen by `over_s`, one by one.
 
     `turn_s` is the time in which the limit makes room for one such request. Callers
     that are refused together get turns one after the other; if all were told the same
     time they would come back as one burst, and all but the first be refused again.
     """
-    if math.isinf(over_s) or math.isinf(turn_s):
-        return UNKNOWN_RETRY_S
-    turn = max(now_s + over_s, turns.next_s.get(key, 0.0))
-    turns.next_s[key] = min(turn + turn_s, now_s + MAX_RETRY_AFTER_S)
+    if math.isinf(over_s) or math.isinf(interval_s):
+        return DEFAULT_RETRY_AFTER_S
+    turn = max(now_s + over_s, schedule.next_s.get(key, 0.0))
+    schedule.next_s[key] = min(turn + interval_s, now_s + MAX_RETRY_AFTER_S)
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, turn - now_s))
 
 
-def forget_customer(turns: Turns, customer: str) -> None:
+def drop_customer(schedule: RetrySchedule, customer: str) -> None:
     """Drop the turn of a customer whose contract has ended."""
-    turns.next_s.pop((customer, ""), None)
+    schedule.next_s.pop((customer, ""), None)
 
 
 def own_limit(retry_s: float) -> Refusal:
--- a/libs/policy/src/cherryrudder/policy/roles.py
+++ b/libs/policy/src/cherryrudder/policy/roles.py
@@ -22,10 +22,10 @@
 # A job lets an engine go only if it stays below this without it.
 LOW_LOAD = 0.6
 # How long a shortage has to last: longer than a burst, shorter than a consultation.
-HOLD_S = 20.0
+MIN_SHORTAGE_S = 20.0
 # An engine that has moved stays, so that loading costs it a small part of its time:
 # weights of tens of gigabytes take about a minute.
-STAY_S = 600.0
+MIN_STAY_S = 600.0
 
 
 class Job(NamedTuple):
@@ -81,12 +81,12 @@
     ready = [
         job
         for job, since_s in planner.short_since_s.items()
-        if now_s - since_s >= HOLD_S
+        if now_s - since_s >= MIN_SHORTAGE_S
     ]
     # The job that lacks most comes first.
     ready.sort(key=lambda job: capacity[job] - demands[job])
     for job in ready:
-        engine = _donor(planner, job, demands, capacity, engines, now_s)
+        engine = _find_donor(planner, job, demands, capacity, engines, now_s)
         if engine is not None:
             return _order(planner, engine, job, now_s)
     return None
@@ -111,14 +111,14 @@
         del planner.short_since_s[job]
 
 
-def _donor(planner, job, demands, capacity, engines, now_s):
+def _find_donor(planner, job, demands, capacity, engines, now_s):
     """Return the engine whose own job misses it least, or None."""
     best, best_load = None, LOW_LOAD
     for engine in engines:
         if not engine.is_available or engine.job == job or job not in engine.jobs:
             continue
         moved_s = planner.moved_s.get(engine.endpoint)
-        if moved_s is not None and now_s - moved_s < STAY_S:
+        if moved_s is not None and now_s - moved_s < MIN_STAY_S:
             continue
         left = capacity[engine.job] - engine.tokens_per_s
         demand = demands.get(engine.job, 0.0)
--- a/libs/policy/src/cherryrudder/policy/roomqueue.py
+++ b/libs/policy/src/cherryrudder/policy/roomqueue.py
@@ -27,9 +27,9 @@
 # times a second on a full entry, so that a second is remembered. Tokens and times are
 # remembered each by itself: the mean of their quotients is far too high, as several
 # turns come at almost the same moment.
-RATE_MEMORY = 0.1
+RATE_WEIGHT = 0.1
 # Turns before the rate counts; the first ones after a calm say little.
-FEWEST_TURNS = 5
+MIN_ADMISSIONS = 5
 # The ranks, first to last.
 BEGUN, IN_TIME, LATE = range(3)
 # Streams that wait at one entry at the most. At a thousand bytes each it bounds the
@@ -60,12 +60,12 @@
         self.waiting: dict[str, Waiting] = {}
         # What each account was given, in tokens; only differences count.
         self.tags: dict[str, float] = {}
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         # Of a usual turn: the tokens that got room, and the time since the one before.
-        self.turn_tokens = 0.0
-        self.turn_gap_s = 0.0
-        self.turns = 0
-        self.turn_s: float | None = None
+        self.mean_admitted_tokens = 0.0
+        self.mean_gap_s = 0.0
+        self.admissions = 0
+        self.last_admitted_s: float | None = None
 
 
 def ahead_tokens(queue: RoomQueue, request: Waiting, now_s: float) -> float:
@@ -79,21 +79,21 @@
 
 def expected_wait_s(queue: RoomQueue, tokens: float) -> float:
     """Return how long room for so many tokens takes to come free, 0 if unknown."""
-    if queue.turns < FEWEST_TURNS:
+    if queue.admissions < MIN_ADMISSIONS:
         return 0.0
-    return tokens * queue.turn_gap_s / queue.turn_tokens
+    return tokens * queue.mean_gap_s / queue.mean_admitted_tokens
 
 
 def push(queue: RoomQueue, request: Waiting, now_s: float) -> float | None:
     """Let a request wait; else return in how many seconds there may be room."""
     ahead = ahead_tokens(queue, request, now_s)
     wait_s = expected_wait_s(queue, ahead + request.tokens)
-    is_in_vain = not request.has_begun and now_s + wait_s > request.give_up_s
-    if len(queue.waiting) >= MAX_WAITING or is_in_vain:
+    would_expire = not request.has_begun and now_s + wait_s > request.give_up_s
+    if len(queue.waiting) >= MAX_WAITING or would_expire:
         return wait_s
     if not queue.waiting:
         # Time without anybody waiting says nothing of the room that came free.
-        queue.turn_s = None
+        queue.last_admitted_s = None
     queue.waiting[request.request_id] = request
     return None
 
@@ -107,7 +107,7 @@
 
 
 def _order(queue, request, now_s):
-    tag = max(queue.tags.get(request.account, 0.0), queue.virtual)
+    tag = max(queue.tags.get(request.account, 0.0), queue.virtual_time)
     return (_rank(request, now_s), tag, request.arrived_s)
 
 
@@ -120,24 +120,24 @@
 def started(queue: RoomQueue, request_id: str, now_s: float) -> None:
     """Take a request out that was given room."""
     request = queue.waiting.pop(request_id)
-    tag = max(queue.tags.get(request.account, 0.0), queue.virtual)
-    queue.virtual = tag
+    tag = max(queue.tags.get(request.account, 0.0), queue.virtual_time)
+    queue.virtual_time = tag
     queue.tags[request.account] = tag + request.tokens
-    _count_turn(queue, request.tokens, now_s)
+    _record_admission(queue, request.tokens, now_s)
     if not queue.waiting:
         # Nobody is ahead of anybody any more.
         queue.tags.clear()
-        queue.virtual = 0.0
+        queue.virtual_time = 0.0
 
 
-def _count_turn(queue, tokens, now_s):
-    if queue.turn_s is not None:
-        gap_s = now_s - queue.turn_s
-        weight = RATE_MEMORY if queue.turns else 1.0
-        queue.turn_tokens += weight * (tokens - queue.turn_tokens)
-        queue.turn_gap_s += weight * (gap_s - queue.turn_gap_s)
-        queue.turns += 1
-    queue.turn_s = now_s
+def _record_admission(queue, tokens, now_s):
+    if queue.last_admitted_s is not None:
+        gap_s = now_s - queue.last_admitted_s
+        weight = RATE_WEIGHT if queue.admissions else 1.0
+        queue.mean_admitted_tokens += weight * (tokens - queue.mean_admitted_tokens)
+        queue.mean_gap_s += weight * (gap_s - queue.mean_gap_s)
+        queue.admissions += 1
+    queue.last_admitted_s = now_s
 
 
 def remove(queue: RoomQueue, request_id: str) -> None:
--- a/libs/policy/src/cherryrudder/policy/sharebook.py
+++ b/libs/policy/src/cherryrudder/policy/sharebook.py
@@ -43,7 +43,7 @@
         self.entries: tuple[str, ...] = ()
         self.contracts: dict[str, Contract] = {}
         self.holders: dict[str, ShareHolder] = {}
-        self.in_force: dict[str, tuple[Contract, Share]] = {}
+        self.applied: dict[str, tuple[Contract, Share]] = {}
 
 
 def set_contract(book: ShareBook, contract: Contract) -> None:
@@ -113,7 +113,7 @@
     """Take in the answer to an ask that was sent at `asked_s`."""
     holder = book.holders.get(grant.customer)
     if holder is not None and grant.entry == book.entry:
-        shareholder.take(holder, grant, asked_s, now_s)
+        shareholder.record_grant(holder, grant, asked_s, now_s)
 
 
 def put_in_force(book: ShareBook, admission: Admission, now_s: float) -> None:
@@ -124,8 +124,8 @@
     for customer, holder in book.holders.items():
         contract = book.contracts[customer]
         wanted = (contract, shareholder.current(holder, now_s))
-        if book.in_force.get(customer) != wanted:
-            book.in_force[customer] = wanted
+        if book.applied.get(customer) != wanted:
+            book.applied[customer] = wanted
             adm.set_contract(admission, *wanted, now_s)
 
 
@@ -133,8 +133,8 @@
     """Forget retired contracts of which nothing runs or waits any more."""
     dropped = []
     for customer, contract in list(book.contracts.items()):
-        if contract.retired and adm.forget_contract(admission, customer):
-            for known in (book.contracts, book.holders, book.in_force):
+        if contract.retired and adm.drop_contract(admission, customer):
+            for known in (book.contracts, book.holders, book.applied):
                 known.pop(customer, None)
             dropped.append(customer)
     return dropped
--- a/libs/policy/src/cherryrudder/policy/sharedbudget.py
+++ b/libs/policy/src/cherryrudder/policy/sharedbudget.py
@@ -35,9 +35,9 @@
 # An answer that has begun goes on with this much of a retry saved. Worked out: 26
 # entries all have parts below one while fewer than 44 are left to them together. Each
 # may go over by one between two words, 26 of the 107 that `SAFE_SHARE` keeps of 536.
-LEAST_FOR_BEGUN = 0.25
+MIN_SAVED_FOR_BEGUN = 0.25
 # Without a word for this long an entry goes by its own requests: four are missed.
-UNTOLD_S = 2.0
+REPORT_TIMEOUT_S = 2.0
 
 
 class Spent(NamedTuple):
@@ -56,11 +56,11 @@
 
 
 class _Service:
-    def __init__(self, earned, most):
-        self.budget = RetryBudget(earned, most)
+    def __init__(self, earned, max_saved):
+        self.budget = RetryBudget(earned, max_saved)
         # What the last word left this entry, and when it came.
         self.part = 0.0
-        self.told_s = float("-inf")
+        self.updated_s = float("-inf")
         self.buckets: deque[_Bucket] = deque()
 
 
@@ -78,7 +78,7 @@
 def note_request(shared: SharedBudget, service: str, now_s: float) -> None:
     """Count a client's request for a service."""
     known = _service(shared, service)
-    if now_s - known.told_s > UNTOLD_S:
+    if now_s - known.updated_s > REPORT_TIMEOUT_S:
         # A word counts the requests of all. Earned beside it, each let every entry go
         # on with one retry between two words, also when nothing was left.
         retries.note_request(known.budget)
@@ -110,7 +110,7 @@
 def _credit(known, has_begun):
     if has_begun is None:
         return 0.0
-    return 1.0 - LEAST_FOR_BEGUN if has_begun else -RESERVED_SHARE * known.part
+    return 1.0 - MIN_SAVED_FOR_BEGUN if has_begun else -RESERVED_SHARE * known.part
 
 
 def spent(shared: SharedBudget, now_s: float) -> tuple[Spent, ...]:
@@ -145,7 +145,7 @@
         left = SAFE_SHARE * allowed - own.retries - other.retries
         part = max(0.0, SPENDABLE_SHARE * left / shared.entries)
         known = shared.services[own.service]
-        known.part, known.told_s = part, now_s
+        known.part, known.updated_s = part, now_s
         budget = known.budget
         budget.saved = max(0.0, part - _spent_since(known, now_s - age_s))
         budget.max_saved = max(part, _even_part(shared))
--- a/libs/policy/src/cherryrudder/policy/shareholder.py
+++ b/libs/policy/src/cherryrudder/policy/shareholder.py
@@ -9,10 +9,10 @@
 import math
 
 from .limits import Share
-from .shares import NOTHING, RENEW_PART, Grant
+from .shares import NO_SHARE, RENEW_FRACTION, Grant
 
 # Between two asks for more: some round trips between data centres.
-MIN_ASK_S = 0.1
+MIN_REQUEST_INTERVAL_S = 0.1
 
 
 class ShareHolder:
@@ -23,7 +23,7 @@
         self.customer = customer
         self.lease_s = lease_s
         self.started_s = now_s
-        self.floor = NOTHING
+        self.floor = NO_SHARE
         self.grant: Grant | None = None
         self.asked_s = -math.inf
         self.expires_s = 0.0
@@ -44,7 +44,9 @@
     return share
 
 
-def take(holder: ShareHolder, grant: Grant, asked_s: float, now_s: float) -> None:
+def record_grant(
+    holder: ShareHolder, grant: Grant, asked_s: float, now_s: float
+) -> None:
     """Take in a grant that was asked for at `asked_s`.
 
     Its lease is counted from then, so that it ends here before it does there.
@@ -67,16 +69,16 @@
     """Tell whether it is time to ask again: for renewal, or for more."""
     waited_s = now_s - holder.asked_s
     if holder.grant is None:
-        return waited_s >= MIN_ASK_S
+        return waited_s >= MIN_REQUEST_INTERVAL_S
     # Customers without load renew as often as others: what they leave of their floor
     # is lent only until the last lease but one ends, as the last answer may be lost.
-    if waited_s >= RENEW_PART * holder.lease_s:
+    if waited_s >= RENEW_FRACTION * holder.lease_s:
         return True
     # A burst asks at once; at its renewal it would wait for up to a quarter lease with
     # the bound unused. The pause keeps a refused burst from asking at each request.
     share = holder.grant.share
     is_short = any(want > have for want, have in zip(demand, share, strict=True))
-    return is_short and waited_s >= MIN_ASK_S
+    return is_short and waited_s >= MIN_REQUEST_INTERVAL_S
 
 
 def received_from(holder: ShareHolder, allocator: str) -> int:
@@ -91,7 +93,7 @@
     # died, by an allocator that it can no longer name. After one lease time the loan
     # has ended; until then the entry is not ready and other entries serve.
     if now_s < holder.started_s + holder.lease_s:
-        return NOTHING
+        return NO_SHARE
     if holder.grant is not None and now_s < holder.expires_s:
         return holder.grant.share
     if holder.grant is None:
--- a/libs/policy/src/cherryrudder/policy/shares.py
+++ b/libs/policy/src/cherryrudder/policy/shares.py
@@ -22,21 +22,21 @@
 
 # Holders renew when a quarter of the lease has passed, so three renewals in a row can
 # be lost before a share lapses.
-RENEW_PART = 0.25
+RENEW_FRACTION = 0.25
 # An owner's lease must have this much left for others to borrow its floor; it bounds
 # from below how short the borrower's lease gets.
-LEND_PART = 0.25
+LEND_FRACTION = 0.25
 # An entry without load keeps this part of its floor, so that its next request starts at
 # once; over five entries it costs a lone busy entry 1.6% of the bound.
-IDLE_PART = 0.02
+IDLE_FRACTION = 0.02
 # Of what nobody demands, half is spread evenly, so that a burst finds something at any
 # entry. The other half stays unleased and goes whole to the first that asks for more;
 # what is spread out comes back with its holders' next renewals.
-SPREAD_PART = 0.5
-NOTHING = Share(0.0, 0.0, 0)
+SPREAD_FRACTION = 0.5
+NO_SHARE = Share(0.0, 0.0, 0)
 # A part of a slot would be lost when parts are rounded down to whole ones.
-SLOTS = Share._fields.index("concurrency")
-FIELDS = range(len(Share._fields))
+CONCURRENCY_INDEX = Share._fields.index("concurrency")
+FIELD_INDEXES = range(len(Share._fields))
 
 
 class Grant(NamedTuple):
@@ -59,27 +59,27 @@
     expires_s: float
 
 
-class Part:
+class EntryPart:
     """One entry's part of one customer's bound."""
 
     def __init__(self, now_s):
         self.leases: list[Lease] = []
-        self.demand = NOTHING
-        self.floor = NOTHING
+        self.demand = NO_SHARE
+        self.floor = NO_SHARE
         self.since_s = now_s
         # The largest share that it may be using until `expires_s`, and when it goes
         # back to its floor if it has missed the last answers.
-        self.held = NOTHING
+        self.held = NO_SHARE
         self.expires_s = now_s
         self.reverts_s = now_s
 
 
-class Others(NamedTuple):
+class OtherEntries(NamedTuple):
     """What the other entries hold; the part that is reserved isn't to be shared."""
 
     held: list[float]
     reserved: list[float]
-    lenders: list[Part]
+    lenders: list[EntryPart]
     loans_end_s: float
 
 
@@ -93,7 +93,7 @@
         self.entries: tuple[str, ...] = ()
         self.bounds: dict[str, Share] = {}
         self.floors: dict[str, dict[str, Share]] = {}
-        self.parts: dict[str, dict[str, Part]] = {}
+        self.parts: dict[str, dict[str, EntryPart]] = {}
         self.number = 0
 
 
@@ -105,7 +105,7 @@
     for parts in allocator.parts.values():
         for name in parts.keys() - set(allocator.entries):
             # Of an entry that was taken out only its leases still count.
-            parts[name].floor = NOTHING
+            parts[name].floor = NO_SHARE
 
 
 def set_bound(allocator: Allocator, customer: str, bound: Share) -> None:
@@ -118,7 +118,7 @@
     """Return an entry's floor; what whole slots leave over goes to the first ones."""
     names = sorted(entries)
     if entry not in names:
-        return NOTHING
+        return NO_SHARE
     count = len(names)
     slots, rest = divmod(bound.concurrency, count)
     slots += names.index(entry) < rest
@@ -143,7 +143,7 @@
     parts = allocator.parts.setdefault(customer, {})
     part = parts.get(entry)
     if part is None:
-        part = parts[entry] = Part(now_s)
+        part = parts[entry] = EntryPart(now_s)
     part.leases = [lease for lease in part.leases if lease.expires_s > now_s]
     # Without a live lease the entry is at its floor now, even if later grants, whose
     # answers were lost, are on record here: lending it would use it twice.
@@ -151,8 +151,8 @@
         part.since_s = now_s
     part.leases = [lease for lease in part.leases if lease.number >= received]
     part.demand = demand
-    part.floor = allocator.floors.get(customer, {}).get(entry, NOTHING)
-    _sum_up(part, now_s)
+    part.floor = allocator.floors.get(customer, {}).get(entry, NO_SHARE)
+    _update_totals(part, now_s)
     share, until_s = _decide(allocator, customer, parts, entry, now_s)
     # Running requests aren't cut, so their slots can't be given to another entry: it
     # would start its own, and the contract's concurrency be passed until these end.
@@ -160,7 +160,7 @@
     share = share._replace(concurrency=max(share.concurrency, kept))
     allocator.number += 1
     part.leases.append(Lease(allocator.number, share, until_s))
-    _sum_up(part, now_s)
+    _update_totals(part, now_s)
     return Grant(
         allocator.name,
         entry,
@@ -177,7 +177,7 @@
     left = max(0.0, pool)
     wanted = sum(demands)
     if wanted <= left:
-        spread = SPREAD_PART * (left - wanted) / len(demands)
+        spread = SPREAD_FRACTION * (left - wanted) / len(demands)
         return [demand + spread for demand in demands]
     parts = [0.0] * len(demands)
     order = sorted(range(len(demands)), key=demands.__getitem__)
@@ -191,21 +191,21 @@
     """Return the sum of the largest lease that each entry may be using."""
     parts = allocator.parts.get(customer, {}).values()
     live = [part.held for part in parts if part.expires_s > now_s]
-    return Share(*(sum(values) for values in zip(NOTHING, *live, strict=True)))
+    return Share(*(sum(values) for values in zip(NO_SHARE, *live, strict=True)))
 
 
 def _decide(allocator, customer, parts, entry, now_s):
     """Return the share and the end of an entry's next lease."""
-    bound = allocator.bounds.get(customer, NOTHING)
+    bound = allocator.bounds.get(customer, NO_SHARE)
     part = parts[entry]
     lease_ends_s = now_s + allocator.lease_s
     others = _others(allocator, customer, parts, entry, now_s)
-    available = [max(0, bound[field] - others.held[field]) for field in FIELDS]
+    available = [max(0, bound[field] - others.held[field]) for field in FIELD_INDEXES]
     # A new allocator doesn't know the leases of the one before it. Until those have
     # lapsed only floors are safe: two allocators would lend the same part twice.
     if now_s < allocator.started_s + allocator.lease_s:
         return Share(*map(min, part.floor, available)), lease_ends_s
-    fair = _fair(bound, others.reserved, [part, *others.lenders])
+    fair = _fair_share(bound, others.reserved, [part, *others.lenders])
     share = Share(*map(min, fair, available))
     if _exceeds(share, part.floor):
         return share, min(lease_ends_s, others.loans_end_s)
@@ -220,12 +220,12 @@
     for name in floors.keys() | parts.keys():
         if name == entry:
             continue
-        other = parts.get(name, NO_PART)
-        floor = floors.get(name, NOTHING)
+        other = parts.get(name, NO_ENTRY_PART)
+        floor = floors.get(name, NO_SHARE)
         if other.floor is not floor:
             floor = Share(*map(max, floor, other.floor))
-        using = other.held if other.expires_s > now_s else NOTHING
-        if _lends(allocator, other, now_s):
+        using = other.held if other.expires_s > now_s else NO_SHARE
+        if _may_lend(allocator, other, now_s):
             lenders.append(other)
             _add(held, using)
             if _exceeds(floor, using):
@@ -234,38 +234,38 @@
         most = Share(*map(max, using, floor))
         _add(held, most)
         _add(reserved, most)
-    return Others(held, reserved, lenders, loans_end_s)
+    return OtherEntries(held, reserved, lenders, loans_end_s)
 
 
 def _add(total, share):
-    for field in FIELDS:
+    for field in FIELD_INDEXES:
         total[field] += share[field]
 
 
-def _fair(bound, reserved, askers):
+def _fair_share(bound, reserved, askers):
     fair = []
-    for field in FIELDS:
-        idle = 0.0 if field == SLOTS else IDLE_PART
+    for field in FIELD_INDEXES:
+        idle = 0.0 if field == CONCURRENCY_INDEX else IDLE_FRACTION
         demands = [max(idle * one.floor[field], one.demand[field]) for one in askers]
         fair.append(max_min(demands, bound[field] - reserved[field])[0])
     return fair[0], fair[1], int(fair[2] + ROUNDING)
 
 
-def _lends(allocator, part, now_s):
+def _may_lend(allocator, part, now_s):
     """Tell whether others may use what a part's lease leaves of its floor."""
-    if part.reverts_s - now_s < LEND_PART * allocator.lease_s:
+    if part.reverts_s - now_s < LEND_FRACTION * allocator.lease_s:
         return False
     # An entry that came from another allocator may have lent its floor there, until
     # the lease that it held then has lapsed.
     return now_s >= part.since_s + allocator.lease_s
 
 
-def _sum_up(part, now_s):
-    part.held, part.expires_s, part.reverts_s = NOTHING, now_s, now_s
+def _update_totals(part, now_s):
+    part.held, part.expires_s, part.reverts_s = NO_SHARE, now_s, now_s
     if part.leases:
         shares = [lease.share for lease in part.leases]
         ends = [lease.expires_s for lease in part.leases]
-        part.held = Share(*map(max, NOTHING, *shares))
+        part.held = Share(*map(max, NO_SHARE, *shares))
         part.expires_s, part.reverts_s = max(ends), min(ends)
 
 
@@ -285,4 +285,4 @@
 
 
 # Stands for an entry that has never asked.
-NO_PART = Part(-math.inf)
+NO_ENTRY_PART = EntryPart(-math.inf)
--- a/libs/policy/src/cherryrudder/policy/waits.py
+++ b/libs/policy/src/cherryrudder/policy/waits.py
@@ -10,34 +10,36 @@
 from cherryrudder.model.contracts import Contract
 
 from . import fairqueue, limits, refusal
-from .fairqueue import Ahead, FairQueue, Waiting
+from .fairqueue import FairQueue, QueueAhead, QueuedRequest
 from .limits import Limits
 from .refusal import Drain, Wait
 
 # The parts of the longest wait by which less urgent and longer requests may be
 # overtaken. Together a half: the other half is what urgent and short ones may wait.
-PRIORITY_PART = 0.25
-SIZE_PART = 0.25
+PRIORITY_FRACTION = 0.25
+SIZE_FRACTION = 0.25
 
 
 def allowance_s(contract: Contract, priority: int, cost_tokens: float) -> float:
     """Return for how long after its arrival others may overtake a request."""
     level = min(max(priority, 0), contract.priorities - 1)
-    urgency_s = PRIORITY_PART * contract.max_wait_s * level / contract.priorities
+    urgency_s = PRIORITY_FRACTION * contract.max_wait_s * level / contract.priorities
     # A request that runs long loses little by a wait in proportion to its own length,
     # at the speed that the contract gives to one of its concurrent requests.
     run_s = cost_tokens * contract.concurrent_requests / contract.tokens_per_s
-    return urgency_s + min(SIZE_PART * contract.max_wait_s, run_s)
+    return urgency_s + min(SIZE_FRACTION * contract.max_wait_s, run_s)
 
 
-def budget_s(contract: Contract, request: Waiting, start_by_s, now_s) -> float:
+def wait_budget_s(
+    contract: Contract, request: QueuedRequest, start_by_s, now_s
+) -> float:
     """Return the longest wait with which a new request is let in.
 
     Urgent requests leave room within the longest wait for those that they overtake;
     if they filled it alone, less urgent ones would be let in only to expire.
     """
     allowed_s = request.order_s - request.arrived_s
-    room_s = (PRIORITY_PART + SIZE_PART) * contract.max_wait_s - allowed_s
+    room_s = (PRIORITY_FRACTION + SIZE_FRACTION) * contract.max_wait_s - allowed_s
     latest_s = request.arrived_s + contract.max_wait_s - room_s
     return min(start_by_s, latest_s) - now_s
 
@@ -46,12 +48,12 @@
     queue: FairQueue,
     own: Limits,
     drain: Drain,
-    request: Waiting,
-    ahead: Ahead,
+    request: QueuedRequest,
+    ahead: QueueAhead,
     now_s: float,
 ) -> Wait:
     """Return the wait of a request with that much ahead of it."""
-    run_s = refusal.hold_s(drain)
+    run_s = refusal.mean_run_s(drain)
     tokens = request.cost_tokens
     limit_s = limits.limit_wait_s(own, ahead.count, ahead.tokens, tokens, run_s, now_s)
     all_ahead = fairqueue.tokens_ahead(
--- a/libs/policy/test/builders.py
+++ b/libs/policy/test/builders.py
@@ -8,7 +8,7 @@
 from cherryrudder.policy.admission import Admission, Offer, set_contract
 from cherryrudder.policy.fleet import Fleet, update
 from cherryrudder.policy.limits import Share
-from cherryrudder.policy.shares import NOTHING
+from cherryrudder.policy.shares import NO_SHARE
 
 
 def a_contract(customer="petra", **changes):
@@ -45,7 +45,7 @@
         self.starts = 0
         self.allocators = [self.new_allocator(), self.new_allocator()]
         self.uses = dict.fromkeys(self.names, 0)
-        self.demand = dict.fromkeys(self.names, NOTHING)
+        self.demand = dict.fromkeys(self.names, NO_SHARE)
         self.lost = dict.fromkeys(self.names, 0.0)
         self.holders = {name: self.new_holder(name) for name in self.names}
 
@@ -102,7 +102,7 @@
         wanted = self.demand[name]
         grant = shares.ask(allocator, name, "petra", wanted, self.now_s, received)
         if self.rng.random() >= self.lost[name]:
-            shareholder.take(holder, grant, self.now_s, self.now_s)
+            shareholder.record_grant(holder, grant, self.now_s, self.now_s)
 
     def share(self, name):
         return shareholder.current(self.holders[name], self.now_s)
--- a/libs/policy/test/test_admission.py
+++ b/libs/policy/test/test_admission.py
@@ -49,10 +49,10 @@
         self.assertEqual(adm.offer(admission, an_offer("new"), 1.0).status, 403)
         adm.settle(admission, "r0.0-0", 80, 1.0)
         self.assertEqual(len(adm.release(admission, 1.0, yes)), 1)
-        self.assertFalse(adm.forget_contract(admission, "petra"))
+        self.assertFalse(adm.drop_contract(admission, "petra"))
         for request_id in list(admission.running):
             adm.settle(admission, request_id, 80, 2.0)
-        self.assertTrue(adm.forget_contract(admission, "petra"))
+        self.assertTrue(adm.drop_contract(admission, "petra"))
         self.assertEqual(dump_admission(admission)["customers"], {})
 
     def test_only_what_the_contract_names_is_let_in(self):
--- a/libs/policy/test/test_permits.py
+++ b/libs/policy/test/test_permits.py
@@ -72,9 +72,9 @@
                 issuer = Issuer(0.0)
                 grants = [permits.issue(issuer, "e", 1, per_s, t) for t in range(100)]
                 granted = sum(grant.permits for grant in grants)
-                self.assertEqual(granted, int(99 * permits.LEAST_PER_S))
+                self.assertEqual(granted, int(99 * permits.MIN_PER_S))
                 longest_s = max(grant.wait_s for grant in grants)
-                self.assertLessEqual(longest_s, 1.0 / permits.LEAST_PER_S)
+                self.assertLessEqual(longest_s, 1.0 / permits.MIN_PER_S)
 
     @settings(deadline=None, max_examples=60, derandomize=True)
     @given(
@@ -90,7 +90,7 @@
             now_s += pause_s
             one = permits.issue(issuer, str(sender), count, per_s, now_s)
             granted_s += [now_s] * one.permits
-        most = 1.0 + per_s * permits.SAVED_S
+        most = 1.0 + per_s * permits.BURST_S
         self.assertLessEqual(most_in_window(granted_s), per_s * WINDOW_S + most)
 
 
@@ -106,8 +106,8 @@
 
     def test_an_unused_permit_lapses(self):
         self.take(1, 0.0)
-        self.assertTrue(self.has_permit(permits.VALID_S / 2))
-        self.assertFalse(self.has_permit(permits.VALID_S))
+        self.assertTrue(self.has_permit(permits.PERMIT_LIFETIME_S / 2))
+        self.assertFalse(self.has_permit(permits.PERMIT_LIFETIME_S))
 
     def test_a_permit_is_used_once(self):
         self.take(1, 0.0)
@@ -126,7 +126,7 @@
     def test_a_lost_answer_is_not_waited_for_long(self):
         permits.note_ask(self.holder, 0.0)
         self.assertTrue(permits.is_pending(self.holder, 0.1))
-        self.assertFalse(permits.is_pending(self.holder, permits.PENDING_S))
+        self.assertFalse(permits.is_pending(self.holder, permits.ANSWER_TIMEOUT_S))
 
 
 if __name__ == "__main__":
