--- a/libs/policy/src/cherryrudder/policy/admission.py
+++ b/libs/policy/src/cherryrudder/policy/admission.py
@@ -1,13 +1,13 @@
-"""Admission of requests at one entry: limits, queue and refusal joined.
+"""Admission of requests at one entry: limits, queue and refusal combined.
 
-`offer` takes a request in, queues it or refuses it; `release` starts what waits when
-there is room, and gives up what cannot be served in time. Call `release` after each
-queued offer, each finished request, each change of credits, and some ten times a second
-besides; the rest follows from it.
+`offer` starts, queues or refuses a request. `release` starts queued requests when there
+is capacity, and gives up those that cannot be served in time. Call `release` after each
+queued offer, each finished request and each change of credits, and about ten times a
+second besides.
 
-Load pattern: all of those that `limits`, `fairqueue` and `refusal` answer, together.
-Without one place that joins them: a request is counted by one and forgotten by another
-when it is cancelled, given up or fails to be placed, and the counts drift apart.
+All admission state is updated here. If `limits`, `fairqueue` and `refusal` were updated
+separately, a request that is cancelled, given up or not placed could be counted by one
+and dropped by another, and their counts would diverge.
 """
 
 import heapq
@@ -22,14 +22,16 @@
 from .offers import Admitted, GaveUp, Offer, Queued, Running, Started
 from .refusal import Drain, RetrySchedule
 
-# Waits of queued requests are looked at again this often, which costs one pass over
-# the queue; a caller learns of a lost endpoint this much later at the most.
+# The waits of queued requests are estimated again this often, at the cost of one pass
+# over the queue. This is also the longest delay until a caller learns of a lost
+# endpoint.
 REVIEW_INTERVAL_S = 0.25
-# So many requests of a pass may let others go first; more would make the pass dear and
-# the order unfair.
+# The most requests of one pass that may be deferred. A higher limit would make a pass
+# expensive and the order unfair.
 MAX_SKIPPED = 8
-# A queued request is given up when its wait is clearly too long. Without the margin
-# the estimate's noise would throw out requests that were just let in.
+# A queued request is given up only if its estimated wait exceeds the remaining time by
+# this factor. Without the margin, noise in the estimate would evict requests that were
+# just admitted.
 REVIEW_MARGIN = 1.25
 
 __all__ = [
@@ -66,9 +68,9 @@
 
 
 def set_contract(admission, contract: Contract, share: float | Share, now_s) -> None:
-    """Put a contract in force, with this entry's share of it.
+    """Set a customer's contract and this entry's share of it.
 
-    A retired contract refuses new work; what was let in before runs to its end.
+    A retired contract refuses new requests; those already admitted run to their end.
     """
     if not isinstance(share, Share):
         share = limits.share_of(contract, share)
@@ -81,7 +83,7 @@
 
 
 def drop_contract(admission: Admission, customer: str) -> bool:
-    """Drop a retired contract's state; tell whether nothing of it runs or waits."""
+    """Drop a retired contract's state; return False while its requests run or wait."""
     own = admission.limits.get(customer)
     if own is None:
         return True
@@ -95,11 +97,11 @@
 
 
 def offer(admission: Admission, asked: Offer, now_s) -> Admitted | Queued | Refusal:
-    """Let a request in, queue it, or refuse it at once."""
+    """Start a request, queue it, or refuse it at once."""
     own = admission.limits.get(asked.customer)
     if own is None or own.contract.retired:
         return refusal.no_contract(asked.customer)
-    # Also keeps state from growing with every name that a caller makes up.
+    # This also keeps the state from growing with names that a caller makes up.
     if asked.model not in own.contract.models + own.contract.services:
         return refusal.not_covered(asked.model)
     if asked.deadline_s <= now_s:
@@ -116,9 +118,9 @@
 
 
 def put_back(admission: Admission, request_id: str, now_s) -> Queued | Refusal:
-    """Queue a started request that found no place, or has lost it and may run again.
+    """Queue a started request again that could not be placed or has to be retried.
 
-    Only the time that it has waited counts towards its longest wait.
+    Only the time that it has spent in the queue counts towards its longest wait.
     """
     running = admission.running.pop(request_id)
     own = admission.limits[running.offer.customer]
@@ -136,11 +138,12 @@
 def release(
     admission: Admission, now_s, can_place, should_defer=None
 ) -> list[Started | GaveUp]:
-    """Start what there is room for, give up what cannot be served in time.
+    """Start queued requests, and give up those that cannot be served in time.
 
-    `can_place(request_id) -> bool` places a request, or tells that its model has no
-    room now. `lets_pass(request_id, waited_s) -> bool` tells that a request should let
-    others go first to the room there is; if none of them will, it goes all the same.
+    `can_place(request_id) -> bool` places a request; False means that its model has no
+    capacity now. `should_defer(request_id, waited_s) -> bool` returns whether a request
+    should let others have the available capacity first. If none of them takes it, the
+    deferred requests are placed after all.
     """
     results = admission.given_up
     admission.given_up = []
@@ -148,7 +151,7 @@
         results.append(_give_up(admission, request, now_s))
     started, skipped = _start_waiting(admission, now_s, can_place, should_defer)
     if skipped:
-        # None of the others took the room: who let them go first takes it now.
+        # No other request took the capacity, so the deferred ones may have it.
         more, _ = _start_waiting(admission, now_s, can_place, None)
         started += more
     results += started
@@ -159,7 +162,7 @@
 
 
 def settle(admission: Admission, request_id, used_tokens: float, now_s) -> None:
-    """End a started request with the tokens that it used, prompt and answer."""
+    """End a started request; `used_tokens` counts prompt and answer."""
     running = admission.running.pop(request_id, None)
     if running is None:
         return
@@ -169,16 +172,16 @@
     fairqueue.adjust_start_tag(admission.queue, customer, used_tokens - tokens)
     drain = admission.drains[running.offer.model]
     refusal.note_finish(drain, tokens, now_s - running.started_s, now_s)
-    # A cancelled request was cut short, so its length says nothing about others'.
+    # A cancelled request ended early, so its length says nothing about others.
     if not running.is_cancelled:
         answer = max(0.0, used_tokens - running.offer.prompt_tokens)
         cost.learn(admission.costs, running.cost.key, answer)
 
 
 def cancel(admission: Admission, request_id: str, now_s) -> bool:
-    """Cancel a request; tell whether it still waited, and so has certainly not run.
+    """Cancel a request; return True if it was still queued, so did not run.
 
-    One that runs still has to be settled with what it used.
+    A running request still has to be settled with the tokens that it used.
     """
     if request_id in admission.offers:
         fairqueue.remove(admission.queue, request_id)
@@ -191,7 +194,7 @@
 
 
 def demand(admission: Admission, customer: str, now_s) -> Share:
-    """Return the share of its contract that a customer's load here asks for."""
+    """Return the share of its contract that a customer's load here needs."""
     flow = admission.queue.flows[customer]
     waiting = sum(flow.counts.values())
     tokens = sum(flow.tokens.values())
@@ -199,7 +202,7 @@
 
 
 def _may_start(admission, asked, own, estimated, now_s):
-    # With anyone waiting for the model the fair order decides, in `release`.
+    # If requests wait for the model, `release` decides in fair order.
     if asked.model in admission.queue.by_model:
         return False
     if asked.customer in admission.queue.active:
@@ -218,8 +221,8 @@
 
 def _enqueue(admission, asked, own, estimated, arrived_s, now_s):
     contract, tokens = own.contract, estimated.cost_tokens
-    # A request that starts at its deadline is answered too late: it must start while
-    # there is time to run it.
+    # A request that starts at its deadline is answered too late; it must start early
+    # enough to finish in time.
     start_by_s = asked.deadline_s - refusal.run_s(
         _drain(admission, asked.model), tokens
     )
@@ -275,8 +278,9 @@
 def _make_room(admission, request, now_s):
     if len(admission.queue.waiting) < admission.queue.max_queued:
         return True
-    # A full queue gives up the last request of whoever fills it. Refusing the newcomer
-    # would let one flooding customer shut all others out.
+    # A full queue evicts the last request of the customer with the largest backlog. If
+    # it refused the new request, one customer with excessive load could lock out all
+    # others.
     victim = fairqueue.last_of_longest(admission.queue)
     if victim is None or victim.customer == request.customer:
         return False
@@ -286,7 +290,7 @@
 
 
 def _give_up(admission, request, now_s):
-    """Return the final answer of a request that has left the queue unserved."""
+    """Return the final answer to a request that was removed from the queue unserved."""
     del admission.offers[request.request_id]
     own = admission.limits[request.customer]
     wait = _wait(admission, request, now_s)
@@ -345,8 +349,9 @@
     model_tokens = dict(admission.queue.flows[customer].tokens)
     in_time = set()
     given_up = []
-    # From the end: giving one up shortens no wait but those behind it, and the first
-    # of a model that will be served in time ends the search for that model.
+    # Go from the end of the queue: giving up a request shortens only the waits behind
+    # it. The first request of a model that will be served in time ends the search for
+    # that model.
     for count in range(len(requests) - 1, -1, -1):
         request = requests[count]
         tokens -= request.cost_tokens
--- a/libs/policy/src/cherryrudder/policy/admissionview.py
+++ b/libs/policy/src/cherryrudder/policy/admissionview.py
@@ -1,4 +1,4 @@
-"""What is waiting and running at an entry, as plain data."""
+"""Views of the requests that wait and run at an entry, as plain data."""
 
 from collections import Counter
 
@@ -7,7 +7,7 @@
 
 
 def queued_by_model(admission: Admission) -> Counter:
-    """Return how many requests wait for each model."""
+    """Return the number of queued requests for each model."""
     queued = Counter()
     for flow in admission.queue.flows.values():
         queued.update(flow.counts)
@@ -15,7 +15,7 @@
 
 
 def dump_admission(admission: Admission) -> dict:
-    """Return the state as plain data."""
+    """Return the state as plain data, for diagnostics."""
     customers = {}
     for name, own in admission.limits.items():
         flow = admission.queue.flows[name]
--- a/libs/policy/src/cherryrudder/policy/dispatch.py
+++ b/libs/policy/src/cherryrudder/policy/dispatch.py
@@ -1,13 +1,13 @@
-"""Admission, placement and retries joined: what an entry does with each request.
+"""Combine admission, placement and retries for the requests of one entry.
 
-Load pattern: requests end, fail, get lost and are cancelled while others wait for the
-room that they leave.
-Without it: the count of what is in flight is kept in several places, and one path that
-forgets to give a slot back (a failed retry, a silent endpoint) takes it away for good.
+Requests finish, fail, get lost and are cancelled while others wait for the capacity
+that they free. If the number in flight were counted in several places, one path that
+does not release a slot (a failed retry, a silent endpoint) would lose it for good. This
+module does all of that accounting.
 
-Each function returns effects, which the shell carries out in their order. A request
-ends in exactly one `Answer` or `Failed` from here, or in the `finished` or `cancel` of
-the shell.
+Each function returns a list of effects, which the caller carries out in order. Each
+request ends exactly once: by a refusal or a `Failed` returned from here, or by a call
+that reports it as finished or cancelled.
 """
 
 from typing import NamedTuple
@@ -24,7 +24,7 @@
 
 
 class Work(NamedTuple):
-    """A request and what placing it needs; a service's name if it is for a service."""
+    """A request and what its placement needs; `service` is empty for a model."""
 
     offer: Offer
     version: str = ""
@@ -42,14 +42,14 @@
 
 
 class Answer(NamedTuple):
-    """Answer a request that did not run."""
+    """Refuse a request that did not run."""
 
     request_id: str
     refusal: Refusal
 
 
 class Failed(NamedTuple):
-    """Answer a request that failed and isn't sent again."""
+    """Report the failure of a request that is not retried."""
 
     request_id: str
     outcome: Outcome
@@ -57,21 +57,21 @@
 
 
 class Silent(NamedTuple):
-    """An endpoint has fallen silent on a request: resume it, or call `failed`."""
+    """Report a silent endpoint: resume the request elsewhere, or report its failure."""
 
     request_id: str
     endpoint: str
 
 
 class Placed(NamedTuple):
-    """Where a request runs."""
+    """The endpoints that run a request, and its expected duration."""
 
     stages: tuple[str, ...]
     expected_s: float
 
 
 class Dispatcher:
-    """All that one entry knows of its requests."""
+    """The requests of one entry, with its admission, endpoints and retry budget."""
 
     def __init__(self, admission: Admission, fleet: Fleet):
         self.admission = admission
@@ -84,7 +84,7 @@
 
 
 def submit(dispatcher: Dispatcher, work: Work, now_s: float) -> list:
-    """Take in a request: send it, queue it or answer it."""
+    """Accept a new request: send, queue or refuse it."""
     request_id = work.offer.request_id
     dispatcher.works[request_id] = work
     retries.note_request(dispatcher.budget)
@@ -99,13 +99,14 @@
 def finished(
     dispatcher, request_id, used_tokens, duration_s, now_s: float, endpoint_time_s=None
 ) -> list:
-    """End a request that was answered whole.
+    """End a request that was answered completely.
 
-    `own_s(endpoint, tokens)` gives an endpoint's own part of the time, where it is
-    known; the whole time would blame every stage of a chain for its slowest one.
+    `endpoint_time_s(endpoint, tokens)` returns the endpoint's own part of the duration,
+    or 0 if it is unknown. Without it the whole duration counts for every stage, so each
+    stage of a chain would look as slow as the slowest one.
     """
-    # An answer may come after its request was cancelled or given up elsewhere. Counted
-    # again, it would give back a slot that another request holds by now.
+    # The answer may arrive after the request was cancelled or has ended otherwise.
+    # Counting it again would release a slot that another request now holds.
     if request_id not in dispatcher.placed:
         return []
     work = dispatcher.works[request_id]
@@ -130,9 +131,9 @@
     is_certain_not_run: bool,
     now_s: float,
 ) -> list:
-    """End an attempt that an endpoint failed: send the request again, or answer it."""
+    """End an attempt that failed: retry the request or report its failure."""
     placed = dispatcher.placed.get(request_id)
-    # Late news of an attempt that has been replaced must not end the one that runs.
+    # A late report about an attempt that was replaced must not end the current one.
     if placed is None or endpoint not in placed.stages:
         return []
     expected_s = _release_slots(dispatcher, request_id, endpoint, now_s)
@@ -153,7 +154,7 @@
             _fail(dispatcher, request_id, is_certain_not_run, verdict)
         return advance(dispatcher, now_s)
     adm.cancel(dispatcher.admission, request_id, now_s)
-    # What may have run is charged for its prompt at least.
+    # A request that may have run is charged for its prompt at least.
     used = 0 if is_certain_not_run else work.offer.prompt_tokens
     adm.settle(dispatcher.admission, request_id, used, now_s)
     _fail(dispatcher, request_id, is_certain_not_run, verdict)
@@ -161,7 +162,7 @@
 
 
 def cancel(dispatcher: Dispatcher, request_id, used_tokens, now_s: float) -> list:
-    """End a request whose caller has gone, with the tokens it has used so far."""
+    """End a request that its caller abandoned; `used_tokens` is its usage so far."""
     if request_id not in dispatcher.works:
         return []
     if not adm.cancel(dispatcher.admission, request_id, now_s):
@@ -174,10 +175,10 @@
 def replace_stage(
     dispatcher: Dispatcher, request_id: str, endpoint: str, now_s: float, avoid=()
 ) -> Announcement | None:
-    """Return an endpoint in place of one that a running request has lost.
+    """Return a replacement for an endpoint that a running request has lost.
 
-    Those to `avoid`, and the lost one itself, come only where nothing else has room:
-    they may have been started anew.
+    The lost endpoint and those in `avoid` are used only if no other one has capacity:
+    they may have been restarted.
     """
     lost = dispatcher.fleet.members.get(endpoint)
     work = dispatcher.works[request_id]
@@ -196,7 +197,7 @@
             break
     else:
         return None
-    # One that is to stop is relieved by plan; that is no fault of its own.
+    # An endpoint with a planned stop is replaced as planned, which is not its failure.
     release = placement.withdrawn if lost.is_leaving else placement.failed
     release(dispatcher.fleet, endpoint, now_s)
     placement.began(dispatcher.fleet, found.endpoint, now_s)
@@ -208,7 +209,7 @@
 
 
 def advance(dispatcher: Dispatcher, now_s: float) -> list:
-    """Start what there is room for; call it when credits or shares have changed."""
+    """Start waiting requests; call it whenever credits or shares have changed."""
 
     def place(request_id):
         return _place(dispatcher, request_id, now_s)
@@ -225,7 +226,7 @@
 
 
 def tick(dispatcher: Dispatcher, now_s: float) -> list:
-    """Look for silent endpoints and expired requests; call it ten times a second."""
+    """Check for silent endpoints and expired requests; call it ten times a second."""
     silent = set(placement.review(dispatcher.fleet, now_s))
     if silent:
         for request_id, placed in dispatcher.placed.items():
@@ -235,7 +236,7 @@
 
 
 def dump(dispatcher: Dispatcher, now_s: float) -> dict:
-    """Return the state as plain data."""
+    """Return the state as plain data, for diagnostics."""
     return {
         "admission": dump_admission(dispatcher.admission),
         "endpoints": placement.dump(dispatcher.fleet, now_s),
@@ -258,8 +259,9 @@
 def _choose(dispatcher, need, service, now_s):
     chain = _choose_once(dispatcher, need, service, now_s)
     if chain is None and need.exclude:
-        # All that can serve it have failed it once, as the only endpoint of a service
-        # has after a lost connection: another try there beats waiting for others.
+        # Every endpoint that can serve the request has failed it once, for example the
+        # only endpoint of a service after a lost connection. Trying it again is better
+        # than waiting for others.
         need = need._replace(exclude=frozenset())
         return _choose_once(dispatcher, need, service, now_s)
     return chain
@@ -301,7 +303,7 @@
 
 
 def _release_slots(dispatcher, request_id, endpoint, now_s):
-    """Give the slots back, blame the endpoint that failed; return the expected time."""
+    """Release a request's slots, record a failed endpoint; return the expected time."""
     placed = dispatcher.placed.pop(request_id)
     for name in placed.stages:
         if name == endpoint:
--- a/libs/policy/src/cherryrudder/policy/fairqueue.py
+++ b/libs/policy/src/cherryrudder/policy/fairqueue.py
@@ -1,19 +1,18 @@
 """The queue of an entry: bounded, weighted fair by customer, ordered within a customer.
 
-Load pattern: one customer floods the platform with fifty times its share while nine
-others keep to theirs; within a customer, long jobs come among short ones and urgent
-requests among a batch.
-Without it: first come, first served gives the flooding customer its part of the
-arrivals instead of its part of the contracts, and a short request waits for every long
-one that came before it.
+One customer may send fifty times its share while nine others stay within theirs; within
+a customer, long jobs arrive among short ones and urgent requests among a batch. First
+come, first served would give the customer with excessive load its part of the arrivals
+instead of its part of the contracts, and a short request would wait for every long one
+that arrived before it.
 
-Fairness is start-time fair queueing on estimated tokens, settled to the true count
-at the end; a customer's weight is its contract's token rate. The queue is one lane per
-customer and model, so that a model without a free engine holds up no other model.
+Fairness is start-time fair queueing on estimated tokens, corrected to the true count at
+the end; a customer's weight is its contract's token rate. There is one lane per
+customer and model, so that a model without a free engine does not block other models.
 
 Within a customer, requests are ordered by arrival time plus an allowance. Less urgent
-and longer requests get a larger one; because it is bounded, each request is overtaken
-only by those that arrive within its allowance, and none starves.
+and longer requests get a larger one. As it is bounded, each request is overtaken only
+by those that arrive within its allowance, and none starves.
 """
 
 import heapq
@@ -22,7 +21,7 @@
 
 
 class QueuedRequest(NamedTuple):
-    """A request that waits; `order_s` places it within its customer's lane."""
+    """A queued request; `order_s` is its position in its customer's lane."""
 
     request_id: str
     customer: str
@@ -35,7 +34,7 @@
 
 
 class QueueAhead(NamedTuple):
-    """What goes before a request: of all its customer's, and those of its model."""
+    """What precedes a request in its customer's queue; `model_tokens` in its lane."""
 
     count: int
     tokens: float
@@ -48,7 +47,7 @@
     def __init__(self, weight):
         self.weight = weight
         self.start_tag = 0.0
-        # The customer waits for its own limit and not for the platform.
+        # The customer waits for its own limit, not for the platform.
         self.is_limited = False
         self.lanes: dict[str, list] = {}
         self.counts: dict[str, int] = {}
@@ -56,14 +55,14 @@
 
 
 class FairQueue:
-    """All requests that wait at one entry."""
+    """All requests that are queued at one entry."""
 
     def __init__(self, max_queued):
         self.max_queued = max_queued
         self.waiting: dict[str, QueuedRequest] = {}
         self.flows: dict[str, Flow] = {}
         self.active: set[str] = set()
-        # For each model that is waited for, the customers that wait for it.
+        # Customers with queued requests, by model.
         self.by_model: dict[str, dict[str, Flow]] = {}
         self.expiries: list[tuple[float, int, str]] = []
         self.virtual_time = 0.0
@@ -71,7 +70,7 @@
 
 
 def set_weight(queue: FairQueue, customer: str, weight: float) -> None:
-    """Add a customer, or change its weight."""
+    """Set a customer's weight; a new customer is added."""
     flow = queue.flows.get(customer)
     if flow is None:
         queue.flows[customer] = Flow(weight)
@@ -80,7 +79,7 @@
 
 
 def remove_customer(queue: FairQueue, customer: str) -> None:
-    """Forget a customer of whom nothing waits."""
+    """Remove a customer without queued requests."""
     queue.flows.pop(customer, None)
 
 
@@ -91,11 +90,11 @@
 
 
 def push(queue: FairQueue, request: QueuedRequest) -> None:
-    """Add a request; the caller has made room for it."""
+    """Add a request; the caller ensures that the queue has room."""
     flow = queue.flows[request.customer]
     if request.customer not in queue.active:
-        # An idle customer saves up no turns: without this one that was quiet all night
-        # would hold the platform alone until it had used them up.
+        # An idle customer does not save up turns. Otherwise a customer that was idle
+        # all night could occupy the platform alone until it had used them up.
         flow.start_tag = max(flow.start_tag, queue.virtual_time)
         queue.active.add(request.customer)
     model = request.model
@@ -110,7 +109,7 @@
 
 
 def remove(queue: FairQueue, request_id: str) -> QueuedRequest | None:
-    """Take a request out; its heap entries are skipped when they come up."""
+    """Remove a request; its heap entries are skipped when they are reached."""
     request = queue.waiting.pop(request_id, None)
     if request is None:
         return None
@@ -132,7 +131,7 @@
 def head(queue, customer, blocked: set[str], skipped: set[str]) -> QueuedRequest | None:
     """Return the customer's first request for a model that is not blocked.
 
-    Skipped requests are passed over; they keep their turn.
+    Requests in `skipped` are passed over and keep their position.
     """
     flow = queue.flows[customer]
     best = None
@@ -150,10 +149,10 @@
 
 
 def charge_start(queue: FairQueue, customer: str, cost_tokens: float) -> None:
-    """Move a customer's tag on for a request that starts."""
+    """Advance a customer's tag for a request that starts."""
     flow = queue.flows[customer]
     if flow.is_limited or customer not in queue.active:
-        # Time spent behind its own limit earns a customer no turns either.
+        # Time spent waiting for its own limit earns a customer no turns either.
         flow.start_tag = max(flow.start_tag, queue.virtual_time)
         flow.is_limited = False
     queue.virtual_time = max(queue.virtual_time, flow.start_tag)
@@ -161,14 +160,14 @@
 
 
 def adjust_start_tag(queue: FairQueue, customer: str, difference_tokens: float) -> None:
-    """Charge (or, below zero, give back) what the estimate missed."""
+    """Charge (or, if negative, refund) the error of the estimate."""
     flow = queue.flows.get(customer)
     if flow is not None:
         flow.start_tag += difference_tokens / flow.weight
 
 
 def take_expired(queue: FairQueue, now_s: float) -> list[QueuedRequest]:
-    """Take out every request whose time is over."""
+    """Remove and return all expired requests."""
     expired = []
     while queue.expiries and queue.expiries[0][0] <= now_s:
         entry = heapq.heappop(queue.expiries)
@@ -185,7 +184,7 @@
 
 
 def count_ahead(queue: FairQueue, request: QueuedRequest) -> QueueAhead:
-    """Return what goes before a request of its own customer's."""
+    """Return what precedes a request in its own customer's queue."""
     count, tokens, model_tokens = 0, 0.0, 0.0
     for model, lane in queue.flows[request.customer].lanes.items():
         for entry in lane:
@@ -202,8 +201,8 @@
 def tokens_ahead(queue: FairQueue, customer, model, own_tokens: float) -> float:
     """Return the tokens that start before a request with `own_tokens` before it.
 
-    By start-time fair queueing these are the customer's own, and of each other customer
-    what its tag lets through before the tag that this request will have.
+    By start-time fair queueing these are the customer's own tokens, and of each other
+    customer what its tag admits before the tag that this request will have.
     """
     flow = queue.flows[customer]
     tag = flow.start_tag
--- a/libs/policy/src/cherryrudder/policy/fleet.py
+++ b/libs/policy/src/cherryrudder/policy/fleet.py
@@ -1,13 +1,13 @@
-"""The endpoints as one entry knows them: where they are, what they may take, how fast.
+"""The endpoints that an entry may send to: place, capacity and speed.
 
-Load pattern: a thousand endpoints announce themselves, some hundred requests a second
-each need a chain of them, and their load reports lag by seconds.
-Without it: each choice would scan every endpoint, and rest on what they reported some
-seconds ago. What the entry itself has sent is known at once, so work in flight, speeds
-and failures are counted here, and credits say what the others leave.
+A thousand endpoints announce themselves, a few hundred requests a second each need a
+chain of them, and load reports lag by seconds. Scanning every endpoint for each choice
+would be too slow, and the reports would be stale. An entry knows at once what it has
+sent itself. So requests in flight, speeds and failures are counted here, and credits
+limit what each entry may send beside the others.
 
-Endpoints that can take a request are kept in one list for each layer range and data
-centre, so that a choice looks at a few of them whatever their number.
+Endpoints that can accept a request are kept in one list for each layer range and data
+centre. A choice looks at a few of them, however many there are.
 """
 
 import random
@@ -19,25 +19,25 @@
 from .ejection import Health, KindHealth, Peer
 from .links import Links
 
-# Each kind is looked at twice a second for slow and silent endpoints: a fraction of the
-# shortest silence that counts as a fault.
+# Interval of the checks for slow and silent endpoints; a fraction of the shortest
+# silence that counts as a fault.
 REVIEW_INTERVAL_S = 0.5
 # An endpoint that fails half of its requests counts as three times slower.
 FAILURE_WEIGHT = 4.0
-# An endpoint that announces no speed is taken for one of average speed.
+# Seconds per token of an endpoint that announces no speed: an average one.
 DEFAULT_TOKEN_S = 0.02
 SEQUENCE_INDEX = Announcement._fields.index("sequence")
 
 
 class Member:
-    """One endpoint and what this entry knows of it."""
+    """One endpoint and what this entry has recorded about it."""
 
     def __init__(self, announcement, group, kind, now_s):
         self.announcement = announcement
         self.group = group
         self.kind = kind
-        # Its expected seconds per token with one request more, for short and for long
-        # answers; kept up to date so that a choice only compares.
+        # Expected seconds per token with one more request, for short and for long
+        # answers. Kept up to date so that a choice only compares.
         self.cost_s = (0.0, 0.0)
         self.credits = announcement.slots
         self.credits_number = 0
@@ -49,7 +49,7 @@
 
 
 class OpenList:
-    """Members that can take a request; adding, removing and sampling cost the same."""
+    """Members that can accept a request; add, remove and sample in constant time."""
 
     def __init__(self):
         self.members: list[Member] = []
@@ -57,7 +57,7 @@
 
 
 class Group:
-    """All endpoints that do the same: hold one layer range, or offer one service."""
+    """Endpoints with the same function: one layer range, or one service."""
 
     def __init__(self, key, first_layer=0, end_layer=0):
         self.key = key
@@ -66,12 +66,12 @@
         self.members: dict[str, Member] = {}
         self.open: dict[str, OpenList] = {}
         self.in_flight = 0
-        # The ranking by prefix slot; emptied when an endpoint comes or goes.
+        # Rankings by prefix hash slot; cleared when an endpoint joins or leaves.
         self.ranked: dict[int, tuple[str, ...]] = {}
 
 
 class LayerMap:
-    """The groups of one model version, by the layer at which they start."""
+    """The groups of one model version, by their first layer."""
 
     def __init__(self):
         self.layers = 0
@@ -87,13 +87,14 @@
 
 
 class Fleet:
-    """All endpoints that an entry may send to; `home` is where the entry runs."""
+    """All endpoints that an entry may send to; `home` is the entry's own place."""
 
     def __init__(self, rng: random.Random, home: Place | None = None):
         self.rng = rng
         self.home = home
         self.links = Links()
-        # What the engines' events tell, and what this entry has sent them.
+        # Prefixes cached according to the engines' events, and those that this entry
+        # has sent.
         self.caches = affinity.CacheView()
         self.sent = affinity.CacheView(affinity.MAX_SENT)
         self.members: dict[str, Member] = {}
@@ -105,7 +106,7 @@
 
 
 def update(fleet: Fleet, announcements: Iterable[Announcement], now_s: float) -> None:
-    """Replace the endpoints by those that are announced now."""
+    """Replace the known endpoints by those that are announced now."""
     seen = set()
     for announcement in announcements:
         if announcement.kind == Kind.ENTRY:
@@ -121,7 +122,7 @@
 
 
 def set_stops(fleet: Fleet, stops: Iterable[Stop], now_s: float) -> None:
-    """Put the planned stops in force."""
+    """Set the planned stops and update which endpoints are leaving."""
     fleet.stops = tuple(stops)
     for member in fleet.members.values():
         _update_leaving(fleet, member)
@@ -129,7 +130,7 @@
 
 
 def set_credits(fleet: Fleet, given: credits.Credits, now_s: float) -> None:
-    """Take in an endpoint's credits; an older number than the last is ignored."""
+    """Set an endpoint's credits, unless a newer number has been received."""
     member = fleet.members.get(given.endpoint)
     if member is not None and given.number > member.credits_number:
         member.credits_number = given.number
@@ -138,21 +139,22 @@
 
 
 def cut_off(fleet: Fleet, endpoint: str, now_s: float) -> None:
-    """Take an endpoint's credits away until it gives some again; its link broke.
+    """Set an endpoint's credits to zero until its next grant, after its link broke.
 
-    A dead endpoint stays announced for a lease. A chain that lost its stage would be
-    sent to the dead ones in turn, and be given up before one that lives has come back.
+    A dead endpoint stays announced until its lease expires. Without this, a chain that
+    lost a stage would be sent to each dead endpoint in turn, and would be given up
+    before a live one has freed a slot.
     """
     member = fleet.members.get(endpoint)
     if member is not None:
         member.credits = 0
-        # From here on its credits are what it grants, not the slots that it announces.
+        # From now on the credits are what the endpoint grants, not its announced slots.
         member.credits_number = max(1, member.credits_number)
         refresh(member, now_s)
 
 
 def began(fleet: Fleet, endpoint: str, now_s: float) -> None:
-    """Count a request that is sent to an endpoint."""
+    """Record that a request was sent to an endpoint."""
     member = fleet.members.get(endpoint)
     if member is None:
         return
@@ -164,14 +166,14 @@
 
 
 def progressed(fleet: Fleet, endpoint: str, now_s: float) -> None:
-    """Note that an endpoint has answered part of a request."""
+    """Record that an endpoint has answered part of a request."""
     member = fleet.members.get(endpoint)
     if member is not None:
         ejection.note_signal(member.health, member.kind.health, now_s)
 
 
 def ended(fleet, endpoint: str, tokens, duration_s: float, now_s: float) -> None:
-    """Count a request that an endpoint has answered, with its own time for it."""
+    """Record that an endpoint answered a request in `duration_s` of its own time."""
     member = fleet.members.get(endpoint)
     if member is None:
         return
@@ -182,7 +184,7 @@
 
 
 def failed(fleet: Fleet, endpoint: str, now_s: float) -> None:
-    """Count a request that an endpoint has failed."""
+    """Record that an endpoint failed a request."""
     member = fleet.members.get(endpoint)
     if member is None:
         return
@@ -192,16 +194,16 @@
 
 
 def withdrawn(fleet: Fleet, endpoint: str, now_s: float) -> None:
-    """Count a request that was cancelled, or failed by no fault of this endpoint."""
+    """Record a request that was cancelled, or did not fail because of this endpoint."""
     member = fleet.members.get(endpoint)
     if member is not None:
         _release_slot(fleet, member, now_s)
 
 
 def review(fleet: Fleet, now_s: float) -> list[str]:
-    """Eject slow, failing and silent endpoints; return those ejected now.
+    """Eject slow, failing and silent endpoints; return the newly ejected ones.
 
-    Their requests in flight are lost if they are silent: resume them elsewhere.
+    Requests in flight at a silent endpoint are lost and should be resumed elsewhere.
     """
     if now_s < fleet.review_due_s:
         return []
@@ -213,7 +215,7 @@
 
 
 def refresh(member: Member, now_s: float) -> None:
-    """Bring a member's cost and its place in its group's open list up to date."""
+    """Update a member's cost and whether it is in its group's open list."""
     member.cost_s = (_token_cost_s(member, 0), _token_cost_s(member, 1))
     centre = member.announcement.place.data_centre
     lists = member.group.open
@@ -260,7 +262,7 @@
         peers.append(Peer(name, member.health, member.in_flight))
     ejected = ejection.review(kind.health, peers, now_s)
     for member in kind.members.values():
-        # Also the way back: an ejection that has run out opens the endpoint to a probe.
+        # An ejection that has expired opens the endpoint again, for a probe.
         if ejection.is_probing(member.health):
             refresh(member, now_s)
     return ejected
@@ -268,8 +270,8 @@
 
 def _register(fleet, announcement, known, now_s):
     if known is not None and not _is_same_job(known.announcement, announcement):
-        # Another process or another job: what was in flight before is lost, and what
-        # was learned doesn't hold.
+        # Another process or another job: requests in flight are lost, and the recorded
+        # speeds and failures no longer apply.
         _unregister(fleet, known, now_s)
         fleet.members.pop(announcement.endpoint, None)
         _drop_caches(fleet, announcement.endpoint)
@@ -343,7 +345,7 @@
 
 
 def group_key(announcement: Announcement) -> tuple:
-    """Return the key of the endpoints that do the same as this one."""
+    """Return the key of the endpoints with the same function as this one."""
     if announcement.kind == Kind.SERVICE:
         return ("service", announcement.service)
     return (
@@ -355,7 +357,7 @@
 
 
 def _is_unchanged(announcement, other):
-    # All but the sequence number, which changes with each renewal of the lease.
+    # Compare all fields but the sequence number, which changes with each lease renewal.
     return announcement is other or (
         announcement[:SEQUENCE_INDEX] == other[:SEQUENCE_INDEX]
         and announcement[SEQUENCE_INDEX + 1 :] == other[SEQUENCE_INDEX + 1 :]
--- a/libs/policy/src/cherryrudder/policy/fleetdump.py
+++ b/libs/policy/src/cherryrudder/policy/fleetdump.py
@@ -1,11 +1,11 @@
-"""What an entry knows of its endpoints, as plain data for the dump."""
+"""The recorded state of an entry's endpoints, as plain data for diagnostics."""
 
 from . import ejection
 from .fleet import Fleet
 
 
 def dump(fleet: Fleet, now_s: float) -> dict:
-    """Return the state as plain data."""
+    """Return the state of each endpoint as plain data."""
     return {
         name: {
             "in_flight": member.in_flight,
--- a/libs/policy/src/cherryrudder/policy/offers.py
+++ b/libs/policy/src/cherryrudder/policy/offers.py
@@ -1,4 +1,4 @@
-"""What is asked of admission, and what it answers."""
+"""Requests that are offered to admission, and the results of an offer."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Offer(NamedTuple):
-    """A request that asks to be let in; priority 0 is the most urgent."""
+    """A request to be admitted; priority 0 is the most urgent."""
 
     request_id: str
     customer: str
@@ -26,27 +26,27 @@
 
 
 class Queued(NamedTuple):
-    """The request waits; `release` tells when it starts or is given up."""
+    """The request waits; `release` later starts it or gives it up."""
 
     wait_s: float
 
 
 class Started(NamedTuple):
-    """A queued request that `can_place` has placed."""
+    """A queued request that has been placed."""
 
     request_id: str
     waited_s: float
 
 
 class GaveUp(NamedTuple):
-    """A queued request that is given up; it did not run."""
+    """A queued request that was given up and did not run."""
 
     request_id: str
     refusal: Refusal
 
 
 class Running(NamedTuple):
-    """A started request; kept until it is settled."""
+    """A started request, kept until it is settled."""
 
     offer: Offer
     cost: Estimate
--- a/libs/policy/src/cherryrudder/policy/placement.py
+++ b/libs/policy/src/cherryrudder/policy/placement.py
@@ -1,16 +1,17 @@
-"""Where a request is sent: a chain of endpoints that holds every layer exactly once.
-
-Load pattern: accelerators of several speeds, joined by unequal links, under load that
-changes within seconds.
-Without it: a round robin gives the slowest accelerator as much as the fastest, so that
-every chain runs at the pace of the slowest, and it crosses slow links at random.
-
-Among endpoints with credits a chain is chosen by its expected time per token: its
-slowest stage, at its speed and with what this entry has in flight there, plus its
-links. Endpoints that likely hold the prompt's prefix count as faster, within a bound on
-their load. Of the open endpoints of each range and data centre only a few are drawn
-(power of k choices), so the cost hardly grows with their number, and entries that
-decide at the same moment don't all choose the same one.
+"""Choice of the endpoints for a request: a chain that holds every layer exactly once.
+
+Accelerators differ in speed, links differ in latency, and the load changes within
+seconds. A round robin would give the slowest accelerator as many requests as the
+fastest, so that every chain runs at the pace of the slowest, and would cross slow links
+at random.
+
+Among endpoints with credits the chain with the lowest expected time per token is
+chosen. That time is the time of its slowest stage, given its speed and this entry's
+requests in flight there, plus the time of its links. Endpoints that probably hold the
+prompt's prefix count as faster while their load is within a bound. Only a few open
+endpoints of each range and data centre are sampled (power of k choices). So the cost
+hardly grows with their number, and entries that choose at the same moment do not all
+choose the same endpoint.
 """
 
 import math
@@ -63,25 +64,25 @@
     "withdrawn",
 ]
 
-# Up to so many open endpoints of a range and data centre are all looked at: the users'
-# forty engines in three data centres.
+# Up to this many open endpoints of a range and data centre are all compared. It covers
+# the users' forty engines in three data centres.
 FULL_SCAN_MAX = 16
-# Of more than that so many are drawn. Two already avoid the worst choice; four find the
-# best of four kinds of accelerator in most draws.
+# Size of the sample if there are more. Two already avoid the worst choice; four find
+# the best of four kinds of accelerator in most samples.
 SAMPLE_SIZE = 4
-# Partial chains kept at each layer boundary; more than the data centres near the entry
-# have changed no choice in trials.
+# Partial chains kept at each layer boundary. More than the number of data centres near
+# the entry changed no choice in trials.
 BEAM_WIDTH = 3
-# A cached prefix saves its prefill, about this part of a short answer's time.
+# A cached prefix saves its prefill, about this fraction of a short answer's time.
 PREFIX_SAVED_FRACTION = 0.3
-# A fleet with at most this part of its endpoints open is nearly full.
+# A fleet is nearly full with at most this fraction of its endpoints open.
 NEARLY_FULL_FRACTION = 0.1
-# How long a request lets others go first: about the time of the prefill that it saves.
+# How long a request may be deferred: about the time of the prefill that it saves.
 MAX_DEFER_S = 0.5
 
 
 class Need(NamedTuple):
-    """What a request needs; `tokens` is its expected answer."""
+    """The requirements of a request; `tokens` is the expected length of its answer."""
 
     model: str
     version: str = ""
@@ -91,14 +92,14 @@
 
 
 class Chain(NamedTuple):
-    """The endpoints in the order of their layers, and the expected time in all."""
+    """Endpoints in the order of their layers, and the expected total time."""
 
     stages: tuple[Announcement, ...]
     expected_s: float
 
 
 class Candidate(NamedTuple):
-    """An endpoint that may be the next stage."""
+    """An endpoint that may be the next stage, and its cost per token."""
 
     member: Member
     cost_s: float
@@ -114,12 +115,12 @@
 
     @property
     def cost_s(self) -> float:
-        """Return the time per token."""
+        """Return the seconds per token."""
         return self.slowest_s + self.links_s
 
 
 def choose_chain(fleet: Fleet, need: Need, now_s: float) -> Chain | None:
-    """Return the best chain that has credits, or None; an empty version is any one."""
+    """Return the best chain that has credits, or None; an empty version matches any."""
     best = None
     for (model, version), layer_map in fleet.models.items():
         if model != need.model or need.version not in ("", version):
@@ -136,11 +137,12 @@
 def should_defer_for_prefix(
     fleet: Fleet, need: Need, chain: Chain, waited_s, now_s
 ) -> bool:
-    """Tell whether a request should let others go first to the one endpoint with room.
+    """Return whether a request should let others have the one endpoint with capacity.
 
-    When the fleet is nearly full, each request would go to whichever endpoint frees a
-    slot, and be computed anew there; the fleet would lose the speed that its caches
-    gave it, and stay full. Of those that wait, one whose prefix is there goes instead.
+    When the fleet is nearly full, each request would be sent to whichever endpoint
+    frees a slot, and its prefix would be computed again there. The fleet would lose the
+    speed-up of its caches, and stay full. A waiting request whose prefix is cached
+    there goes first.
     """
     if not need.prefix or waited_s >= MAX_DEFER_S:
         return False
@@ -154,7 +156,7 @@
 
 
 def note_sent(fleet: Fleet, chain: Chain, prefix: str) -> None:
-    """Remember that a chain will hold a prefix."""
+    """Record that the endpoints of a chain will hold a prefix."""
     for stage in chain.stages:
         affinity.note_stored(fleet.sent, stage.endpoint, prefix)
 
@@ -162,7 +164,7 @@
 def choose_stage(
     fleet: Fleet, need: Need, first_layer: int, end_layer: int, now_s: float
 ) -> Announcement | None:
-    """Return an endpoint for a range that a chain has lost."""
+    """Return an endpoint for a layer range that a chain has lost, or None."""
     key = (need.model, need.version, first_layer, end_layer)
     return _best_of_group(fleet, fleet.groups.get(key), need, now_s)
 
@@ -170,7 +172,7 @@
 def choose_service(
     fleet: Fleet, service: str, exclude: Iterable[str], now_s: float
 ) -> Announcement | None:
-    """Return an endpoint of a plain service."""
+    """Return an endpoint of a plain service, or None."""
     need = Need(service, exclude=frozenset(exclude))
     group = fleet.groups.get(("service", service))
     return _best_of_group(fleet, group, need, now_s)
@@ -180,7 +182,7 @@
     beams = {0: [PartialChain(0.0, 0.0, fleet.home, ())]}
     finished = []
     while beams:
-        # Every range ends past its start, so the lowest boundary is complete.
+        # Every range ends after its first layer, so the lowest boundary is complete.
         boundary = min(beams)
         partials = sorted(beams.pop(boundary), key=_cost)[:BEAM_WIDTH]
         if boundary == layer_map.layers:
@@ -197,7 +199,7 @@
                 beams.setdefault(group.end_layer, []).extend(grown)
     if not finished:
         return None
-    # The last stage hands its tokens to the entry: one more hop.
+    # The last stage sends its tokens to the entry: one more hop.
     closed = [
         partial._replace(
             links_s=partial.links_s + links.hop_s(fleet.links, partial.end, fleet.home)
@@ -236,9 +238,9 @@
 
 
 def _candidates(fleet: Fleet, group: Group, need: Need, now_s) -> list[Candidate]:
-    """Return the best of some open endpoints in each data centre, and the caching ones.
+    """Return the best sampled endpoint of each data centre, and those with the prefix.
 
-    Within a data centre links cost the same, so its cheapest endpoint stands for it.
+    Links within a data centre cost the same, so its cheapest endpoint represents it.
     """
     found = []
     size = ejection.size_class(need.tokens)
@@ -269,17 +271,17 @@
     kept = [m for m in sampled if m.announcement.endpoint not in exclude]
     if kept or count <= FULL_SCAN_MAX:
         return kept
-    # All that were drawn are excluded: only a full look can tell that none is left.
+    # All sampled endpoints are excluded; only a full scan can find one that is not.
     return [m for m in members if m.announcement.endpoint not in exclude]
 
 
 def _cache_candidates(fleet, group, need, now_s):
     holders = affinity.holders_of(fleet.caches, need.prefix)
-    # A hot prefix is held by many; the endpoints that were drawn stand for those.
+    # A popular prefix is held by many endpoints, and the sampled ones represent those.
     names = [name for name in islice(holders, SAMPLE_SIZE) if name in group.members]
     for name in _ranked(group, need.prefix):
-        # The second choice is for what is above the bound of the first: spread over
-        # both from the start, the prefix would be computed and kept twice.
+        # The second choice takes only the load above the first one's bound. If both
+        # were used from the start, the prefix would be computed and cached twice.
         if _accepts(group, name, need, now_s):
             names.append(name)
             break
--- a/libs/policy/src/cherryrudder/policy/sharebook.py
+++ b/libs/policy/src/cherryrudder/policy/sharebook.py
@@ -1,9 +1,9 @@
-"""All customers' shares at one entry: which to ask for, and putting them in force.
+"""The shares of all customers at one entry: when to request and how to apply them.
 
-Load pattern: hundreds of customers, of whom a few are busy at any moment; shares change
-by a grant, by a new contract, by another set of entries or by a lapsed lease.
-Without it: one of these is missed, and a customer is held to an old share. An entry
-that asks only for its busy customers keeps the floors of the others from being lent.
+Of hundreds of customers a few are busy at any moment, and their shares change with a
+grant, a new contract, a new set of entries or an expired lease. If one of these were
+missed, a customer would be held to an old share. If an entry sent requests only for its
+busy customers, the floors of the others could not be lent.
 """
 
 from collections.abc import Iterable
@@ -19,9 +19,9 @@
 
 
 class ShareAsk(NamedTuple):
-    """An entry's message to a customer's allocator.
+    """An entry's request to a customer's allocator.
 
-    `allocator` and `received` name the last grant that the entry has.
+    `allocator` and `received` identify the last grant that the entry has received.
     """
 
     entry: str
@@ -39,7 +39,8 @@
         self.entry = entry
         self.lease_s = lease_s
         self.started_s = now_s
-        # None known yet: an entry that took itself for the only one would use it all.
+        # Empty at first: an entry that assumed to be the only one would use the whole
+        # bound.
         self.entries: tuple[str, ...] = ()
         self.contracts: dict[str, Contract] = {}
         self.holders: dict[str, ShareHolder] = {}
@@ -47,12 +48,12 @@
 
 
 def set_contract(book: ShareBook, contract: Contract) -> None:
-    """Take in a contract, new or changed."""
+    """Add a contract, or replace a changed one."""
     customer = contract.customer
     book.contracts[customer] = contract
     if customer not in book.holders:
-        # Counted from the entry's start and not from now: only a process that ran
-        # before it can have lent the floor.
+        # Counted from the entry's start, not from now: only a process that ran before
+        # it can have lent the floor.
         book.holders[customer] = ShareHolder(
             book.entry, customer, book.lease_s, book.started_s
         )
@@ -60,11 +61,11 @@
 
 
 def set_entries(book: ShareBook, entries: Iterable[str]) -> None:
-    """Take in the set of entries, on which the floors depend.
+    """Set the entries, on which the floors depend.
 
-    It has to come from the control VMs. An entry that is cut off must keep the last set
-    that it was told: if it dropped the entries that it no longer hears of, its floor
-    would grow to the whole bound while they go on using theirs.
+    The set must come from the control VMs. An entry that is cut off must keep the last
+    set that it received. If it dropped the entries that it no longer receives messages
+    from, its floor would grow to the whole bound while they still use theirs.
     """
     book.entries = tuple(sorted(entries))
     for customer in book.contracts:
@@ -72,12 +73,12 @@
 
 
 def is_ready(book: ShareBook, now_s: float) -> bool:
-    """Tell whether the entry has shares to use; until then it refuses all work."""
+    """Return whether the entry has shares; until then it refuses all requests."""
     return bool(book.entries) and now_s >= book.started_s + book.lease_s
 
 
 def due_asks(book: ShareBook, admission: Admission, now_s: float) -> list[ShareAsk]:
-    """Return the asks to send now, each to its customer's allocator."""
+    """Return the requests to send now, each to its customer's allocator."""
     asks = []
     for customer, holder in book.holders.items():
         if customer not in admission.limits:
@@ -95,14 +96,14 @@
             grant.number if grant else 0,
         )
         asks.append(ask)
-        # Asking counts, answered or not: a silent allocator must not be asked at each
-        # tick by all entries for all customers.
+        # A request counts even if it is not answered. Otherwise a silent allocator
+        # would receive requests from all entries for all customers at each tick.
         holder.asked_s = now_s
     return asks
 
 
 def answer(allocator: Allocator, ask: ShareAsk, now_s: float) -> Grant:
-    """Return the allocator's answer to an ask."""
+    """Return the allocator's grant for a request."""
     received = ask.received if ask.allocator == allocator.name else 0
     return shares.ask(
         allocator, ask.entry, ask.customer, ask.demand, now_s, received, ask.in_use
@@ -110,16 +111,16 @@
 
 
 def take(book: ShareBook, grant: Grant, asked_s: float, now_s: float) -> None:
-    """Take in the answer to an ask that was sent at `asked_s`."""
+    """Record the grant for a request that was sent at `asked_s`."""
     holder = book.holders.get(grant.customer)
     if holder is not None and grant.entry == book.entry:
         shareholder.record_grant(holder, grant, asked_s, now_s)
 
 
 def put_in_force(book: ShareBook, admission: Admission, now_s: float) -> None:
-    """Give admission each share that has changed; call it at each tick.
+    """Pass each changed share to admission; call it at each tick.
 
-    A share also changes without any message, when its lease lapses.
+    A share also changes without a message, when its lease expires.
     """
     for customer, holder in book.holders.items():
         contract = book.contracts[customer]
@@ -130,7 +131,7 @@
 
 
 def drop_retired(book: ShareBook, admission: Admission) -> list[str]:
-    """Forget retired contracts of which nothing runs or waits any more."""
+    """Drop retired contracts that have no requests left; return their customers."""
     dropped = []
     for customer, contract in list(book.contracts.items()):
         if contract.retired and adm.drop_contract(admission, customer):
--- a/libs/policy/src/cherryrudder/policy/sharedbudget.py
+++ b/libs/policy/src/cherryrudder/policy/sharedbudget.py
@@ -1,16 +1,16 @@
-"""How many retries an entry may send, of those that all entries may send together.
-
-Load pattern: a data centre loses an engine, and all retries of the next second are
-those of the entries there. Shared evenly among some dozens of entries, the operators'
-budget leaves each a few: the entries that need retries give streams up for want of
-them, while nine tenths of the budget lie unused at the others.
-
-Each entry tells what it has spent in the operators' window, and is told what the others
-have. Until the next word it may spend an even part of most of what is left, less what
-it has spent since that news of the others was made. Given a new part with each word,
-entries that all need much spent the same retries two and three times over before they
-heard of one another. An entry that needs much where the others do not gets a new part
-as often as the news is renewed.
+"""An entry's share of the retry budget that all entries have together.
+
+If a data centre loses an engine, all retries of the next second come from the entries
+there. Divided evenly among some dozens of entries, the operators' budget leaves each a
+few retries: the entries that need them give up streams, while nine tenths of the budget
+are unused at the others.
+
+Each entry reports what it has spent within the operators' window, and receives what the
+others have spent. Until the next report it may spend an even part of most of what is
+left, less what it has spent since the others' figures were made. If an entry got a new
+part with each report, entries that all need many retries would spend the same ones two
+and three times over before they received each other's figures. An entry that needs many
+while the others need few gets a new part as often as the figures are renewed.
 """
 
 from collections import deque
@@ -20,28 +20,31 @@
 from . import retries
 from .retries import Attempt, RetryBudget, Verdict
 
-# A part stays unspent: clocks of the entries' windows differ, and a new entry begins
-# with a part of its own.
+# The rest stays unspent: the clocks of the entries' windows differ, and a new entry
+# starts with a part of its own.
 SAFE_SHARE = 0.8
-# What is counted together; a small part of the operators' window of some 10 s.
+# Length of a bucket of the window; a small part of the operators' window of some 10 s.
 BUCKET_S = 0.1
-# Of what is left, for the words that are under way.
+# The rest of what is left is kept for reports that are in flight.
 SPENDABLE_SHARE = 0.6
-# Of an entry's part, kept for answers that have begun. Engines that leave refuse what
-# comes in that moment, and its retries took the budget of the streams that they cut
-# two seconds later: these ended in the middle, 0.7 s after the cut, where a request
-# that has not run can be told when to come back.
+# Fraction of an entry's part that is reserved for answers that have begun. Engines that
+# leave refuse the requests of that moment, and the retries of these used up the budget
+# of the streams that the engines cut two seconds later. Those streams ended in the
+# middle, 0.7 s after the cut, whereas a request that has not run can be refused with a
+# time to come back.
 RESERVED_SHARE = 0.3
-# An answer that has begun goes on with this much of a retry saved. Worked out: 26
-# entries all have parts below one while fewer than 44 are left to them together. Each
-# may go over by one between two words, 26 of the 107 that `SAFE_SHARE` keeps of 536.
+# A retry of an answer that has begun needs only this much saved. 26 entries all have
+# parts below one while fewer than 44 retries are left to them together. Each may then
+# exceed its part by one between two reports: 26 of the 107 that `SAFE_SHARE` keeps of
+# 536.
 MIN_SAVED_FOR_BEGUN = 0.25
-# Without a word for this long an entry goes by its own requests: four are missed.
+# After this long without a report, four missed ones, an entry earns retries by its own
+# requests.
 REPORT_TIMEOUT_S = 2.0
 
 
 class Spent(NamedTuple):
-    """Requests for a service within the window, and retries of them."""
+    """Requests for a service within the window, and their retries."""
 
     service: str
     requests: int
@@ -58,14 +61,14 @@
 class _Service:
     def __init__(self, earned, max_saved):
         self.budget = RetryBudget(earned, max_saved)
-        # What the last word left this entry, and when it came.
+        # This entry's part after the last report, and when it was received.
         self.part = 0.0
         self.updated_s = float("-inf")
         self.buckets: deque[_Bucket] = deque()
 
 
 class SharedBudget:
-    """One entry's part of the operators' retry budget, by service."""
+    """One entry's share of the operators' retry budget, for each service."""
 
     def __init__(self, ratio: float, slack: float, window_s: float, entries: int):
         self.ratio = ratio
@@ -79,8 +82,9 @@
     """Count a client's request for a service."""
     known = _service(shared, service)
     if now_s - known.updated_s > REPORT_TIMEOUT_S:
-        # A word counts the requests of all. Earned beside it, each let every entry go
-        # on with one retry between two words, also when nothing was left.
+        # A report counts the requests of all entries. If own requests earned retries as
+        # well, every entry could send one retry between two reports even with nothing
+        # left.
         retries.note_request(known.budget)
     _bucket(shared, known, now_s).requests += 1
 
@@ -92,10 +96,10 @@
     now_s: float,
     has_begun: bool | None = None,
 ) -> Verdict:
-    """Decide about a failed attempt, and count it if it is sent again.
+    """Decide whether a failed attempt may be retried, and count the retry.
 
-    `has_begun` tells whether the caller has a part of the answer already; None where
-    answers of this service are never passed on in parts.
+    `has_begun` is whether the caller already has a part of the answer; None if answers
+    of this service are never passed on in parts.
     """
     known = _service(shared, service)
     credit = _credit(known, has_begun)
@@ -114,7 +118,7 @@
 
 
 def spent(shared: SharedBudget, now_s: float) -> tuple[Spent, ...]:
-    """Return what this entry has counted within the window."""
+    """Return this entry's requests and retries within the window, by service."""
     sums = []
     for name, known in shared.services.items():
         _drop_old(shared, known, now_s)
@@ -132,10 +136,11 @@
     now_s: float,
     age_s: float = 0.0,
 ) -> None:
-    """Take this entry's part of what all entries have left.
+    """Set this entry's part of what all entries have left.
 
-    `age_s` is how old the news of the others is on the average. What they spent
-    meanwhile isn't known; each keeps to one part for that time, this entry too.
+    `others` is what the other entries have spent; `age_s` is the mean age of these
+    figures. What the others spent since then is unknown. Each entry, this one too,
+    spends at most one part in that time.
     """
     shared.entries = max(1, entries)
     by_service = {one.service: one for one in others}
@@ -156,7 +161,7 @@
 
 
 def _even_part(shared):
-    """Return what an entry may save up that hears of no others."""
+    """Return the most that an entry may save up without reports of the others."""
     return SAFE_SHARE * shared.slack / shared.entries
 
 
--- a/libs/policy/src/cherryrudder/policy/shareholder.py
+++ b/libs/policy/src/cherryrudder/policy/shareholder.py
@@ -1,8 +1,8 @@
-"""The entry's side of a customer's share: what it may use now, and when to ask.
+"""The entry's side of a customer's share: its current size, and when to renew it.
 
-Load pattern: the allocator dies, moves or can't be reached while callers keep coming.
-Without it: an entry that goes on with its last lease uses a part that has been given to
-another, and the sum passes the bound; one that stops refuses callers for whom the
+The allocator may die, move or be unreachable while callers keep sending. An entry that
+continues with its last lease would use a part that has been leased to another, and the
+sum would exceed the bound. An entry that stops would refuse callers for whom the
 contract has room.
 """
 
@@ -11,7 +11,7 @@
 from .limits import Share
 from .shares import NO_SHARE, RENEW_FRACTION, Grant
 
-# Between two asks for more: some round trips between data centres.
+# Between two requests for more: some round trips between data centres.
 MIN_REQUEST_INTERVAL_S = 0.1
 
 
@@ -32,7 +32,7 @@
 
 
 def set_floor(holder: ShareHolder, floor: Share) -> None:
-    """Set the floor by the contract and the entries that this one knows of."""
+    """Set the floor, which follows from the contract and the set of entries."""
     holder.floor = floor
 
 
@@ -47,9 +47,9 @@
 def record_grant(
     holder: ShareHolder, grant: Grant, asked_s: float, now_s: float
 ) -> None:
-    """Take in a grant that was asked for at `asked_s`.
+    """Record a grant that was requested at `asked_s`.
 
-    Its lease is counted from then, so that it ends here before it does there.
+    Its lease is counted from then, so it ends here before it ends at the allocator.
     """
     last = holder.grant
     if last is not None and last.allocator == grant.allocator:
@@ -57,7 +57,7 @@
             return
     elif last is not None and now_s < holder.expires_s:
         # Another allocator may have lent this entry's floor until the old lease ends.
-        # Using the new grant in full before that would use the same part twice.
+        # Using the whole new grant before that would use the same part twice.
         holder.cap = current(holder, now_s)
         holder.cap_until_s = max(holder.cap_until_s, holder.expires_s)
     holder.grant = grant
@@ -66,32 +66,33 @@
 
 
 def is_due(holder: ShareHolder, demand: Share, now_s: float) -> bool:
-    """Tell whether it is time to ask again: for renewal, or for more."""
+    """Return whether to send the next request: for renewal, or for more."""
     waited_s = now_s - holder.asked_s
     if holder.grant is None:
         return waited_s >= MIN_REQUEST_INTERVAL_S
-    # Customers without load renew as often as others: what they leave of their floor
-    # is lent only until the last lease but one ends, as the last answer may be lost.
+    # Customers without load renew as often as others: what they leave of their floor is
+    # lent only until the last lease but one ends, as the last answer may be lost.
     if waited_s >= RENEW_FRACTION * holder.lease_s:
         return True
-    # A burst asks at once; at its renewal it would wait for up to a quarter lease with
-    # the bound unused. The pause keeps a refused burst from asking at each request.
+    # A burst triggers a request at once. Until the next renewal it would wait up to a
+    # quarter of the lease with the bound unused. The pause limits the requests of a
+    # burst that is granted no more.
     share = holder.grant.share
     is_short = any(want > have for want, have in zip(demand, share, strict=True))
     return is_short and waited_s >= MIN_REQUEST_INTERVAL_S
 
 
 def received_from(holder: ShareHolder, allocator: str) -> int:
-    """Return the `received` of the next ask, should it go to this allocator."""
+    """Return the `received` number for the next request to this allocator."""
     if holder.grant is None or holder.grant.allocator != allocator:
         return 0
     return holder.grant.number
 
 
 def _uncapped(holder, now_s):
-    # A process that has just started may be an entry that lent its floor before it
-    # died, by an allocator that it can no longer name. After one lease time the loan
-    # has ended; until then the entry is not ready and other entries serve.
+    # A process that has just started may be an entry whose floor was lent before it
+    # died, by an allocator that it no longer knows. After one lease time the loan has
+    # ended; until then the entry is not ready and other entries serve.
     if now_s < holder.started_s + holder.lease_s:
         return NO_SHARE
     if holder.grant is not None and now_s < holder.expires_s:
--- a/libs/policy/src/cherryrudder/policy/shares.py
+++ b/libs/policy/src/cherryrudder/policy/shares.py
@@ -1,18 +1,18 @@
 """The allocator's side of a customer's share: leases of its bound to entries.
 
-Load pattern: all of a customer's load comes through one entry, or moves from one to
-another within seconds; entries die, come back or are cut off meanwhile.
-Without it: a static split holds a customer whose load comes through one of five entries
-to a fifth of its contract, and no split at all lets it through five times.
+All of a customer's load may come through one entry, or move from one to another within
+seconds, while entries die, return or are cut off. A static split would hold a customer
+whose load comes through one of five entries to a fifth of its contract. Without a split
+the contract could be used five times.
 
-Each entry has a floor, bound / entries, which it may use when its lease has lapsed. The
-sum of what entries use never passes the bound because a floor is lent to others only
+Each entry has a floor, bound / entries, which it may use when its lease has expired.
+The sum of what the entries use never exceeds the bound: a floor is lent to others only
 while its owner holds a smaller lease, and the loan ends before that lease does. So an
-entry that is cut off, or dead, keeps its floor reserved until it is taken out of the
-set of entries; that is the price of serving on during a partition.
+entry that is cut off or dead keeps its floor reserved until it is removed from the set
+of entries. This is the price of serving during a partition.
 
-The state is one allocator per entry process, for the customers that rendezvous hashing
-gives it. `shareholder` is the entry's side.
+Each entry process runs one allocator, for the customers that rendezvous hashing assigns
+to it. `shareholder` is the entry's side.
 """
 
 import math
@@ -20,27 +20,27 @@
 
 from .limits import ROUNDING, Share
 
-# Holders renew when a quarter of the lease has passed, so three renewals in a row can
-# be lost before a share lapses.
+# Holders renew after a quarter of the lease, so three renewals in a row can be lost
+# before a share expires.
 RENEW_FRACTION = 0.25
-# An owner's lease must have this much left for others to borrow its floor; it bounds
-# from below how short the borrower's lease gets.
+# An owner's lease must have this fraction left for others to borrow its floor; this is
+# the lower bound of the borrower's lease.
 LEND_FRACTION = 0.25
-# An entry without load keeps this part of its floor, so that its next request starts at
-# once; over five entries it costs a lone busy entry 1.6% of the bound.
+# An entry without load keeps this fraction of its floor, so that its next request
+# starts at once. Over five entries it costs a single busy entry 1.6% of the bound.
 IDLE_FRACTION = 0.02
-# Of what nobody demands, half is spread evenly, so that a burst finds something at any
-# entry. The other half stays unleased and goes whole to the first that asks for more;
-# what is spread out comes back with its holders' next renewals.
+# Half of what nobody demands is spread evenly, so that a burst finds some at any entry.
+# The other half stays unleased and goes entirely to the first entry that requests more.
+# What was spread returns with its holders' next renewals.
 SPREAD_FRACTION = 0.5
 NO_SHARE = Share(0.0, 0.0, 0)
-# A part of a slot would be lost when parts are rounded down to whole ones.
+# Concurrency is in whole slots: fractions of a slot would be lost in rounding down.
 CONCURRENCY_INDEX = Share._fields.index("concurrency")
 FIELD_INDEXES = range(len(Share._fields))
 
 
 class Grant(NamedTuple):
-    """A lease of part of a bound; it runs `lease_s` from when it was asked for."""
+    """A lease of part of a bound; it lasts `lease_s` from when it was requested."""
 
     allocator: str
     entry: str
@@ -52,7 +52,7 @@
 
 
 class Lease(NamedTuple):
-    """A grant as its allocator remembers it."""
+    """A grant as its allocator records it."""
 
     number: int
     share: Share
@@ -67,15 +67,15 @@
         self.demand = NO_SHARE
         self.floor = NO_SHARE
         self.since_s = now_s
-        # The largest share that it may be using until `expires_s`, and when it goes
-        # back to its floor if it has missed the last answers.
+        # The largest share that the entry may be using until `expires_s`. If it has
+        # missed the last answers, it returns to its floor at `reverts_s`.
         self.held = NO_SHARE
         self.expires_s = now_s
         self.reverts_s = now_s
 
 
 class OtherEntries(NamedTuple):
-    """What the other entries hold; the part that is reserved isn't to be shared."""
+    """What the other entries hold; the reserved part must not be shared."""
 
     held: list[float]
     reserved: list[float]
@@ -84,7 +84,7 @@
 
 
 class Allocator:
-    """All leases that one process has given; `name` differs after each start."""
+    """All leases that one process has granted; `name` is new after each start."""
 
     def __init__(self, name, lease_s, now_s):
         self.name = name
@@ -98,24 +98,24 @@
 
 
 def set_entries(allocator: Allocator, entries) -> None:
-    """Replace the set of entries; take one out only when it serves no caller."""
+    """Replace the set of entries; remove an entry only once it serves no callers."""
     allocator.entries = tuple(sorted(entries))
     for customer in allocator.bounds:
         _set_floors(allocator, customer)
     for parts in allocator.parts.values():
         for name in parts.keys() - set(allocator.entries):
-            # Of an entry that was taken out only its leases still count.
+            # Only the leases of a removed entry still count.
             parts[name].floor = NO_SHARE
 
 
 def set_bound(allocator: Allocator, customer: str, bound: Share) -> None:
-    """Put a contract's bound in force; older leases run out within one lease time."""
+    """Set a contract's bound; older leases expire within one lease time."""
     allocator.bounds[customer] = bound
     _set_floors(allocator, customer)
 
 
 def floor_of(bound: Share, entries, entry: str) -> Share:
-    """Return an entry's floor; what whole slots leave over goes to the first ones."""
+    """Return an entry's floor; remaining slots go to the first entries by name."""
     names = sorted(entries)
     if entry not in names:
         return NO_SHARE
@@ -136,17 +136,18 @@
 ) -> Grant:
     """Lease an entry its max-min fair part of a customer's bound.
 
-    `received` is the number of the last grant that the entry has from this allocator,
-    0 if its last one is another's or it has just started; `in_use` is how many
-    requests it is running.
+    `received` is the number of the last grant that the entry has received from this
+    allocator, or 0 if its last grant is another's or it has just started. `in_use` is
+    the number of requests that it runs.
     """
     parts = allocator.parts.setdefault(customer, {})
     part = parts.get(entry)
     if part is None:
         part = parts[entry] = EntryPart(now_s)
     part.leases = [lease for lease in part.leases if lease.expires_s > now_s]
-    # Without a live lease the entry is at its floor now, even if later grants, whose
-    # answers were lost, are on record here: lending it would use it twice.
+    # Without a valid lease the entry is at its floor now, even if later grants, whose
+    # answers were lost, are recorded here. If its floor were lent, it would be used
+    # twice.
     if received not in (lease.number for lease in part.leases):
         part.since_s = now_s
     part.leases = [lease for lease in part.leases if lease.number >= received]
@@ -154,8 +155,9 @@
     part.floor = allocator.floors.get(customer, {}).get(entry, NO_SHARE)
     _update_totals(part, now_s)
     share, until_s = _decide(allocator, customer, parts, entry, now_s)
-    # Running requests aren't cut, so their slots can't be given to another entry: it
-    # would start its own, and the contract's concurrency be passed until these end.
+    # Running requests are not ended early, so their slots cannot be given to another
+    # entry: it would start its own requests, and the contract's concurrency would be
+    # exceeded until these end.
     kept = min(in_use, part.held.concurrency)
     share = share._replace(concurrency=max(share.concurrency, kept))
     allocator.number += 1
@@ -201,8 +203,8 @@
     lease_ends_s = now_s + allocator.lease_s
     others = _others(allocator, customer, parts, entry, now_s)
     available = [max(0, bound[field] - others.held[field]) for field in FIELD_INDEXES]
-    # A new allocator doesn't know the leases of the one before it. Until those have
-    # lapsed only floors are safe: two allocators would lend the same part twice.
+    # A new allocator does not know the leases of the previous one. Until those have
+    # expired only floors are safe: otherwise both allocators would lend the same part.
     if now_s < allocator.started_s + allocator.lease_s:
         return Share(*map(min, part.floor, available)), lease_ends_s
     fair = _fair_share(bound, others.reserved, [part, *others.lenders])
@@ -213,7 +215,7 @@
 
 
 def _others(allocator, customer, parts, entry, now_s):
-    """Return what the other entries hold, and until when they lend of it."""
+    """Return what the other entries hold, and until when they lend some of it."""
     floors = allocator.floors.get(customer, {})
     held, reserved = [0.0, 0.0, 0], [0.0, 0.0, 0]
     lenders, loans_end_s = [], math.inf
@@ -252,11 +254,11 @@
 
 
 def _may_lend(allocator, part, now_s):
-    """Tell whether others may use what a part's lease leaves of its floor."""
+    """Return whether others may use what a part's lease leaves of its floor."""
     if part.reverts_s - now_s < LEND_FRACTION * allocator.lease_s:
         return False
-    # An entry that came from another allocator may have lent its floor there, until
-    # the lease that it held then has lapsed.
+    # Another allocator may have lent the entry's floor, until the lease that the entry
+    # held then has expired.
     return now_s >= part.since_s + allocator.lease_s
 
 
@@ -284,5 +286,5 @@
     )
 
 
-# Stands for an entry that has never asked.
+# Used for an entry that has sent no request yet.
 NO_ENTRY_PART = EntryPart(-math.inf)
--- a/libs/policy/src/cherryrudder/policy/waits.py
+++ b/libs/policy/src/cherryrudder/policy/waits.py
@@ -1,9 +1,8 @@
-"""How long a request is expected to wait, and how long it may.
+"""Expected and longest permitted waits of queued requests.
 
-Load pattern: urgent and short requests come among a batch of long ones of the same
-customer.
-Without it: a request is let in on the strength of an estimate that forgets who will
-overtake it, waits its time out, and its caller gets a late refusal in place of an
+Urgent and short requests arrive among a batch of long ones of the same customer. If the
+estimate ignored the requests that will overtake a new one, the new one would be
+admitted, wait until it expires, and its caller would get a late refusal in place of an
 early one.
 """
 
@@ -14,18 +13,19 @@
 from .limits import Limits
 from .refusal import Drain, Wait
 
-# The parts of the longest wait by which less urgent and longer requests may be
-# overtaken. Together a half: the other half is what urgent and short ones may wait.
+# The fractions of the longest wait by which less urgent and longer requests may be
+# overtaken. Together they are a half; the other half is the longest wait of urgent and
+# short ones.
 PRIORITY_FRACTION = 0.25
 SIZE_FRACTION = 0.25
 
 
 def allowance_s(contract: Contract, priority: int, cost_tokens: float) -> float:
-    """Return for how long after its arrival others may overtake a request."""
+    """Return how long after its arrival a request may still be overtaken by others."""
     level = min(max(priority, 0), contract.priorities - 1)
     urgency_s = PRIORITY_FRACTION * contract.max_wait_s * level / contract.priorities
-    # A request that runs long loses little by a wait in proportion to its own length,
-    # at the speed that the contract gives to one of its concurrent requests.
+    # A long request loses little by a wait in proportion to its length, at the speed
+    # that the contract gives to one of its concurrent requests.
     run_s = cost_tokens * contract.concurrent_requests / contract.tokens_per_s
     return urgency_s + min(SIZE_FRACTION * contract.max_wait_s, run_s)
 
@@ -33,10 +33,10 @@
 def wait_budget_s(
     contract: Contract, request: QueuedRequest, start_by_s, now_s
 ) -> float:
-    """Return the longest wait with which a new request is let in.
+    """Return the longest expected wait with which a new request is admitted.
 
-    Urgent requests leave room within the longest wait for those that they overtake;
-    if they filled it alone, less urgent ones would be let in only to expire.
+    Urgent requests leave room within the longest wait for those that they overtake. If
+    they took all of it, less urgent ones would be admitted only to expire.
     """
     allowed_s = request.order_s - request.arrived_s
     room_s = (PRIORITY_FRACTION + SIZE_FRACTION) * contract.max_wait_s - allowed_s
@@ -52,7 +52,7 @@
     ahead: QueueAhead,
     now_s: float,
 ) -> Wait:
-    """Return the wait of a request with that much ahead of it."""
+    """Return the expected wait of a request behind `ahead`."""
     run_s = refusal.mean_run_s(drain)
     tokens = request.cost_tokens
     limit_s = limits.limit_wait_s(own, ahead.count, ahead.tokens, tokens, run_s, now_s)
