--- a/libs/policy/src/cherryrudder/policy/__init__.py
+++ b/libs/policy/src/cherryrudder/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: no I/O, no clock, no network."""
+"""Load decisions (admission, placement, limits, retries) without I/O or a clock."""
--- a/libs/policy/src/cherryrudder/policy/cost.py
+++ b/libs/policy/src/cherryrudder/policy/cost.py
@@ -1,26 +1,26 @@
-"""Estimate how many tokens a request will use, before it runs.
+"""Estimate of the tokens that a request will use.
 
-Load pattern: callers ask for the largest answer that they are allowed and use a small
-part of it, or the other way round, each customer and model in its own way.
-Without it: charging `max_tokens` holds a customer to a fraction of its contract, and
-charging the prompt alone lets long answers pass the bound until they are settled.
+Some callers ask for the largest permitted answer and use a small part of it, others use
+all of it, depending on customer and model. Charging `max_tokens` would hold a customer
+to a fraction of its contract; charging only the prompt would let long answers exceed
+the bound until they are settled.
 
-Grounds: answers are learned per customer, model and power of two of `max_tokens`, since
-callers that want long answers ask for them, and one mean over 20-token and 4000-token
-answers fits neither. The settlement at the end makes the sum true in any case.
+The mean answer is recorded per customer, model and power of two of `max_tokens`:
+callers that expect long answers ask for them, and one mean over 20-token and 4000-token
+answers fits neither. The settlement at the end makes the sum exact in any case.
 """
 
 from typing import NamedTuple
 
-# Until an answer was seen, half of what was asked for: the error is at most twofold
-# on the long side, and the first settlement replaces it.
+# Before the first answer, half of `max_tokens` is assumed: the true length is at most
+# twice that, and the first settlement replaces it.
 FIRST_ANSWER_PART = 0.5
-# A new answer counts a tenth, so some twenty answers forget an old habit.
+# Weight of a new answer: a tenth, so that some twenty answers replace an old mean.
 LEARNING_RATE = 0.1
 
 
 class Estimate(NamedTuple):
-    """The expected tokens of a request, and the key under which it is learned."""
+    """The expected tokens of a request, and the key of its mean answer length."""
 
     cost_tokens: float
     key: tuple[str, str, int]
@@ -41,7 +41,7 @@
 
 
 def learn(costs: CostModel, key: tuple[str, str, int], answer_tokens: float) -> None:
-    """Take in the answer of a request that ran to its end."""
+    """Update the mean with the answer of a completed request."""
     known = costs.answer_tokens.get(key)
     if known is None:
         costs.answer_tokens[key] = float(answer_tokens)
@@ -50,6 +50,6 @@
 
 
 def drop_customer(costs: CostModel, customer: str) -> None:
-    """Drop what was learned of a customer whose contract has ended."""
+    """Drop the recorded means of a customer whose contract has ended."""
     for key in [key for key in costs.answer_tokens if key[0] == customer]:
         del costs.answer_tokens[key]
--- a/libs/policy/src/cherryrudder/policy/credits.py
+++ b/libs/policy/src/cherryrudder/policy/credits.py
@@ -1,26 +1,27 @@
-"""Credits: how many requests each entry may have at an endpoint, told by its sidecar.
+"""Credits: the number of requests that each entry may have at an endpoint.
 
-Load pattern: several entries send to the same endpoints and learn of their load seconds
-late. Without it: all entries see the same endpoint idle and send to it at the same
-moment; the requests wait there, blindly, while other endpoints have room (a herd). With
-credits a request stays in the entry's queue until an endpoint has room for it (late
-binding), and a faster accelerator, which frees its slots sooner, earns more without
-being tuned.
+Several entries send to the same endpoints and learn of their load seconds late. Without
+credits all entries see the same idle endpoint and send to it at the same moment, and
+the requests wait there while other endpoints have capacity (a herd). With credits,
+which the endpoint's sidecar grants, a request stays in the entry's queue until an
+endpoint has capacity for it (late binding). A faster accelerator, which frees its slots
+sooner, gets more requests without tuning.
 
-The sum of credits never passes the slots, but for requests under way while credits are
-taken back, which is one round trip's worth.
+The sum of credits never exceeds the slots, except for requests in flight while credits
+are withdrawn, which is one round trip's worth.
 """
 
 import math
 from typing import NamedTuple
 
-# An entry that has not reported for so long holds only what it is running: two lost
-# reports at four a second are borne, and a dead entry's credits are back in a second.
+# After this long without a report an entry holds only the requests that it runs. At
+# four reports a second two may be lost, and a dead entry's credits are free again in a
+# second.
 CREDIT_LEASE_S = 1.0
 
 
 class Credits(NamedTuple):
-    """How many requests an entry may have at an endpoint; larger numbers are newer."""
+    """The requests that an entry may have at an endpoint; higher numbers are newer."""
 
     endpoint: str
     number: int
@@ -37,7 +38,7 @@
 
 
 class Issuer:
-    """The credits that one endpoint's sidecar has given."""
+    """The credits that one endpoint's sidecar has granted."""
 
     def __init__(self, endpoint, slots):
         self.endpoint = endpoint
@@ -48,10 +49,10 @@
 
 
 def report(issuer: Issuer, entry: str, running, wanted, now_s: float) -> Credits:
-    """Take an entry's report, what it runs here and wants besides; return its credits.
+    """Record an entry's running and additionally wanted requests; return its credits.
 
-    A leaving endpoint gives none, so that its last request is the last of those that
-    it has already.
+    A leaving endpoint grants no new ones, so that it ends with the requests that it
+    runs.
     """
     _drop_lapsed(issuer, now_s)
     issuer.holdings.pop(entry, None)
@@ -66,16 +67,17 @@
 
 
 def _spare_credits(issuer, wanted, free, running):
-    """Return the part of the free slots for an entry that wants so many."""
+    """Return the entry's part of the free slots."""
     others = issuer.holdings.values()
-    # An entry that wants nothing now may still keep one, so that its next request
-    # starts without a round trip; but only if that leaves one for each other.
+    # An entry without demand may keep one credit, so that its next request starts
+    # without a round trip, but only if that leaves one for each other entry.
     if wanted <= 0:
         return min(1, max(0, free - len(issuer.holdings)))
     demands = [running + wanted]
     demands += [other.running + other.wanted for other in others]
-    # Max-min: what others leave of an even split is for those that want more. Under a
-    # plain even split an entry with little load would hold half of each endpoint idle.
+    # Max-min: what others leave of an even split goes to entries with a higher demand.
+    # Under a plain even split an entry with little load would hold half of each
+    # endpoint idle.
     fair = math.ceil(fair_part(demands, issuer.slots))
     return min(free, wanted, max(0, fair - running))
 
--- a/libs/policy/src/cherryrudder/policy/ejection.py
+++ b/libs/policy/src/cherryrudder/policy/ejection.py
@@ -1,54 +1,56 @@
-"""Ejection of endpoints that are slow, fail or don't answer, and probing them back.
+"""Ejection of endpoints that are slow, fail or do not respond, and their probing.
 
-Load pattern: one endpoint is ten times slower than its like, or only for long answers;
-one accepts requests and never answers; one fails so fast that it always looks idle.
-Without it: in a round robin each of these takes its full part of the requests, and the
-one that fails fast takes more than its part wherever the idlest is chosen.
+An endpoint may be ten times slower than others of its kind, or only for long answers;
+it may accept requests and never answer; or it may fail so fast that it always looks
+idle. In a round robin each of these gets its full part of the requests. Where the least
+loaded endpoint is chosen, one that fails fast gets more than its part.
 
 An endpoint is compared with its own kind (same layers, same accelerator), because a
-slow accelerator is not a fault. Speeds are compared for short and long answers apart,
-so that one that is slow only for long answers is seen. Never more than a part of a kind
-is ejected: if most are slow, the cause is elsewhere, and ejecting them adds to it.
+slow accelerator is not a fault. Short and long answers are compared separately, so that
+an endpoint that is slow only for long answers is detected. At most a fraction of a kind
+is ejected: if most are slow, the cause is elsewhere, and ejecting them makes it worse.
 """
 
 import math
 from typing import NamedTuple
 
-# Three times the median: normal spread under continuous batching stays below two.
+# Three times the median: the normal spread under continuous batching stays below two.
 SLOW_RATIO = 3.0
-# Fewer samples or peers say nothing about an endpoint.
+# An endpoint is not judged with fewer samples or peers.
 MIN_SAMPLES = 5
 MIN_PEERS = 3
-# Three in a row, or half of the recent ones.
+# Three failures in a row, or half of the recent requests.
 MAX_FAILURES = 3
 MAX_FAILURE_FRACTION = 0.5
-# The most of a kind that may be ejected at once.
+# The largest fraction of a kind that may be ejected at once.
 MAX_EJECTED_FRACTION = 1 / 3
-# First and longest ejection; each one after the other doubles. Two seconds outlast a
-# restart, and after a minute a repaired endpoint is worth a probe.
+# First and longest ejection; each one doubles the one before. Two seconds are longer
+# than a restart, and after a minute a repaired endpoint is worth a probe.
 FIRST_EJECTION_S = 2.0
 MAX_EJECTION_S = 60.0
 # Good probes in a row before an endpoint gets its full part again.
 REQUIRED_PROBES = 3
-# Silence with work in flight is a fault past four times the longest gap that the kind
-# has shown, and never below a second, which lost packets and pauses can explain.
+# Silence with requests in flight is a fault after four times the longest gap that the
+# kind has shown. It is never a fault within a second, which lost packets and pauses can
+# explain.
 SILENCE_RATIO = 4.0
 MIN_SILENCE_S = 1.0
-# Until a kind has answered at all: the longest time to a first answer that callers
-# bear.
+# Used until a kind has answered for the first time: the longest time to a first answer
+# that callers tolerate.
 DEFAULT_SILENCE_S = 10.0
-# Answers from here on count as long; the price of a longer one is its decoding.
+# Answers of this length or more count as long; the time of a longer one is spent on its
+# decoding.
 LONG_TOKENS = 256
-# Each sample counts a fifth, so ten samples forget an old speed.
+# Weight of a sample: a fifth, so that ten samples replace an old speed.
 LEARNING_RATE = 0.2
-# A longest gap is forgotten over some twenty seconds. By time and not by signals, which
-# come by the thousand when tokens stream: the gap of a long prompt's prefill would be
-# forgotten within milliseconds, and the next such prompt be taken for a fault.
+# A longest gap decays within some twenty seconds. It decays by time and not by signals,
+# thousands of which arrive while tokens stream: the gap of a long prompt's prefill
+# would be gone within milliseconds, and the next such prompt would count as a fault.
 GAP_DECAY_S = 20.0
 
 
 class Health:
-    """What one endpoint has shown."""
+    """The recorded speed, failures and ejections of one endpoint."""
 
     def __init__(self):
         # Seconds per token, and samples, for short and for long answers.
@@ -63,7 +65,7 @@
 
 
 class KindHealth:
-    """What endpoints of one kind have shown together."""
+    """The speeds and gaps of all endpoints of one kind."""
 
     def __init__(self):
         self.median_s = [0.0, 0.0]
@@ -85,17 +87,17 @@
 
 
 def is_ejected(health: Health, now_s: float) -> bool:
-    """Tell whether an endpoint gets no work now."""
+    """Return whether an endpoint gets no requests now."""
     return now_s < health.ejected_until_s
 
 
 def is_probing(health: Health) -> bool:
-    """Tell whether an endpoint gets one request at a time, to see if it has healed."""
+    """Return whether an endpoint gets one request at a time, to test its recovery."""
     return health.good_probes < REQUIRED_PROBES
 
 
 def note_signal(health: Health, kind: KindHealth, now_s: float) -> None:
-    """Note that an endpoint with work in flight has answered something."""
+    """Record that an endpoint with requests in flight has responded."""
     gap_s = min(now_s - health.signal_s, silence_s(kind))
     passed_s = max(0.0, now_s - kind.signal_s)
     kept_s = kind.gap_s * math.exp(-passed_s / GAP_DECAY_S)
@@ -104,7 +106,7 @@
 
 
 def note_answer(health, kind, tokens: float, duration_s: float, now_s: float) -> None:
-    """Take in an answered request."""
+    """Record an answered request."""
     size = size_class(tokens)
     sample_s = duration_s / max(1.0, tokens)
     part = LEARNING_RATE if health.samples[size] else 1.0
@@ -124,7 +126,7 @@
 
 
 def note_failure(health: Health, now_s: float) -> None:
-    """Take in a failed request; a failed probe ejects again at once."""
+    """Record a failed request; a failed probe ejects the endpoint again at once."""
     health.failures += 1
     health.failure_part += LEARNING_RATE * (1 - health.failure_part)
     if is_probing(health):
@@ -132,30 +134,30 @@
 
 
 def silence_s(kind: KindHealth) -> float:
-    """Return after how long a silence with work in flight is a fault."""
+    """Return the silence with requests in flight after which it is a fault."""
     if not kind.gap_s:
         return DEFAULT_SILENCE_S
     return max(MIN_SILENCE_S, SILENCE_RATIO * kind.gap_s)
 
 
 def eject(health: Health, now_s: float) -> None:
-    """Give an endpoint no work for a time, then one request at a time."""
+    """Send an endpoint no requests for a time, then one at a time."""
     length_s = FIRST_EJECTION_S * 2**health.ejections
     health.ejected_until_s = now_s + min(length_s, MAX_EJECTION_S)
     health.ejections = min(health.ejections + 1, 8)
     health.good_probes = 0
     health.failures = 0
     health.failure_part = 0.0
-    # What it showed before would condemn it again after it has healed.
+    # Earlier samples would get it ejected again after it has recovered.
     health.samples = [0, 0]
 
 
 def review(kind: KindHealth, peers: list[Peer], now_s: float) -> list[str]:
-    """Eject the worst of a kind, within the cap; return those that were ejected."""
+    """Eject the worst of a kind, within the limit, and return them."""
     for size in (0, 1):
         kind.median_s[size] = _median(peers, size) or kind.median_s[size]
     room = int(len(peers) * MAX_EJECTED_FRACTION)
-    # With two endpoints one may go; the only one of its kind never does.
+    # One of two endpoints may be ejected, but never the only one of its kind.
     room = max(room, int(len(peers) > 1))
     room -= sum(is_ejected(peer.health, now_s) for peer in peers)
     faults = []
@@ -172,7 +174,7 @@
 
 
 def _fault_score(peer, kind, now_s):
-    """Return 0 for a sound endpoint; silent and failing ones come before slow ones."""
+    """Return 0 for a healthy endpoint; silent and failing ones rank above slow ones."""
     health = peer.health
     if peer.in_flight and now_s - health.signal_s > silence_s(kind):
         return 1e6
--- a/libs/policy/src/cherryrudder/policy/gauges.py
+++ b/libs/policy/src/cherryrudder/policy/gauges.py
@@ -1,8 +1,8 @@
-"""The figures that show what the policy is doing, by name, for the metrics.
+"""The metrics of admission, placement and retries, by name.
 
-Load pattern: an operator looks at one page to see who waits, who is refused and why.
-Without it: figures are picked from the cores' state in several shells, under several
-names, and break when the state changes.
+They show an operator on one page which requests wait or are refused, and why. If each
+process picked them from the internal state, they would have several names, and break
+when that state changes.
 """
 
 from . import ejection, refusal
@@ -10,7 +10,7 @@
 
 
 def gauges(dispatcher: Dispatcher, now_s: float) -> dict[str, float]:
-    """Return the present figures; names have dots, as statsd has them."""
+    """Return the current values; the names are dotted, as in statsd."""
     found = {
         "queue.length": len(dispatcher.admission.queue.waiting),
         "requests.running": len(dispatcher.admission.running),
--- a/libs/policy/src/cherryrudder/policy/leaving.py
+++ b/libs/policy/src/cherryrudder/policy/leaving.py
@@ -1,12 +1,12 @@
-"""Which endpoints are leaving, so that they get no new work.
+"""Decision which endpoints are leaving and so get no new requests.
 
-Load pattern: a VM or a data centre is taken down for work in the middle of a burst.
-Without it: entries go on sending until they see refused connections, and requests that
-have begun are cut off.
+A VM or a data centre may be taken down for maintenance during a burst. Without this,
+entries would send until their connections are refused, and requests that have begun
+would be cut off.
 
-An endpoint leaves as soon as either its own announcement or a planned stop says so;
-both are looked at because each may arrive first, and neither is taken back by the
-other's silence.
+An endpoint leaves as soon as its own announcement or a planned stop says so. Both are
+checked because either may arrive first, and the absence of one does not cancel the
+other.
 """
 
 from collections.abc import Iterable
@@ -15,19 +15,19 @@
 
 
 def is_leaving(announcement: Announcement, stops: Iterable[Stop]) -> bool:
-    """Tell whether an endpoint is to get no new work."""
+    """Return whether an endpoint is to get no new requests."""
     if announcement.leaving:
         return True
     return any(stops_endpoint(stop, announcement) for stop in stops)
 
 
 def usable_credits(announcement: Announcement, stops, credits: int) -> int:
-    """Return the credits, or none at once for an endpoint that leaves."""
+    """Return the credits, or 0 for a leaving endpoint."""
     return 0 if is_leaving(announcement, stops) else credits
 
 
 def may_end(
     is_leaving: bool, in_flight: int, waited_s: float, longest_s: float
 ) -> bool:
-    """Tell whether a leaving process may end: nothing is in flight, or time is up."""
+    """Return whether a leaving process may exit: it is idle, or its time is up."""
     return is_leaving and (in_flight == 0 or waited_s >= longest_s)
--- a/libs/policy/src/cherryrudder/policy/limits.py
+++ b/libs/policy/src/cherryrudder/policy/limits.py
@@ -1,13 +1,13 @@
 """The limits of one contract at one entry: request rate, token rate, concurrency.
 
-Load pattern: a customer sends its whole day's batch in a few seconds, either as many
-small requests, as a few very long ones, or as requests that stay open for minutes.
-Without it: a single limit is passed by the other two shapes. A limit on requests lets
-long ones through, one on tokens lets thousands of empty ones occupy the connections,
-and neither sees requests that are slow to finish.
-
-Grounds: every figure follows from the contract. The rates are the contract's, times
-this entry's share; a bucket holds `burst_s` seconds of its rate.
+A customer may send its whole day's batch in a few seconds: as many small requests, as a
+few very long ones, or as requests that stay open for minutes. A single limit does not
+cover the other two forms. A limit on requests admits long ones, a limit on tokens lets
+thousands of empty ones occupy the connections, and neither counts requests that are
+slow to finish.
+
+Every figure follows from the contract. The rates are the contract's, times this entry's
+share; a bucket holds `burst_s` seconds of its rate.
 """
 
 import math
@@ -15,12 +15,12 @@
 
 from cherryrudder.model.contracts import Contract
 
-# One request must always fit in a request bucket, however small the entry's share is;
-# else a customer with a small contract could never start anything.
+# One request must always fit into a request bucket, however small the entry's share is;
+# otherwise a customer with a small contract could never start a request.
 MIN_BURST_REQUESTS = 1.0
-# Rounding must not hold back a request whose turn has come.
+# Tolerance, so that rounding does not delay a request that may start.
 ROUNDING = 1e-6
-# Demand is averaged over the time in which shares are renewed, about one second.
+# Demand is averaged over the interval in which shares are renewed, about one second.
 DEMAND_WINDOW_S = 1.0
 
 
@@ -42,7 +42,7 @@
 
 
 class Bucket:
-    """A token bucket that may go into debt, so that long requests fit at all."""
+    """A token bucket that may go into debt, so that long requests can start."""
 
     def __init__(self, rate_per_s, depth, now_s):
         self.rate_per_s = rate_per_s
@@ -52,14 +52,14 @@
 
 
 def fill(bucket: Bucket, now_s: float) -> None:
-    """Add what the rate gave since the last call."""
+    """Add the tokens since the last call."""
     passed_s = max(0.0, now_s - bucket.filled_s)
     bucket.level = min(bucket.depth, bucket.level + passed_s * bucket.rate_per_s)
     bucket.filled_s = max(bucket.filled_s, now_s)
 
 
 def resize(bucket: Bucket, rate_per_s: float, depth: float, now_s: float) -> None:
-    """Change the rate and keep the level: a new share must not bring a new burst."""
+    """Change rate and depth, keep the level: a new share must not bring a burst."""
     fill(bucket, now_s)
     bucket.rate_per_s = rate_per_s
     bucket.depth = depth
@@ -93,7 +93,7 @@
 
 
 def set_share(limits: Limits, contract: Contract, share: Share, now_s: float) -> None:
-    """Put a changed contract or share in force."""
+    """Apply a changed contract or share."""
     limits.contract = contract
     limits.share = share
     resize(
@@ -104,7 +104,7 @@
 
 
 def is_within(limits: Limits, cost_tokens: float, now_s: float) -> bool:
-    """Tell whether a request may start now."""
+    """Return whether a request may start now."""
     if limits.running >= limits.share.concurrency:
         return False
     # A request longer than the burst starts on a full bucket and leaves a debt.
@@ -115,7 +115,7 @@
 
 
 def charge(limits: Limits, cost_tokens: float, now_s: float) -> None:
-    """Count a request that starts."""
+    """Charge a request that starts."""
     fill(limits.requests, now_s)
     fill(limits.tokens, now_s)
     limits.requests.level -= 1.0
@@ -124,7 +124,7 @@
 
 
 def refund(limits: Limits, cost_tokens: float, now_s: float) -> None:
-    """Undo the charge of a request that did not run after all."""
+    """Undo the charge of a request that did not run."""
     fill(limits.requests, now_s)
     limits.requests.level = min(limits.requests.depth, limits.requests.level + 1.0)
     finish(limits, cost_tokens, 0.0, now_s)
@@ -141,13 +141,13 @@
 def limit_wait_s(limits, ahead, ahead_tokens, cost_tokens, run_s, now_s) -> float:
     """Return the wait behind the customer's own limits, with its requests ahead.
 
-    `hold_s` is how long a request usually runs.
+    `run_s` is how long a request usually runs.
     """
     needed = ahead_tokens + min(cost_tokens, limits.tokens.depth)
     tokens_s = bucket_wait_s(limits.tokens, needed, now_s)
     requests_s = bucket_wait_s(limits.requests, ahead + 1.0, now_s)
-    # An entry without a slot of its own now will be leased one; waiting for it is as
-    # long as waiting for another's request to end.
+    # An entry that has no slot now will be leased one; that takes as long as waiting
+    # for another request to end.
     slots = max(1, limits.share.concurrency)
     free = slots - limits.running
     slots_s = 0.0
@@ -157,7 +157,7 @@
 
 
 def request_interval_s(limits: Limits, cost_tokens: float) -> float:
-    """Return the time in which the limits make room for one such request."""
+    """Return the interval at which the limits admit requests of this cost."""
     rates = limits.share
     if rates.requests_per_s <= 0 or rates.tokens_per_s <= 0:
         return math.inf
@@ -165,14 +165,14 @@
 
 
 def note_offer(limits: Limits, cost_tokens: float, now_s: float) -> None:
-    """Count an offered request, let in or not, in the demand."""
+    """Count an offered request, admitted or not, in the demand."""
     _decay(limits, now_s)
     limits.offered_requests += 1.0 / DEMAND_WINDOW_S
     limits.offered_tokens += cost_tokens / DEMAND_WINDOW_S
 
 
 def demand_of(limits: Limits, waiting, waiting_tokens, now_s: float) -> Share:
-    """Return the share that would serve the offered load and what waits of it."""
+    """Return the share that would serve the offered load and the queued requests."""
     _decay(limits, now_s)
     return Share(
         limits.offered_requests + waiting / DEMAND_WINDOW_S,
--- a/libs/policy/src/cherryrudder/policy/links.py
+++ b/libs/policy/src/cherryrudder/policy/links.py
@@ -1,15 +1,14 @@
-"""What a hop between two places costs, in seconds per token step.
+"""The time of a hop between two places, per token step.
 
-Load pattern: a chain may run within one VM, across data centres, or across regions, and
-the links differ a hundredfold.
-Without it: chains are joined of the fastest accelerators wherever they stand, and each
-token waits for the slow links between them.
+A chain may run within one VM, across data centres, or across regions, and the latency
+of the links differs a hundredfold. If chains were made of the fastest accelerators
+wherever they are, each token would wait for the slow links between them.
 """
 
 from cherryrudder.model.endpoints import Place
 
-# One way within a VM is a copy; within a data centre a switch; the users' data centres
-# are a quarter of a millisecond apart. Regions are some thousand kilometres apart.
+# One-way times: within a VM a copy, within a data centre a switch. The users' data
+# centres are a quarter of a millisecond apart, regions some thousand kilometres.
 SAME_VM_S = 0.00002
 SAME_CENTRE_S = 0.0001
 SAME_REGION_S = 0.00025
@@ -17,19 +16,19 @@
 
 
 class Links:
-    """Hop times, measured where they have been, else by distance."""
+    """Hop times: measured ones where available, else estimates by distance."""
 
     def __init__(self):
         self.measured_s: dict[tuple[str, str], float] = {}
 
 
 def set_measured(links: Links, from_centre: str, to_centre: str, hop_s: float) -> None:
-    """Put a measured hop time between two data centres in place of the usual one."""
+    """Set the measured hop time between two data centres."""
     links.measured_s[from_centre, to_centre] = hop_s
 
 
 def hop_s(links: Links, start: Place | None, end: Place | None) -> float:
-    """Return the time of one hop; nothing where a place isn't known."""
+    """Return the time of one hop; 0 if a place is unknown."""
     if start is None or end is None:
         return 0.0
     if start.vm == end.vm:
--- a/libs/policy/src/cherryrudder/policy/otherload.py
+++ b/libs/policy/src/cherryrudder/policy/otherload.py
@@ -1,14 +1,14 @@
-"""What the other entries have running on each engine, between two words of it.
+"""Estimate of the streams that the other entries have running on each engine.
 
-Load pattern: some dozens of entries place streams, and each hears twice a second what
-the others have running. Between two words all of them see the same engine as the least
-used one and send everything there: one copy of a range has several times the streams
-of another, engines refuse for want of room, and each refusal costs a retry.
+Some dozens of entries place streams, and each receives twice a second what the others
+have running. Between two reports all of them see the same engine as the least used one
+and send everything there: one copy of a range has several times the streams of another,
+engines refuse for lack of capacity, and each refusal costs a retry.
 
-All entries of a data centre get alike shares of its callers and choose in the same way.
-So what this entry has added to an engine since the last word, each of the others has
-added as well, on the average. It is a poor guess for one engine at one moment, but it
-is right in sum, and it makes an entry turn to another copy after each choice.
+All entries of a data centre get similar shares of its callers and choose in the same
+way. So each of the others is assumed to have added as much to an engine since the last
+report as this entry has. This is a poor estimate for one engine at one moment, but its
+sum is right, and it makes an entry choose another copy after each choice.
 """
 
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 
 class Load(NamedTuple):
-    """What runs through one engine; `firsts` are streams whose chain begins there."""
+    """What runs on one engine; `firsts` are streams whose chain begins there."""
 
     running: float = 0.0
     tokens: float = 0.0
@@ -27,7 +27,7 @@
 
 
 class OtherLoad:
-    """The last word on the other entries, and what this one had running then."""
+    """The last report on the other entries, and this entry's own load at that time."""
 
     def __init__(self):
         self.told: dict[str, Load] = {}
@@ -36,24 +36,24 @@
 
 
 def note_beat(load: OtherLoad, own: Mapping[str, Load]) -> None:
-    """Take note of what this entry has running as it tells the others."""
+    """Record this entry's load as it is sent to the others."""
     load._own_last_sent = dict(own)
 
 
 def hear(load: OtherLoad, told: Mapping[str, Load]) -> None:
-    """Take what the others had running.
+    """Store the load of the other entries.
 
-    They told it at different moments of the last half second; of this entry it is
-    compared with what it had at the beat that was answered.
+    They reported it at different moments of the last half second. It is compared with
+    this entry's own load at its report that was answered.
     """
     load.told = dict(told)
     load.own_then = load._own_last_sent
 
 
 def estimate(load: OtherLoad, address: str, own: Load, peers: float) -> Load:
-    """Return what all other entries have running on an engine by now.
+    """Return the current load of all other entries on an engine.
 
-    `peers` is how many of them send to it as much as this one.
+    `peers` is the number of entries that send to it as much as this one.
     """
     told = load.told.get(address, NONE)
     then = load.own_then.get(address, NONE)
--- a/libs/policy/src/cherryrudder/policy/permits.py
+++ b/libs/policy/src/cherryrudder/policy/permits.py
@@ -1,54 +1,54 @@
 """Permits to send to an endpoint that limits the requests of all its senders together.
 
-Load pattern: an endpoint in need takes a few requests a second, before up to hundreds
-of entries of which some have all the callers. Parted evenly, a limit of 2 a second is
-one request in minutes for each of 370 entries, and those without callers leave most of
-it unused; each for itself, they send it many times the limit.
-
-One issuer for each endpoint hands out its permits one by one, for requests that are
-there. An entry asks when a request could begin at the endpoint, and sends it elsewhere
-when none is free. An unused permit lapses soon, so that permits of an issuer that was
-replaced don't add up with the next one's.
+An overloaded endpoint accepts a few requests a second, from up to hundreds of entries,
+some of which have all the callers. Divided evenly, a limit of 2 a second is one request
+in minutes for each of 370 entries, and the entries without callers leave most of it
+unused. Entries that each apply the whole limit send many times as much.
+
+One issuer for each endpoint issues its permits one by one, for actual requests. An
+entry asks for one when a request could begin at the endpoint, and sends it elsewhere if
+none is free. An unused permit expires soon, so that the permits of a replaced issuer do
+not add to those of the next one.
 """
 
 from typing import NamedTuple
 
-# Of the limit, so that a permit that was granted late in one second and used early in
-# the next doesn't put that one over the limit.
+# Fraction of the limit that is issued. A permit that is issued late in one second and
+# used early in the next must not exceed the limit of that one.
 SAFE_SHARE = 0.95
-# An endpoint is asked at least this often whether its limit still holds.
+# The lowest rate of permits, so that an endpoint still gets requests that show whether
+# its limit holds.
 MIN_PER_S = 0.1
-# Beside one whole permit, what comes free within this time is saved up for whoever asks
-# next.
+# Besides one whole permit, the issuer saves up what becomes free within this time.
 BURST_S = 0.25
-# A permit is for a request that waits for it: its entry uses it at once.
+# A permit is for a request that waits for it, so its entry uses it at once.
 PERMIT_LIFETIME_S = 0.25
-# Entries that were told to wait count for this long if they don't come back.
+# Entries that got no permit count as waiting for this long if they do not ask again.
 WAITING_LIFETIME_S = 2.0
-# Between two asks of an entry that got no permit, at least and at most.
+# Shortest and longest pause of an entry that got no permit.
 MIN_PAUSE_S = 0.02
 MAX_PAUSE_S = 1.0
-# Asks without an answer for this long say that nobody gives permits.
+# After this long without an answer there is no issuer.
 ISSUER_TIMEOUT_S = 2.0
-# An ask this old is no longer waited for.
+# How long an answer is waited for.
 ANSWER_TIMEOUT_S = 0.3
 
 
 class Grant(NamedTuple):
-    """An issuer's answer to one ask."""
+    """An issuer's answer to one request for permits."""
 
     permits: int
-    # Until the next permit is free, for whoever asks first then.
+    # Time until the next permit is free, for whichever entry asks first then.
     next_s: float = 0.0
-    # Until all that wait now will have had one.
+    # Time until all entries that wait now will have had one.
     wait_s: float = 0.0
 
 
 class Issuer:
-    """The permits of one endpoint, at the process that hands them out."""
+    """The permits of one endpoint, at the process that issues them."""
 
     def __init__(self, now_s: float):
-        # None to begin with: another issuer may have handed out permits until now.
+        # None at first: another issuer may have issued permits until now.
         self.saved = 0.0
         self.filled_s = now_s
         # Senders that wait for a permit, and when they last asked.
@@ -56,7 +56,7 @@
 
 
 def issue(issuer: Issuer, sender: str, count: int, per_s: float, now_s: float) -> Grant:
-    """Hand out as many permits of those asked for as the limit has left."""
+    """Issue as many of the requested permits as the limit allows."""
     rate = max(SAFE_SHARE * per_s, MIN_PER_S)
     most = 1.0 + rate * BURST_S
     issuer.saved = min(most, issuer.saved + rate * (now_s - issuer.filled_s))
@@ -78,32 +78,32 @@
 
 
 class Holder:
-    """The permits of one endpoint that an entry has, and its asks for more."""
+    """An entry's permits for one endpoint, and its pending requests for more."""
 
     def __init__(self):
-        # Until when each permit may be used, earliest first.
+        # Expiry of each permit, earliest first.
         self.until_s: list[float] = []
-        # Asks whose answer isn't here yet.
+        # Requests for permits without an answer.
         self.pending = 0
         self.asked_s = float("-inf")
-        # The issuer has none before.
+        # The issuer has no permit before this time.
         self.not_before_s = float("-inf")
-        # When all that wait will have had their permit, as it said.
+        # When all waiting entries will have had a permit, according to the issuer.
         self.queue_served_s = float("-inf")
-        # Since when asks are not answered, None while they are.
+        # Start of the current period without answers, None if they arrive.
         self.unanswered_s: float | None = None
-        # When the entry last took an even part for want of an issuer.
+        # When the entry last sent without a permit, for lack of an issuer.
         self.fallback_s = float("-inf")
 
 
 def has_permit(holder: Holder, per_s: float, entries: int, now_s: float) -> bool:
-    """Tell whether a request may be sent now."""
+    """Return whether a request may be sent now."""
     holder.until_s = [until_s for until_s in holder.until_s if now_s < until_s]
     return bool(holder.until_s) or _has_fallback_permit(holder, per_s, entries, now_s)
 
 
 def use(holder: Holder, now_s: float) -> None:
-    """Take a permit for a request that is about to be sent."""
+    """Use up a permit for a request that is about to be sent."""
     if holder.until_s:
         holder.until_s.pop(0)
     else:
@@ -111,9 +111,10 @@
 
 
 def _has_fallback_permit(holder, per_s, entries, now_s):
-    """Tell whether an entry that reaches no issuer may send one request by itself.
+    """Return whether an entry without a reachable issuer may send one request.
 
-    It can't know of the others, so it takes no more than each of them could.
+    It has no information on the other entries, so it takes only an even part of the
+    limit.
     """
     if holder.unanswered_s is None or now_s - holder.unanswered_s < ISSUER_TIMEOUT_S:
         return False
@@ -122,12 +123,12 @@
 
 
 def may_ask(holder: Holder, now_s: float) -> bool:
-    """Tell whether the issuer may have a permit."""
+    """Return whether the issuer may have a permit by now."""
     return now_s >= holder.not_before_s
 
 
 def note_ask(holder: Holder, now_s: float) -> None:
-    """Count an ask that goes out."""
+    """Record that a request for a permit is sent."""
     if now_s - holder.asked_s > ANSWER_TIMEOUT_S:
         holder.pending = 0
     if holder.unanswered_s is None or now_s - holder.asked_s > ISSUER_TIMEOUT_S:
@@ -137,7 +138,7 @@
 
 
 def is_pending(holder: Holder, now_s: float) -> bool:
-    """Tell whether an answer that may bring a permit is under way."""
+    """Return whether an answer that may bring a permit is in flight."""
     return (
         holder.pending > 0
         and now_s - holder.asked_s < ANSWER_TIMEOUT_S
@@ -146,12 +147,12 @@
 
 
 def wait_s(holder: Holder, now_s: float) -> float:
-    """Return the time until the next permit that nobody waits for yet."""
+    """Return the seconds until a permit is free that no other entry waits for."""
     return max(0.0, holder.queue_served_s - now_s)
 
 
 def take(holder: Holder, grant: Grant, now_s: float) -> None:
-    """Take an issuer's answer."""
+    """Record an issuer's answer."""
     holder.pending = max(0, holder.pending - 1)
     holder.unanswered_s = None
     holder.until_s += [now_s + PERMIT_LIFETIME_S] * grant.permits
--- a/libs/policy/src/cherryrudder/policy/refusal.py
+++ b/libs/policy/src/cherryrudder/policy/refusal.py
@@ -1,14 +1,15 @@
-"""Estimate how long a request would wait, and refuse it honestly if that is too long.
-
-Load pattern: two to five times the platform's capacity for ten minutes, then back.
-Without it: the queue grows until every request in it is answered after its caller has
-gone, so goodput falls to nothing, and it stays so after the overload for as long as
-the queue takes to drain. Callers that are told no time to come back, or all the same
-time, return together and keep the overload alive.
-
-The drain rate is what runs divided by how long it runs (Little's law), in the
-estimated tokens in which the queue is counted too, so that an error of the estimate
-cancels. It is measured here and not taken from the engines' load reports, which lag.
+"""Wait estimates and refusals of requests that would wait too long.
+
+The load may be two to five times the platform's capacity for ten minutes, then normal
+again. If the queue grew, every request in it would be answered after its caller has
+gone: goodput would fall to nothing, and stay there after the overload for as long as
+the queue takes to drain. Callers that are refused without a time to come back, or all
+with the same time, return together and prolong the overload.
+
+The drain rate is the running work divided by its run time (Little's law). Both are in
+the estimated tokens in which the queue is counted too, so that an error of the estimate
+cancels out. The rate is measured here and not taken from the engines' load reports,
+which lag.
 """
 
 import math
@@ -16,30 +17,31 @@
 
 from cherryrudder.model.outcomes import Refusal
 
-# Each finished request keeps this part of the older mean: about fifty requests, enough
-# to smooth long and short ones and few enough to follow a lost endpoint in seconds.
+# Weight of the older mean at each finished request. It averages about fifty requests:
+# enough to smooth long and short ones, few enough to follow the loss of an endpoint
+# within seconds.
 MEAN_DECAY = 0.98
-# A model that can start nothing while nothing of it runs is taken for unserved after
-# this time: longer than a lost report or a restarted sidecar's next announcement.
+# A model that can start nothing while nothing of it runs counts as unserved after this
+# time: longer than a lost report or the next announcement of a restarted sidecar.
 UNSERVED_S = 1.0
-# What a caller is told when nothing drains at all and no estimate can be made: the time
-# in which a lost endpoint is noticed and replaced.
+# Used when nothing drains and no estimate is possible: the time in which a lost
+# endpoint is detected and replaced.
 DEFAULT_RETRY_AFTER_S = 5.0
-# Nobody is sent away for longer: past a minute the estimate says nothing.
+# The longest time to come back: beyond a minute the estimate is meaningless.
 MAX_RETRY_AFTER_S = 60.0
-# A run half as long again as the mean is common (uncached prompts, long answers), and
-# a request that ends past its deadline has wasted its whole run.
+# A run half as long again as the mean is common (uncached prompts, long answers), and a
+# request that ends after its deadline has wasted its whole run.
 RUN_MARGIN = 1.5
-# Credits that are asked for come within a round trip, or with the next report.
+# Requested credits arrive within a round trip, or with the next report.
 CREDIT_WAIT_S = 0.3
-# Without a blocked request for so long a model counts as idle.
+# A model counts as idle after this long without a blocked request.
 IDLE_AFTER_S = 1.0
-# A refusal always asks for some pause, the least that a caller's timer keeps.
+# The shortest time to come back: the resolution of callers' timers.
 MIN_RETRY_AFTER_S = 0.1
 
 
 class Drain:
-    """How fast the running work of one model makes room."""
+    """How fast the running requests of one model free capacity."""
 
     def __init__(self):
         self.running_tokens = 0.0
@@ -60,12 +62,12 @@
 
     @property
     def total_s(self) -> float:
-        """Return the longer one; both pass at the same time."""
+        """Return the longer one; both waits pass at the same time."""
         return max(self.limit_s, self.platform_s)
 
 
 def note_start(drain: Drain, cost_tokens: float, now_s: float) -> None:
-    """Count a request that starts."""
+    """Record a request that starts."""
     if drain.running_tokens <= 0:
         drain.no_finish_since_s = now_s
     drain.running_tokens += cost_tokens
@@ -73,7 +75,7 @@
 
 
 def note_finish(drain: Drain, cost_tokens, duration_s: float, now_s: float) -> None:
-    """Count a request that ran `duration_s` and has ended."""
+    """Record a request that ended after `duration_s`."""
     drain.running_tokens = max(0.0, drain.running_tokens - cost_tokens)
     drain.no_finish_since_s = now_s
     drain.finished_tokens = drain.finished_tokens * MEAN_DECAY + cost_tokens
@@ -83,26 +85,27 @@
 
 
 def note_blocked(drain: Drain, now_s: float) -> None:
-    """Note that no endpoint takes the model's next request."""
+    """Record that no endpoint can accept the model's next request."""
     if drain.blocked_since_s is None:
         drain.blocked_since_s = now_s
     # A burst on an idle platform finds few credits, since an entry without load holds
-    # few; more are under way. Calling that full would refuse callers for whom there is
-    # room. Where requests wait all the time, credits are asked for all the time.
+    # few, but more have been requested. Treating this as full would refuse callers for
+    # whom there is capacity. While requests wait all the time, credits are requested
+    # all the time.
     if now_s - drain.last_blocked_s > IDLE_AFTER_S:
         drain.credits_due_s = now_s + CREDIT_WAIT_S
     drain.last_blocked_s = now_s
 
 
 def mean_run_s(drain: Drain) -> float:
-    """Return how long requests run, by tokens; 0 if none has finished yet."""
+    """Return the mean run time weighted by tokens; 0 if none has finished yet."""
     if not drain.finished_tokens:
         return 0.0
     return drain.finished_token_s / drain.finished_tokens
 
 
 def run_s(drain: Drain, cost_tokens: float) -> float:
-    """Return in what time a request of that cost should have run; 0 if unknown."""
+    """Return the time within which such a request should finish; 0 if unknown."""
     if not drain.finished_tokens:
         return 0.0
     mean_s = cost_tokens * drain.finished_s / drain.finished_tokens
@@ -110,22 +113,22 @@
 
 
 def drain_rate(drain: Drain, now_s: float) -> float | None:
-    """Return the tokens per second that make room, or None when it isn't known."""
+    """Return the tokens per second that are freed, or None if unknown."""
     if drain.running_tokens <= 0:
         blocked_s = drain.blocked_since_s
         is_unserved = blocked_s is not None and now_s - blocked_s >= UNSERVED_S
         return 0.0 if is_unserved else None
-    # The time since the last finish bounds the rate from above. Without it, frozen
-    # engines would keep the rate of before and callers would wait for nothing.
+    # The time since the last finish limits the rate from above. Otherwise frozen
+    # engines would keep their previous rate and callers would wait in vain.
     lasted_s = max(mean_run_s(drain), now_s - drain.no_finish_since_s)
     return drain.running_tokens / lasted_s if lasted_s > 0 else None
 
 
 def platform_wait_s(drain: Drain, ahead_tokens: float, now_s: float) -> float:
-    """Return the wait behind that many tokens; 0 while the rate isn't known."""
-    # While endpoints have room, what runs is held down by customers' own limits and
-    # says nothing of the platform's rate: callers past their own limit would be told
-    # that the platform is full.
+    """Return the wait behind that many tokens; 0 while the rate is unknown."""
+    # While endpoints have capacity, the running requests are held down by customers'
+    # own limits and do not show the platform's rate: callers beyond their own limit
+    # would be told that the platform is full.
     if drain.blocked_since_s is None or now_s < drain.credits_due_s:
         return 0.0
     rate = drain_rate(drain, now_s)
@@ -135,7 +138,7 @@
 
 
 class RetrySchedule:
-    """When the callers that were sent away last were told to come back."""
+    """The times at which refused callers were told to come back."""
 
     def __init__(self):
         self.next_s: dict[tuple[str, str], float] = {}
@@ -144,11 +147,12 @@
 def retry_after_s(
     schedule: RetrySchedule, key, over_s: float, interval_s: float, now_s
 ) -> float:
-    """Return when to come back: once the wait has fallen by `over_s`, one by one.
+    """Return when to come back, in seconds: once the wait has fallen by `over_s`.
 
-    `turn_s` is the time in which the limit makes room for one such request. Callers
-    that are refused together get turns one after the other; if all were told the same
-    time they would come back as one burst, and all but the first be refused again.
+    `interval_s` is the time in which the limit frees capacity for one such request.
+    Callers that are refused together get times one after the other. With the same time
+    for all they would come back as one burst, and all but the first would be refused
+    again.
     """
     if math.isinf(over_s) or math.isinf(interval_s):
         return DEFAULT_RETRY_AFTER_S
@@ -158,18 +162,18 @@
 
 
 def drop_customer(schedule: RetrySchedule, customer: str) -> None:
-    """Drop the turn of a customer whose contract has ended."""
+    """Drop the state of a customer whose contract has ended."""
     schedule.next_s.pop((customer, ""), None)
 
 
 def own_limit(retry_s: float) -> Refusal:
-    """Return the refusal of a request past its customer's own limit."""
+    """Return the refusal of a request that exceeds its customer's own limit."""
     message = "The contract's limit is used up; the request did not run."
     return Refusal(429, "own-limit", message, retry_s)
 
 
 def platform_full(retry_s: float) -> Refusal:
-    """Return the refusal of a request for which the platform has no room in time."""
+    """Return the refusal of a request that the platform cannot serve in time."""
     message = "The platform has no room in time; the request did not run."
     return Refusal(503, "platform-full", message, retry_s)
 
@@ -181,7 +185,7 @@
 
 
 def not_covered(model: str) -> Refusal:
-    """Return the refusal of a model or service that the contract doesn't name."""
+    """Return the refusal of a model or service that is not in the contract."""
     message = f"The contract does not cover {model!r}; the request did not run."
     return Refusal(403, "not-covered", message, 0.0)
 
--- a/libs/policy/src/cherryrudder/policy/retries.py
+++ b/libs/policy/src/cherryrudder/policy/retries.py
@@ -1,12 +1,11 @@
-"""Whether a failed request may be sent again.
+"""Decision whether a failed request may be retried.
 
-Load pattern: endpoints fail under overload, and each failure is answered with another
-attempt. Without it: with three attempts each, the load triples just when the platform
-is full, and it stays so after the cause has gone (a retry storm). A call that may not
-be repeated would run twice.
+If every failure under overload were answered with another attempt, three attempts each
+would triple the load just when the platform is full, and keep it there after the cause
+has gone (a retry storm). A call that must not be repeated would run twice.
 
-A request is sent again only if its call is idempotent or has certainly not run, if its
-deadline leaves time for it, and if the budget allows it.
+A request is retried only if its call is idempotent or has certainly not run, if its
+deadline leaves enough time, and if the budget allows it.
 """
 
 from enum import StrEnum
@@ -15,16 +14,16 @@
 # One retry per ten requests: the most by which retries can raise the load, and enough
 # for the loss of one endpoint in ten.
 EARNED_PER_REQUEST = 0.1
-# Saved-up retries, so that the requests in flight at a lost endpoint (some tens) can
-# all be sent again at once.
+# Retries that can be saved up, so that the requests in flight at a lost endpoint (some
+# tens) can all be retried at once.
 MAX_SAVED = 50.0
-# A new process has something to spend before its first hundred requests.
+# Initial budget of a new process, for its first hundred requests.
 FIRST_SAVED = 10.0
 MAX_ATTEMPTS = 3
 
 
 class Verdict(StrEnum):
-    """Whether a request is sent again, and if not, why."""
+    """Whether a request is retried, and if not, why."""
 
     RETRY = "retry"
     MAY_HAVE_RUN = "may-have-run"
@@ -45,7 +44,7 @@
 
 
 class RetryBudget:
-    """How many retries the requests so far have earned."""
+    """The retries that the requests so far have earned."""
 
     def __init__(
         self,
@@ -58,13 +57,13 @@
 
 
 def note_request(budget: RetryBudget) -> None:
-    """Earn a part of a retry for a first attempt."""
+    """Earn a fraction of a retry for a first attempt."""
     earned = budget.saved + budget.earned_per_request
     budget.saved = min(budget.max_saved, earned)
 
 
 def may_retry(budget: RetryBudget, attempt: Attempt, now_s: float) -> Verdict:
-    """Decide about a failed attempt, and spend from the budget if it is sent again."""
+    """Decide whether a failed attempt may be retried, and charge the budget for it."""
     if not attempt.is_idempotent and not attempt.is_certain_not_run:
         return Verdict.MAY_HAVE_RUN
     if now_s + attempt.expected_s >= attempt.deadline_s:
--- a/libs/policy/src/cherryrudder/policy/roles.py
+++ b/libs/policy/src/cherryrudder/policy/roles.py
@@ -1,35 +1,35 @@
-"""Which engines are ordered to another model, version or role when demand moves.
-
-Load pattern: a consultation opens and the demand moves from briefings to summaries
-within minutes, with bursts and lulls of seconds on top.
-Without it: engines of one model stand idle while requests for another are refused. With
-orders that follow each burst, engines load weights all day and serve nothing while they
-load, and the weight store, which is rate-limited, becomes the bottleneck.
-
-An order needs a shortage that has lasted, an engine whose own job has room even without
-it, and a turn at the weight store. The shortage at which engines come (high) and the
-load up to which they are let go (low) lie far apart, so that no engine moves to and
-fro.
+"""Assignment of engines to another model, version or role when the demand shifts.
+
+When a consultation opens, the demand shifts from briefings to summaries within minutes,
+with bursts and lulls of seconds on top. Without reassignment engines of one model are
+idle while requests for another are refused. If engines followed each burst, they would
+load weights all day and serve nothing meanwhile, and the rate-limited weight store
+would become the bottleneck.
+
+An order requires a shortage that has lasted, an engine whose own job has enough
+capacity without it, and a free load at the weight store. The load that counts as a
+shortage (high) is far above the load up to which a job gives up engines (low), so that
+no engine moves back and forth.
 """
 
 from typing import NamedTuple
 
 from .limits import Bucket, bucket_wait_s, fill
 
-# Past this part of its capacity a job's waits grow steeply: at 85% a queue with random
-# arrivals is already some six requests long.
+# Above this fraction of its capacity a job's waits grow steeply: at 85% a queue with
+# random arrivals is already some six requests long.
 HIGH_LOAD = 0.85
-# A job lets an engine go only if it stays below this without it.
+# A job gives up an engine only if its load stays below this without it.
 LOW_LOAD = 0.6
 # How long a shortage has to last: longer than a burst, shorter than a consultation.
 MIN_SHORTAGE_S = 20.0
-# An engine that has moved stays, so that loading costs it a small part of its time:
-# weights of tens of gigabytes take about a minute.
+# The least time between two moves of an engine, so that loading takes a small part of
+# its time: weights of tens of gigabytes take about a minute to load.
 MIN_STAY_S = 600.0
 
 
 class Job(NamedTuple):
-    """What an engine is ordered to do."""
+    """What an engine serves: a model version, a role and a layer range."""
 
     model: str
     version: str
@@ -39,7 +39,7 @@
 
 
 class Engine(NamedTuple):
-    """An engine that can take orders; `jobs` are those that it is able to do."""
+    """An engine that accepts orders; `jobs` are those that it can do."""
 
     endpoint: str
     job: Job
@@ -49,26 +49,27 @@
 
 
 class Order(NamedTuple):
-    """An order to an engine to take up another job."""
+    """An order to an engine to change its job."""
 
     endpoint: str
     job: Job
 
 
 class Planner:
-    """What has been short for how long, and which engines have moved."""
+    """The shortages and how long they have lasted, and the engines that were moved."""
 
     def __init__(self, loads_per_s, now_s):
-        # One load at a time: the store's rate is shared by all that load at once.
+        # One load at a time: concurrent loads share the store's rate.
         self.store = Bucket(loads_per_s, 1.0, now_s)
         self.short_since_s: dict[Job, float] = {}
         self.moved_s: dict[str, float] = {}
 
 
 def plan(planner, demands: dict[Job, float], engines: list[Engine], now_s: float):
-    """Return the order to give now, as an `Order`, or None.
+    """Return the `Order` to send now, or None.
 
-    `demands` are tokens per second asked for, refused ones included.
+    `demands` are the requested tokens per second of each job, including refused
+    requests.
     """
     capacity = dict.fromkeys(demands, 0.0)
     for engine in engines:
@@ -83,7 +84,7 @@
         for job, since_s in planner.short_since_s.items()
         if now_s - since_s >= MIN_SHORTAGE_S
     ]
-    # The job that lacks most comes first.
+    # The job with the largest shortage comes first.
     ready.sort(key=lambda job: capacity[job] - demands[job])
     for job in ready:
         engine = _find_donor(planner, job, demands, capacity, engines, now_s)
@@ -96,7 +97,7 @@
     fill(planner.store, now_s)
     planner.store.level -= 1.0
     planner.moved_s[engine.endpoint] = now_s
-    # The engine has to load before it shows in the capacity: wait for that.
+    # The engine adds to the capacity only after loading, so the shortage is timed anew.
     planner.short_since_s.pop(job, None)
     return Order(engine.endpoint, job)
 
@@ -112,7 +113,7 @@
 
 
 def _find_donor(planner, job, demands, capacity, engines, now_s):
-    """Return the engine whose own job misses it least, or None."""
+    """Return the engine whose job has the lowest load without it, or None."""
     best, best_load = None, LOW_LOAD
     for engine in engines:
         if not engine.is_available or engine.job == job or job not in engine.jobs:
@@ -122,7 +123,7 @@
             continue
         left = capacity[engine.job] - engine.tokens_per_s
         demand = demands.get(engine.job, 0.0)
-        # Never the last engine of a job: its next request would find none.
+        # Never move the last engine of a job: its next request would find none.
         if left <= 0:
             continue
         if demand / left < best_load:
--- a/libs/policy/src/cherryrudder/policy/roomqueue.py
+++ b/libs/policy/src/cherryrudder/policy/roomqueue.py
@@ -1,67 +1,69 @@
-"""Who gets the room that comes free on full engines, and who is told to come back.
-
-Load pattern: engines die and take a part of the layers with them, or a partner floods;
-for some seconds more streams come than the rest has room for, and room comes free as
-others end. Without an order each waiting stream tries by itself: who comes in at the
-right moment is served, a flooding account gets its part of the arrivals, streams that
-are late already take the room that others could use in time, and each try costs a
-search through all chains.
-
-Order: answers that have begun and were interrupted go first; their clients see them
-stand still and leave within seconds, and what they have is worth nothing without the
-rest. Streams that can still meet their objective go before those that can't, as a late
-answer is worth a quarter of one in time. Within each rank, accounts take turns by
-the tokens that they were given (start-time fair queueing with equal weights), and an
-account's streams go by arrival. The first one that finds no room holds the others up,
-since small ones that slip by would starve the large.
-
-Nobody waits longer than its client does, and nobody who can't be reached in that time
-by the rate at which room came free is let in: it is refused at once, with that time. An
-answer that has begun can't be refused any more, so it waits as long as its client.
+"""Queue of the streams that wait for capacity on full engines.
+
+When engines die with a part of the layers, or one account sends too much, more streams
+arrive for some seconds than the remaining engines can run, and capacity becomes free as
+others end. Without an order each waiting stream retries by itself: whichever tries at
+the right moment is served, an account with excessive load gets its part of the
+arrivals, streams that are already late take capacity that others could use in time, and
+each attempt costs a search through all chains.
+
+Interrupted answers that have begun go first: their clients see them stop and leave
+within seconds, and the part that they have is worthless without the rest. Streams that
+can still meet their objective go before those that cannot, as a late answer is worth a
+quarter of one in time. Within each rank, accounts take turns by the tokens that they
+were given (start-time fair queueing with equal weights), and an account's streams go by
+arrival. The first stream that does not fit blocks the others, since small ones that
+overtake it would starve the large.
+
+No stream waits longer than its client does. A stream that cannot be reached in that
+time at the current rate is refused at once, with that time. An answer that has begun
+can no longer be refused, so it waits as long as its client.
 """
 
 from collections.abc import Container
 from typing import NamedTuple
 
-# Weight of the newest turn in the rate at which room comes free. A turn comes some ten
-# times a second on a full entry, so that a second is remembered. Tokens and times are
-# remembered each by itself: the mean of their quotients is far too high, as several
-# turns come at almost the same moment.
+# Weight of the newest admission in the rate at which capacity is freed. A full entry
+# admits some ten streams a second, so the mean covers a second. Tokens and gaps are
+# averaged separately: the mean of their quotients is far too high, as several
+# admissions come at almost the same moment.
 RATE_WEIGHT = 0.1
-# Turns before the rate counts; the first ones after a calm say little.
+# Admissions before the rate is used; the first ones after an idle period are not
+# representative.
 MIN_ADMISSIONS = 5
-# The ranks, first to last.
+# Ranks, in the order in which they are served.
 BEGUN, IN_TIME, LATE = range(3)
-# Streams that wait at one entry at the most. At a thousand bytes each it bounds the
-# memory, and at ten turns a second nobody behind it would be reached.
+# The most streams that wait at one entry. At a thousand bytes each it limits the
+# memory, and at ten admissions a second no stream behind it would be reached.
 MAX_WAITING = 256
 
 
 class Waiting(NamedTuple):
-    """A stream that waits for room; times are by the entry's own clock."""
+    """A stream that waits for capacity; times are by the entry's own clock."""
 
-    # Differs from those of all others that wait.
+    # Unique among the waiting streams.
     request_id: str
     account: str
     tokens: float
     arrived_s: float
-    # Until then its first event can still be in time.
+    # Until then its first event can still meet the objective.
     in_time_until_s: float
-    # Then its client is about to leave, or its answer is refused.
+    # Then its client is about to leave, or the stream is refused.
     give_up_s: float
-    # Its client has a part of the answer already.
+    # Its client already has a part of the answer.
     has_begun: bool = False
 
 
 class RoomQueue:
-    """The streams of one entry that wait for room."""
+    """The streams of one entry that wait for capacity."""
 
     def __init__(self):
         self.waiting: dict[str, Waiting] = {}
-        # What each account was given, in tokens; only differences count.
+        # Tokens that each account was given; only differences count.
         self.tags: dict[str, float] = {}
         self.virtual_time = 0.0
-        # Of a usual turn: the tokens that got room, and the time since the one before.
+        # Means over the admissions: the tokens of a stream, and the time since the
+        # previous one.
         self.mean_admitted_tokens = 0.0
         self.mean_gap_s = 0.0
         self.admissions = 0
@@ -69,7 +71,7 @@
 
 
 def ahead_tokens(queue: RoomQueue, request: Waiting, now_s: float) -> float:
-    """Return the tokens that are given room before a new request."""
+    """Return the tokens of the streams that are admitted before a new request."""
     return sum(
         other.tokens
         for other in queue.waiting.values()
@@ -78,21 +80,21 @@
 
 
 def expected_wait_s(queue: RoomQueue, tokens: float) -> float:
-    """Return how long room for so many tokens takes to come free, 0 if unknown."""
+    """Return the seconds until capacity for this many tokens is free, 0 if unknown."""
     if queue.admissions < MIN_ADMISSIONS:
         return 0.0
     return tokens * queue.mean_gap_s / queue.mean_admitted_tokens
 
 
 def push(queue: RoomQueue, request: Waiting, now_s: float) -> float | None:
-    """Let a request wait; else return in how many seconds there may be room."""
+    """Queue a request; if it is refused, return after how many seconds to come back."""
     ahead = ahead_tokens(queue, request, now_s)
     wait_s = expected_wait_s(queue, ahead + request.tokens)
     would_expire = not request.has_begun and now_s + wait_s > request.give_up_s
     if len(queue.waiting) >= MAX_WAITING or would_expire:
         return wait_s
     if not queue.waiting:
-        # Time without anybody waiting says nothing of the room that came free.
+        # Time without waiting streams does not show how fast capacity is freed.
         queue.last_admitted_s = None
     queue.waiting[request.request_id] = request
     return None
@@ -101,7 +103,7 @@
 def first(
     queue: RoomQueue, now_s: float, skipped: Container[str] = ()
 ) -> Waiting | None:
-    """Return the request that is next to get room."""
+    """Return the request that is admitted next."""
     usable = [r for r in queue.waiting.values() if r.request_id not in skipped]
     return min(usable, key=lambda r: _order(queue, r, now_s), default=None)
 
@@ -118,14 +120,14 @@
 
 
 def started(queue: RoomQueue, request_id: str, now_s: float) -> None:
-    """Take a request out that was given room."""
+    """Remove a request that was given capacity."""
     request = queue.waiting.pop(request_id)
     tag = max(queue.tags.get(request.account, 0.0), queue.virtual_time)
     queue.virtual_time = tag
     queue.tags[request.account] = tag + request.tokens
     _record_admission(queue, request.tokens, now_s)
     if not queue.waiting:
-        # Nobody is ahead of anybody any more.
+        # With no stream waiting, no account is ahead of another.
         queue.tags.clear()
         queue.virtual_time = 0.0
 
@@ -141,12 +143,12 @@
 
 
 def remove(queue: RoomQueue, request_id: str) -> None:
-    """Take a request out that waits no longer."""
+    """Remove a request that no longer waits."""
     queue.waiting.pop(request_id, None)
 
 
 def take_expired(queue: RoomQueue, now_s: float) -> list[Waiting]:
-    """Take out the requests that have waited as long as their clients will."""
+    """Remove and return the requests whose wait has expired."""
     expired = [r for r in queue.waiting.values() if now_s >= r.give_up_s]
     for request in expired:
         del queue.waiting[request.request_id]
