--- a/libs/policy/src/cherryrudder/policy/admission.py
+++ b/libs/policy/src/cherryrudder/policy/admission.py
@@ -110,7 +110,7 @@
     estimated = cost.estimate(
         admission.costs, asked.customer, asked.model, asked.prompt_tokens, max_tokens
     )
-    limits.note_offer(own, estimated.cost_tokens, now_s)
+    limits.record_offer(own, estimated.cost_tokens, now_s)
     if _may_start(admission, asked, own, estimated, now_s):
         _start(admission, asked, estimated, now_s, now_s)
         return Admitted(estimated.cost_tokens)
@@ -127,7 +127,7 @@
     limits.refund(own, running.cost.cost_tokens, now_s)
     drain = admission.drains[running.offer.model]
     drain.running_tokens -= running.cost.cost_tokens
-    refusal.note_blocked(drain, now_s)
+    refusal.record_blocked(drain, now_s)
     tokens = running.cost.cost_tokens
     fairqueue.adjust_start_tag(admission.queue, running.offer.customer, -tokens)
     asked, estimated = running.offer, running.cost
@@ -171,7 +171,7 @@
     limits.finish(admission.limits[customer], tokens, used_tokens, now_s)
     fairqueue.adjust_start_tag(admission.queue, customer, used_tokens - tokens)
     drain = admission.drains[running.offer.model]
-    refusal.note_finish(drain, tokens, now_s - running.started_s, now_s)
+    refusal.record_finish(drain, tokens, now_s - running.started_s, now_s)
     # A cancelled request ended early, so its length says nothing about others.
     if not running.is_cancelled:
         answer = max(0.0, used_tokens - running.offer.prompt_tokens)
@@ -214,7 +214,7 @@
     tokens = estimated.cost_tokens
     limits.charge(admission.limits[asked.customer], tokens, now_s)
     fairqueue.charge_start(admission.queue, asked.customer, tokens)
-    refusal.note_start(_drain(admission, asked.model), tokens, now_s)
+    refusal.record_start(_drain(admission, asked.model), tokens, now_s)
     running = Running(asked, estimated, arrived_s, now_s)
     admission.running[asked.request_id] = running
 
@@ -323,7 +323,7 @@
             started.append(_start_queued(admission, request, now_s))
         else:
             blocked.add(request.model)
-            refusal.note_blocked(_drain(admission, request.model), now_s)
+            refusal.record_blocked(_drain(admission, request.model), now_s)
         if customer in queue.active:
             heapq.heappush(order, (flow.start_tag, customer))
     return started, skipped
--- a/libs/policy/src/cherryrudder/policy/affinity.py
+++ b/libs/policy/src/cherryrudder/policy/affinity.py
@@ -86,12 +86,12 @@
         drop_endpoint(view, endpoint)
     view.numbers[endpoint] = event.number
     if event.is_stored:
-        note_stored(view, endpoint, event.prefix)
+        record_stored(view, endpoint, event.prefix)
     elif holds(view, endpoint, event.prefix):
         _drop(view, endpoint, event.prefix)
 
 
-def note_stored(view: CacheView, endpoint: str, prefix: str) -> None:
+def record_stored(view: CacheView, endpoint: str, prefix: str) -> None:
     """Record that an endpoint probably holds a prefix, as its most recent one."""
     known = view.prefixes.setdefault(endpoint, {})
     known.pop(prefix, None)
--- a/libs/policy/src/cherryrudder/policy/dispatch.py
+++ b/libs/policy/src/cherryrudder/policy/dispatch.py
@@ -282,7 +282,7 @@
     for stage in chain.stages:
         placement.began(dispatcher.fleet, stage.endpoint, now_s)
     if work.prefix:
-        placement.note_sent(dispatcher.fleet, chain, work.prefix)
+        placement.record_sent(dispatcher.fleet, chain, work.prefix)
     names = tuple(stage.endpoint for stage in chain.stages)
     dispatcher.placed[request_id] = Placed(names, chain.expected_s)
     dispatcher.effects.append(Send(request_id, chain.stages, chain.expected_s))
--- a/libs/policy/src/cherryrudder/policy/ejection.py
+++ b/libs/policy/src/cherryrudder/policy/ejection.py
@@ -96,7 +96,7 @@
     return health.good_probes < REQUIRED_PROBES
 
 
-def note_signal(health: Health, kind: KindHealth, now_s: float) -> None:
+def record_signal(health: Health, kind: KindHealth, now_s: float) -> None:
     """Record that an endpoint with requests in flight has responded."""
     gap_s = min(now_s - health.signal_s, silence_s(kind))
     passed_s = max(0.0, now_s - kind.signal_s)
@@ -105,7 +105,7 @@
     kind.signal_s = health.signal_s = now_s
 
 
-def note_answer(health, kind, tokens: float, duration_s: float, now_s: float) -> None:
+def record_answer(health, kind, tokens: float, duration_s: float, now_s: float) -> None:
     """Record an answered request."""
     size = size_class(tokens)
     sample_s = duration_s / max(1.0, tokens)
@@ -125,7 +125,7 @@
         health.ejections = 0
 
 
-def note_failure(health: Health, now_s: float) -> None:
+def record_failure(health: Health, now_s: float) -> None:
     """Record a failed request; a failed probe ejects the endpoint again at once."""
     health.failures += 1
     health.failure_part += LEARNING_RATE * (1 - health.failure_part)
--- a/libs/policy/src/cherryrudder/policy/fleet.py
+++ b/libs/policy/src/cherryrudder/policy/fleet.py
@@ -169,7 +169,7 @@
     """Record that an endpoint has answered part of a request."""
     member = fleet.members.get(endpoint)
     if member is not None:
-        ejection.note_signal(member.health, member.kind.health, now_s)
+        ejection.record_signal(member.health, member.kind.health, now_s)
 
 
 def ended(fleet, endpoint: str, tokens, duration_s: float, now_s: float) -> None:
@@ -178,8 +178,8 @@
     if member is None:
         return
     kind = member.kind.health
-    ejection.note_signal(member.health, kind, now_s)
-    ejection.note_answer(member.health, kind, tokens, duration_s, now_s)
+    ejection.record_signal(member.health, kind, now_s)
+    ejection.record_answer(member.health, kind, tokens, duration_s, now_s)
     _release_slot(fleet, member, now_s)
 
 
@@ -188,7 +188,7 @@
     member = fleet.members.get(endpoint)
     if member is None:
         return
-    ejection.note_failure(member.health, now_s)
+    ejection.record_failure(member.health, now_s)
     member.health.signal_s = now_s
     _release_slot(fleet, member, now_s)
 
--- a/libs/policy/src/cherryrudder/policy/limits.py
+++ b/libs/policy/src/cherryrudder/policy/limits.py
@@ -164,7 +164,7 @@
     return max(1.0 / rates.requests_per_s, cost_tokens / rates.tokens_per_s)
 
 
-def note_offer(limits: Limits, cost_tokens: float, now_s: float) -> None:
+def record_offer(limits: Limits, cost_tokens: float, now_s: float) -> None:
     """Count an offered request, admitted or not, in the demand."""
     _decay(limits, now_s)
     limits.offered_requests += 1.0 / DEMAND_WINDOW_S
--- a/libs/policy/src/cherryrudder/policy/placement.py
+++ b/libs/policy/src/cherryrudder/policy/placement.py
@@ -54,7 +54,7 @@
     "dump",
     "ended",
     "failed",
-    "note_sent",
+    "record_sent",
     "progressed",
     "review",
     "set_credits",
@@ -155,10 +155,10 @@
     return not is_ranked and not _holds_prefix(fleet, first.endpoint, need.prefix)
 
 
-def note_sent(fleet: Fleet, chain: Chain, prefix: str) -> None:
+def record_sent(fleet: Fleet, chain: Chain, prefix: str) -> None:
     """Record that the endpoints of a chain will hold a prefix."""
     for stage in chain.stages:
-        affinity.note_stored(fleet.sent, stage.endpoint, prefix)
+        affinity.record_stored(fleet.sent, stage.endpoint, prefix)
 
 
 def choose_stage(
--- a/libs/policy/src/cherryrudder/policy/refusal.py
+++ b/libs/policy/src/cherryrudder/policy/refusal.py
@@ -66,7 +66,7 @@
         return max(self.limit_s, self.platform_s)
 
 
-def note_start(drain: Drain, cost_tokens: float, now_s: float) -> None:
+def record_start(drain: Drain, cost_tokens: float, now_s: float) -> None:
     """Record a request that starts."""
     if drain.running_tokens <= 0:
         drain.no_finish_since_s = now_s
@@ -74,7 +74,7 @@
     drain.blocked_since_s = None
 
 
-def note_finish(drain: Drain, cost_tokens, duration_s: float, now_s: float) -> None:
+def record_finish(drain: Drain, cost_tokens, duration_s: float, now_s: float) -> None:
     """Record a request that ended after `duration_s`."""
     drain.running_tokens = max(0.0, drain.running_tokens - cost_tokens)
     drain.no_finish_since_s = now_s
@@ -84,7 +84,7 @@
     drain.finished_s = drain.finished_s * MEAN_DECAY + duration_s
 
 
-def note_blocked(drain: Drain, now_s: float) -> None:
+def record_blocked(drain: Drain, now_s: float) -> None:
     """Record that no endpoint can accept the model's next request."""
     if drain.blocked_since_s is None:
         drain.blocked_since_s = now_s
--- a/libs/policy/src/cherryrudder/policy/roles.py
+++ b/libs/policy/src/cherryrudder/policy/roles.py
@@ -76,7 +76,7 @@
         if engine.is_available:
             known = capacity.get(engine.job, 0.0)
             capacity[engine.job] = known + engine.tokens_per_s
-    _note_shortages(planner, demands, capacity, now_s)
+    _update_shortages(planner, demands, capacity, now_s)
     if bucket_wait_s(planner.store, 1.0, now_s) > 0:
         return None
     ready = [
@@ -102,7 +102,7 @@
     return Order(engine.endpoint, job)
 
 
-def _note_shortages(planner, demands, capacity, now_s):
+def _update_shortages(planner, demands, capacity, now_s):
     for job, demand in demands.items():
         if demand > HIGH_LOAD * capacity[job]:
             planner.short_since_s.setdefault(job, now_s)
--- a/libs/policy/test/driver.py
+++ b/libs/policy/test/driver.py
@@ -84,11 +84,11 @@
 class Sim:
     """One run of one scenario."""
 
-    def __init__(self, engines, contracts, requests, kind, entries=1, tries=1):
+    def __init__(self, engines, contracts, requests, kind, entries=1, max_attempts=1):
         self.heap, self.count, self.now_s = [], 0, 0.0
         self.engines = {engine.name: engine for engine in engines}
         self.contracts = contracts
-        self.results, self.tries, self.max_tries = [], {}, tries
+        self.results, self.attempts, self.max_attempts = [], {}, max_attempts
         self.allocator = shares.Allocator("a", 2.0, -2.0)
         shares.set_entries(self.allocator, [f"e{n}" for n in range(entries)])
         for contract in contracts:
@@ -115,13 +115,13 @@
 
     def arrive(self, request):
         name = request.request_id
-        self.tries[name] = self.tries.get(name, 0) + 1
+        self.attempts[name] = self.attempts.get(name, 0) + 1
         self.entries[request.entry].arrive(request)
 
     def refuse(self, request, status, retry_s):
         again_s = self.now_s + retry_s
         in_time = again_s < request.at_s + request.timeout_s
-        if self.tries[request.request_id] < self.max_tries and in_time:
+        if self.attempts[request.request_id] < self.max_attempts and in_time:
             self.at(again_s, lambda: self.arrive(request))
         else:
             self.note(request, status, 0.0)
@@ -273,7 +273,7 @@
     """Static split, first come first served, round robin, no credits."""
 
     def __init__(self, sim, name, entries):
-        self.sim, self.turn = sim, random.Random(name).randrange(100)
+        self.sim, self.next_engine = sim, random.Random(name).randrange(100)
         self.limits = {
             contract.customer: Limits(contract, share_of(contract, 1 / entries), 0.0)
             for contract in sim.contracts
@@ -284,8 +284,8 @@
         if not is_within(own, request.tokens, self.sim.now_s):
             return self.sim.refuse(request, 429, 1.0)
         charge(own, request.tokens, self.sim.now_s)
-        self.turn += 1
-        name = list(self.sim.engines)[self.turn % len(self.sim.engines)]
+        self.next_engine += 1
+        name = list(self.sim.engines)[self.next_engine % len(self.sim.engines)]
         self.sim.send(name, request, self)
 
     def ended(self, request, name, duration_s):
--- a/libs/policy/test/permitsim.py
+++ b/libs/policy/test/permitsim.py
@@ -9,9 +9,9 @@
 from cherryrudder.policy.permits import Holder, Issuer
 
 WINDOW_S = 4.0
-TRIP_S = (0.0005, 0.02)
+LATENCY_S = (0.0005, 0.02)
 # How long a request waits for an answer to its ask.
-PATIENCE_S = 0.06
+ANSWER_WAIT_S = 0.06
 
 
 class Plan(NamedTuple):
@@ -19,7 +19,7 @@
 
     entries: int = 7
     demand: str = "even"
-    way: str = "permits"
+    strategy: str = "permits"
     per_s: float = 2.5
     requests_per_s: float = 20.0
     length_s: float = 40.0
@@ -93,15 +93,15 @@
 
     def arrive(self, now_s, entry):
         self.requests += 1
-        getattr(self, f"arrive_{self.plan.way}")(now_s, entry)
+        getattr(self, f"arrive_{self.plan.strategy}")(now_s, entry)
 
-    def arrive_unheard(self, now_s, entry):
+    def arrive_unlimited(self, now_s, entry):
         self.sent_s.append(now_s)
 
-    def arrive_alone(self, now_s, entry):
+    def arrive_separate(self, now_s, entry):
         self.from_bucket(now_s, entry, self.plan.per_s)
 
-    def arrive_parted(self, now_s, entry):
+    def arrive_even_split(self, now_s, entry):
         self.from_bucket(now_s, entry, self.plan.per_s / self.plan.entries)
 
     def from_bucket(self, now_s, entry, rate):
@@ -114,13 +114,13 @@
 
     def arrive_permits(self, now_s, entry):
         holder = self.holder[entry]
-        if self.begin(now_s, entry):
+        if self.try_send(now_s, entry):
             return
         if permits.may_ask(holder, now_s):
             permits.note_ask(holder, now_s)
             self.messages += 1
             if self.rng.random() >= self.plan.lost_share:
-                self.at(now_s + self.rng.uniform(*TRIP_S), self.issue, entry)
+                self.at(now_s + self.rng.uniform(*LATENCY_S), self.issue, entry)
 
     def issue(self, now_s, entry):
         if now_s - self.issuer_s > self.plan.issuer_changes_s:
@@ -128,14 +128,14 @@
         grant = permits.issue(self.issuer, str(entry), 1, self.plan.per_s, now_s)
         self.messages += 1
         if self.rng.random() >= self.plan.lost_share:
-            self.at(now_s + self.rng.uniform(*TRIP_S), self.take, entry, grant)
+            self.at(now_s + self.rng.uniform(*LATENCY_S), self.take, entry, grant)
 
     def take(self, now_s, entry, grant):
         permits.take(self.holder[entry], grant, now_s)
         # The request that asked is still there.
-        self.begin(now_s, entry)
+        self.try_send(now_s, entry)
 
-    def begin(self, now_s, entry):
+    def try_send(self, now_s, entry):
         holder = self.holder[entry]
         if not permits.has_permit(holder, self.plan.per_s, self.plan.entries, now_s):
             return False
--- a/libs/policy/test/test_admission.py
+++ b/libs/policy/test/test_admission.py
@@ -8,11 +8,11 @@
 from cherryrudder.policy.admissionview import dump_admission
 
 
-def yes(request_id):
+def place(request_id):
     return True
 
 
-def no(request_id):
+def refuse_place(request_id):
     return False
 
 
@@ -28,12 +28,12 @@
         answers = self.fill(admission, 9)
         self.assertTrue(all(isinstance(a, Admitted) for a in answers[:8]))
         self.assertIsInstance(answers[8], Queued)
-        self.assertEqual(adm.release(admission, 1.0, yes), [])
+        self.assertEqual(adm.release(admission, 1.0, place), [])
         adm.settle(admission, "r0.0-0", 80, 1.0)
-        started = adm.release(admission, 1.0, yes)
+        started = adm.release(admission, 1.0, place)
         self.assertEqual(started, [Started("r0.0-8", 1.0)])
 
-    def test_own_limit_is_refused_with_turns_to_come_back(self):
+    def test_refusals_at_the_own_limit_spread_the_retry_times(self):
         admission = an_admission()
         answers = self.fill(admission, 200)
         refused = [a for a in answers if isinstance(a, Refusal)]
@@ -48,14 +48,14 @@
         adm.set_contract(admission, a_contract(retired=True), 1.0, 1.0)
         self.assertEqual(adm.offer(admission, an_offer("new"), 1.0).status, 403)
         adm.settle(admission, "r0.0-0", 80, 1.0)
-        self.assertEqual(len(adm.release(admission, 1.0, yes)), 1)
+        self.assertEqual(len(adm.release(admission, 1.0, place)), 1)
         self.assertFalse(adm.drop_contract(admission, "petra"))
         for request_id in list(admission.running):
             adm.settle(admission, request_id, 80, 2.0)
         self.assertTrue(adm.drop_contract(admission, "petra"))
         self.assertEqual(dump_admission(admission)["customers"], {})
 
-    def test_only_what_the_contract_names_is_let_in(self):
+    def test_only_models_and_services_of_the_contract_are_admitted(self):
         admission = an_admission()
         answer = adm.offer(admission, an_offer("a", model="made-up"), 0.0)
         self.assertEqual((answer.status, admission.drains), (403, {}))
@@ -63,23 +63,23 @@
             adm.offer(admission, an_offer("b", model="slots"), 0.0), Admitted
         )
 
-    def test_put_back_keeps_its_turn_and_leaves_no_charge(self):
+    def test_put_back_keeps_the_position_and_refunds_the_charge(self):
         admission = an_admission()
         self.assertIsInstance(adm.offer(admission, an_offer("a"), 0.0), Admitted)
         self.assertIsInstance(adm.put_back(admission, "a", 0.0), Queued)
         own = admission.limits["petra"]
         self.assertEqual((own.running, own.tokens.level), (0, own.tokens.depth))
-        self.assertEqual(adm.release(admission, 0.5, yes), [Started("a", 0.5)])
+        self.assertEqual(adm.release(admission, 0.5, place), [Started("a", 0.5)])
 
-    def test_expired_request_leaves_at_once_and_never_starts(self):
+    def test_expired_request_is_given_up_at_once(self):
         admission = an_admission()
         adm.offer(admission, an_offer("a"), 0.0)
         adm.put_back(admission, "a", 0.0)
         adm.offer(admission, an_offer("b", deadline_s=0.5), 0.0)
-        (gone,) = adm.release(admission, 0.5, no)
+        (gone,) = adm.release(admission, 0.5, refuse_place)
         self.assertEqual((gone.request_id, gone.refusal.status), ("b", 503))
 
-    def test_hopeless_request_is_given_up_before_its_deadline(self):
+    def test_request_without_prospect_is_given_up_before_its_deadline(self):
         """Engines freeze while requests wait.
 
         The caller sees a 503 after about a second, not at the end of its longest wait.
@@ -92,22 +92,26 @@
         adm.put_back(admission, "late", 0.0)
         for n in range(4):
             adm.settle(admission, f"r0.0-{n}", 100, 0.1)
-        results = [adm.release(admission, n / 10, no) for n in range(1, 30)]
+        results = [adm.release(admission, n / 10, refuse_place) for n in range(1, 30)]
         gone = [result for tick in results for result in tick]
         self.assertEqual([g.request_id for g in gone], ["late"])
         self.assertIsInstance(gone[0], GaveUp)
 
-    def test_full_queue_gives_up_the_flooding_customers_last(self):
+    def test_full_queue_evicts_the_last_request_of_the_largest_backlog(self):
         contracts = [a_contract(name, requests_per_s=1e6) for name in ("hot", "calm")]
         admission = an_admission(*contracts, max_queued=5)
         self.fill(admission, 8, customer="hot", max_tokens=10)
         self.fill(admission, 5, 0.1, customer="hot", max_tokens=10)
         answer = adm.offer(admission, an_offer("c", "calm", max_tokens=10), 0.2)
         self.assertNotIsInstance(answer, Refusal)
-        (gone,) = [r for r in adm.release(admission, 0.2, no) if isinstance(r, GaveUp)]
+        (gone,) = [
+            r
+            for r in adm.release(admission, 0.2, refuse_place)
+            if isinstance(r, GaveUp)
+        ]
         self.assertEqual(gone.request_id, "r0.1-4")
 
-    def test_cancel_tells_whether_it_has_run(self):
+    def test_cancel_returns_whether_the_request_was_still_queued(self):
         admission = an_admission()
         self.fill(admission, 9)
         self.assertTrue(adm.cancel(admission, "r0.0-8", 0.1))
@@ -116,7 +120,7 @@
         self.assertEqual(admission.costs.answer_tokens, {})
         self.assertEqual(dump_admission(admission)["customers"]["petra"]["running"], 7)
 
-    def test_a_model_without_room_holds_up_no_other(self):
+    def test_a_model_without_capacity_does_not_block_others(self):
         admission = an_admission()
         adm.offer(admission, an_offer("a"), 0.0)
         adm.put_back(admission, "a", 0.0)
@@ -124,7 +128,7 @@
         results = adm.release(admission, 0.1, lambda request_id: request_id == "b")
         self.assertEqual(results, [Started("b", 0.0)])
 
-    def test_urgent_requests_go_first_and_starve_no_others(self):
+    def test_urgent_requests_go_first_without_starving_others(self):
         """A customer sends urgent requests at twice its limit, and a few others.
 
         By strict priority the others would wait until they expire. Each is overtaken
@@ -138,7 +142,7 @@
                 asked = an_offer(f"{priority}-{step}", priority=priority)
                 if isinstance(adm.offer(admission, asked, now_s), Queued):
                     let_in.add(asked.request_id)
-            for result in adm.release(admission, now_s, yes):
+            for result in adm.release(admission, now_s, place):
                 self.assertIsInstance(result, Started)
                 waited[int(result.request_id[0])].append(result.waited_s)
                 let_in.discard(result.request_id)
--- a/libs/policy/test/test_affinity.py
+++ b/libs/policy/test/test_affinity.py
@@ -15,7 +15,7 @@
             else:
                 self.assertEqual(left[0], first[1])
 
-    def test_a_gap_or_a_restart_drops_the_view(self):
+    def test_a_gap_or_a_restart_drops_the_recorded_prefixes(self):
         view = CacheView()
         for number in (5, 6):
             affinity.apply_event(view, "g0", CacheEvent(number, f"p{number}", True))
--- a/libs/policy/test/test_credits.py
+++ b/libs/policy/test/test_credits.py
@@ -7,7 +7,7 @@
 
 
 class CreditsTest(unittest.TestCase):
-    def test_a_lone_entry_gets_all_and_two_get_half_each(self):
+    def test_a_single_entry_gets_all_credits_and_two_get_half_each(self):
         issuer = Issuer("g0", 8)
         self.assertEqual(credits.report(issuer, "a", 0, 20, 0.0).count, 8)
         self.assertEqual(credits.report(issuer, "b", 0, 20, 0.1).count, 0)
@@ -21,12 +21,12 @@
         self.assertEqual(credits.fair_part([2, 1, 9], 8), 2)
         self.assertEqual(credits.fair_part([9, 1, 9], 8), 3.5)
 
-    def test_a_dead_entrys_credits_come_back(self):
+    def test_credits_of_a_dead_entry_are_freed(self):
         issuer = Issuer("g0", 8)
         credits.report(issuer, "a", 0, 20, 0.0)
         self.assertEqual(credits.report(issuer, "b", 0, 20, 1.1).count, 8)
 
-    def test_a_leaving_endpoint_gives_none(self):
+    def test_a_leaving_endpoint_grants_no_new_credits(self):
         issuer = Issuer("g0", 8)
         credits.report(issuer, "a", 2, 20, 0.0)
         issuer.is_leaving = True
@@ -34,7 +34,7 @@
 
     @settings(derandomize=True, database=None, deadline=None, max_examples=80)
     @given(st.lists(st.tuples(*[st.integers(0, 9)] * 3), max_size=60))
-    def test_entries_that_keep_to_their_credits_never_pass_the_slots(self, steps):
+    def test_entries_within_their_credits_never_exceed_the_slots(self, steps):
         issuer, held, running = Issuer("g0", 6), {}, {}
         for now, (which, started, wanted) in enumerate(steps):
             entry = f"e{which % 4}"
--- a/libs/policy/test/test_dispatch.py
+++ b/libs/policy/test/test_dispatch.py
@@ -24,7 +24,7 @@
     def in_flight(self):
         return {n: m.in_flight for n, m in self.fleet.members.items() if m.in_flight}
 
-    def test_a_request_takes_a_slot_of_each_stage_and_gives_it_back(self):
+    def test_a_request_takes_and_releases_a_slot_of_each_stage(self):
         (sent,) = self.submit("r1")
         self.assertEqual([s.end_layer for s in sent.stages], [4, 8])
         self.assertEqual(self.submit("r2"), [])
@@ -49,21 +49,21 @@
         self.assertEqual(dispatch.cancel(self.dispatcher, "r1", 80, 0.7), [])
         self.assertEqual(self.in_flight(), {})
 
-    def test_what_may_have_run_is_never_sent_again_nor_called_not_run(self):
+    def test_a_call_that_may_have_run_is_reported_as_unknown(self):
         """A filing's answer is lost after it was sent.
 
         Sent again it could be filed twice; called not run, its caller would send it
         again. The caller is told at once that the outcome is unknown.
         """
         self.submit("r1", service="filing", is_idempotent=False)
-        (told,) = dispatch.failed(self.dispatcher, "r1", "s", False, 0.1)
-        self.assertEqual(told, Failed("r1", Outcome.UNKNOWN, Verdict.MAY_HAVE_RUN))
+        (failure,) = dispatch.failed(self.dispatcher, "r1", "s", False, 0.1)
+        self.assertEqual(failure, Failed("r1", Outcome.UNKNOWN, Verdict.MAY_HAVE_RUN))
         self.submit("r2", service="filing", is_idempotent=False)
         (again,) = dispatch.failed(self.dispatcher, "r2", "s", True, 0.1)
         self.assertIsInstance(again, Send)
         self.assertEqual(self.in_flight(), {"s": 1})
 
-    def test_silent_stage_is_told_and_replaced_without_touching_the_other(self):
+    def test_silent_stage_is_reported_and_replaced_and_the_other_kept(self):
         (sent,) = self.submit("r1")
         lost = sent.stages[0].endpoint
         placement.progressed(self.fleet, "b", 11.0)
--- a/libs/policy/test/test_ejection.py
+++ b/libs/policy/test/test_ejection.py
@@ -12,20 +12,22 @@
     def answer(self, tokens, slow=(), factor=10.0, now_s=1.0):
         for peer in self.peers * 6:
             one_s = 0.01 * (factor if peer.endpoint in slow else 1.0)
-            ejection.note_signal(peer.health, self.kind, now_s)
-            ejection.note_answer(peer.health, self.kind, tokens, tokens * one_s, now_s)
+            ejection.record_signal(peer.health, self.kind, now_s)
+            ejection.record_answer(
+                peer.health, self.kind, tokens, tokens * one_s, now_s
+            )
 
-    def test_slow_endpoint_is_ejected_probed_and_taken_back(self):
+    def test_slow_endpoint_is_ejected_probed_and_restored(self):
         self.answer(50, slow={"g0"})
         self.assertEqual(ejection.review(self.kind, self.peers, 1.0), ["g0"])
         health = self.peers[0].health
         self.assertTrue(ejection.is_ejected(health, 2.9))
         self.assertFalse(ejection.is_ejected(health, 3.1))
         self.assertTrue(ejection.is_probing(health))
-        ejection.note_answer(health, self.kind, 50, 5.0, 3.2)
+        ejection.record_answer(health, self.kind, 50, 5.0, 3.2)
         self.assertTrue(ejection.is_ejected(health, 7.1))
         for _ in range(3):
-            ejection.note_answer(health, self.kind, 50, 0.5, 8.0)
+            ejection.record_answer(health, self.kind, 50, 0.5, 8.0)
         self.assertFalse(ejection.is_probing(health))
 
     def test_slow_only_for_long_answers_is_seen(self):
@@ -37,7 +39,7 @@
         self.answer(50)
         for peer in self.peers[:5]:
             for _ in range(3):
-                ejection.note_failure(peer.health, 1.0)
+                ejection.record_failure(peer.health, 1.0)
         self.assertEqual(len(ejection.review(self.kind, self.peers, 1.0)), 2)
         self.assertEqual(ejection.review(self.kind, self.peers, 1.5), [])
         alone = [Peer("only", self.peers[4].health, 0)]
@@ -47,12 +49,12 @@
         self.answer(50, now_s=1.0)
         for at_s in (1.4, 1.8):
             for peer in self.peers[1:]:
-                ejection.note_signal(peer.health, self.kind, at_s)
+                ejection.record_signal(peer.health, self.kind, at_s)
         self.peers[0] = self.peers[0]._replace(in_flight=1)
         self.assertEqual(ejection.review(self.kind, self.peers, 2.0), [])
         self.assertEqual(ejection.review(self.kind, self.peers, 6.0), ["g0"])
 
-    def test_a_prefill_amid_streaming_is_no_silence(self):
+    def test_a_prefill_during_streaming_is_not_silence(self):
         """Tokens stream by the hundred a second; one endpoint reads a long prompt.
 
         Its caller waits three seconds for the first token, as others did before. Were
@@ -60,10 +62,10 @@
         prompt read again elsewhere.
         """
         for peer in self.peers:
-            ejection.note_signal(peer.health, self.kind, 3.0)
+            ejection.record_signal(peer.health, self.kind, 3.0)
         for step in range(500):
             for peer in self.peers[1:]:
-                ejection.note_signal(peer.health, self.kind, 3.0 + step / 100)
+                ejection.record_signal(peer.health, self.kind, 3.0 + step / 100)
         self.peers = [peer._replace(in_flight=1) for peer in self.peers]
         self.peers[0].health.signal_s = 5.0
         self.assertEqual(ejection.review(self.kind, self.peers, 8.0), [])
--- a/libs/policy/test/test_invariants.py
+++ b/libs/policy/test/test_invariants.py
@@ -148,7 +148,7 @@
 class InvariantTest(unittest.TestCase):
     @settings(derandomize=True, database=None, deadline=None, max_examples=300)
     @given(STEPS)
-    def test_promises_hold_in_any_order_of_events(self, steps):
+    def test_invariants_hold_in_any_order_of_events(self, steps):
         """Requests, ends, failures, cancels, late news, stops and lost endpoints.
 
         Each request ends once; none is started past its deadline or refused while it
--- a/libs/policy/test/test_leaving.py
+++ b/libs/policy/test/test_leaving.py
@@ -7,7 +7,7 @@
 
 
 class LeavingTest(unittest.TestCase):
-    def test_announcement_or_stop_takes_all_credits(self):
+    def test_announcement_or_stop_withdraws_all_credits(self):
         engine = an_engine("a")
         stop = Stop("s", "vm", "vm-a")
         self.assertEqual(leaving.usable_credits(engine, [], 4), 4)
--- a/libs/policy/test/test_limits.py
+++ b/libs/policy/test/test_limits.py
@@ -20,7 +20,7 @@
         self.assertFalse(limits.is_within(self.limits, 1, 7.9))
         self.assertTrue(limits.is_within(self.limits, 1, 8.1))
 
-    def test_concurrency_holds_until_one_finishes(self):
+    def test_concurrency_limit_holds_until_a_request_finishes(self):
         for _ in range(4):
             limits.charge(self.limits, 1, 0.0)
         self.assertFalse(limits.is_within(self.limits, 1, 1.0))
@@ -32,13 +32,13 @@
         limits.finish(self.limits, 100, 400, 0.0)
         self.assertEqual(self.limits.tokens.level, 600)
 
-    def test_a_new_share_brings_no_new_burst(self):
+    def test_a_new_share_allows_no_new_burst(self):
         limits.charge(self.limits, 1000, 0.0)
         whole = limits.share_of(self.contract)
         limits.set_share(self.limits, self.contract, whole, 0.0)
         self.assertFalse(limits.is_within(self.limits, 100, 0.0))
 
-    def test_wait_tells_when_the_request_is_within_its_limits(self):
+    def test_limit_wait_ends_when_the_request_is_within_its_limits(self):
         limits.charge(self.limits, 1000, 0.0)
         wait_s = limits.limit_wait_s(self.limits, 0, 0, 250, 1.0, 0.0)
         self.assertAlmostEqual(wait_s, 0.5)
--- a/libs/policy/test/test_otherload.py
+++ b/libs/policy/test/test_otherload.py
@@ -7,12 +7,12 @@
 ENTRIES = 8
 COPIES = ("x", "y", "z")
 # Between two words, in arrivals at each entry, and a stream's length in the same.
-WORD, LENGTH = 4, 12
-ROOM = 45
+REPORT_INTERVAL, LENGTH = 4, 12
+CAPACITY = 45
 
 
 class EstimateTest(unittest.TestCase):
-    def test_what_was_told_counts_until_this_entry_adds_something(self):
+    def test_reported_load_counts_until_this_entry_adds_a_stream(self):
         load = OtherLoad()
         otherload.note_beat(load, {"x": Load(2, 1800, 1)})
         otherload.hear(load, {"x": Load(9, 8000, 4)})
@@ -21,14 +21,14 @@
         more = otherload.estimate(load, "x", Load(3, 2700, 2), 7)
         self.assertEqual(more, Load(16, 14_300, 11))
 
-    def test_what_ended_here_ended_elsewhere_but_never_below_nothing(self):
+    def test_streams_that_ended_here_lower_the_estimate_to_zero_at_least(self):
         load = OtherLoad()
         otherload.note_beat(load, {"x": Load(3, 2700, 0)})
         otherload.hear(load, {"x": Load(9, 8000, 0)})
         self.assertEqual(otherload.estimate(load, "x", Load(2, 1800, 0), 7).running, 2)
         self.assertEqual(otherload.estimate(load, "x", Load(0, 0, 0), 7).running, 0)
 
-    def test_an_engine_that_nobody_named_is_empty(self):
+    def test_an_engine_without_reports_has_no_load(self):
         self.assertEqual(otherload.estimate(OtherLoad(), "x", Load(), 7), Load())
 
 
@@ -49,36 +49,36 @@
         for turn in range(200):
             for entry, copy in (e[1:] for e in ends if e[0] == turn):
                 own[entry][copy] -= 1
-            if turn % WORD == 0:
-                self.tell(own, loads)
+            if turn % REPORT_INTERVAL == 0:
+                self.exchange_loads(own, loads)
             for entry in rng.sample(range(ENTRIES), ENTRIES):
                 mine, load = own[entry], loads[entry]
                 copy = next(
-                    (c for c in COPIES if mine[c] + estimate(load, mine, c) < ROOM),
+                    (c for c in COPIES if mine[c] + estimate(load, mine, c) < CAPACITY),
                     COPIES[-1],
                 )
-                if sum(o[copy] for o in own) >= ROOM:
+                if sum(o[copy] for o in own) >= CAPACITY:
                     refused += 1
                     continue
                 mine[copy] += 1
                 ends.append((turn + rng.randrange(1, 2 * LENGTH), entry, copy))
         return refused
 
-    def tell(self, own, loads):
+    def exchange_loads(self, own, loads):
         for entry, load in enumerate(loads):
             otherload.note_beat(load, {c: Load(n) for c, n in own[entry].items()})
             others = [o for number, o in enumerate(own) if number != entry]
-            told = {c: Load(sum(o[c] for o in others)) for c in COPIES}
-            otherload.hear(load, told)
+            reported = {c: Load(sum(o[c] for o in others)) for c in COPIES}
+            otherload.hear(load, reported)
 
-    def test_few_streams_go_where_there_is_no_room(self):
-        naive = self.play(lambda load, own, copy: load.told[copy].running)
-        guessed = self.play(
+    def test_few_streams_are_sent_to_full_engines(self):
+        stale = self.play(lambda load, own, copy: load.told[copy].running)
+        estimated = self.play(
             lambda load, own, copy: (
                 otherload.estimate(load, copy, Load(own[copy]), ENTRIES - 1).running
             )
         )
-        self.assertLess(guessed, 0.6 * naive, (naive, guessed))
+        self.assertLess(estimated, 0.6 * stale, (stale, estimated))
 
 
 if __name__ == "__main__":
--- a/libs/policy/test/test_permits.py
+++ b/libs/policy/test/test_permits.py
@@ -15,10 +15,12 @@
 class FleetTest(unittest.TestCase):
     """Guards against entries that together send more than an endpoint takes."""
 
-    def outcomes(self, way, **changes):
+    def outcomes(self, strategy, **changes):
         """Play fleets of several sizes and kinds of demand."""
         fleets = itertools.product((3, 26, 370), ("even", "one", "moving"))
-        plans = [Plan(entries=n, demand=d, way=way, **changes) for n, d in fleets]
+        plans = [
+            Plan(entries=n, demand=d, strategy=strategy, **changes) for n, d in fleets
+        ]
         return [(plan, play(plan, seed=1)) for plan in plans]
 
     def test_permits_keep_within_the_limit_and_use_most_of_it(self):
@@ -28,45 +30,45 @@
                 self.assertLessEqual(outcome.most_in_window(), most)
                 self.assertGreaterEqual(outcome.share_used(plan.per_s), 0.9)
 
-    def test_even_parts_leave_the_limit_unused_where_few_have_the_callers(self):
+    def test_an_even_split_leaves_the_limit_unused_if_few_entries_have_callers(self):
         used = [
             outcome.share_used(plan.per_s)
-            for plan, outcome in self.outcomes("parted")
+            for plan, outcome in self.outcomes("even_split")
             if plan.demand != "even"
         ]
         self.assertLess(max(used), 0.4)
 
-    def test_each_for_itself_the_entries_break_it(self):
+    def test_entries_with_separate_buckets_exceed_the_limit(self):
         broken = [
             outcome.most_in_window() > ALLOWED
-            for plan, outcome in self.outcomes("alone")
+            for plan, outcome in self.outcomes("separate")
             if plan.demand == "even" and plan.entries > 3
         ]
         self.assertEqual(broken, [True, True])
 
-    def test_issuers_that_change_and_lost_answers_dont_add_up(self):
+    def test_issuer_changes_and_lost_answers_keep_within_the_limit(self):
         changes = {"issuer_changes_s": 1.0, "lost_share": 0.1}
         for _, outcome in self.outcomes("permits", **changes):
             self.assertLessEqual(outcome.most_in_window(), ALLOWED)
 
-    def test_entries_without_any_issuer_keep_to_even_parts(self):
+    def test_entries_without_an_issuer_keep_to_even_parts(self):
         for _, outcome in self.outcomes("permits", lost_share=1.0):
             self.assertLessEqual(outcome.most_in_window(), ALLOWED)
 
 
 class IssuerTest(unittest.TestCase):
-    def test_a_new_issuer_begins_with_nothing(self):
+    def test_a_new_issuer_starts_without_permits(self):
         grant = permits.issue(Issuer(10.0), "e", 1, LIMIT_PER_S, 10.0)
         self.assertEqual(grant.permits, 0)
         self.assertGreater(grant.wait_s, 0.0)
 
-    def test_those_that_wait_are_told_to_come_one_after_the_other(self):
+    def test_waiting_entries_get_successive_times(self):
         issuer = Issuer(0.0)
         waits_s = [permits.issue(issuer, e, 1, 1.0, 0.0).wait_s for e in "abc"]
         self.assertEqual(sorted(waits_s), waits_s)
         self.assertAlmostEqual(waits_s[2] - waits_s[0], 2.0 / permits.SAFE_SHARE)
 
-    def test_an_endpoint_that_takes_next_to_nothing_is_asked_now_and_then(self):
+    def test_an_endpoint_with_a_limit_near_zero_gets_the_minimum_rate(self):
         for per_s in (0.0, 5e-324, 0.001):
             with self.subTest(per_s=per_s):
                 issuer = Issuer(0.0)
@@ -84,7 +86,7 @@
             max_size=200,
         ),
     )
-    def test_no_order_of_asks_gets_more_than_the_limit(self, per_s, asks):
+    def test_no_order_of_requests_gets_more_than_the_limit(self, per_s, asks):
         issuer, now_s, granted_s = Issuer(0.0), 0.0, []
         for pause_s, sender, count in asks:
             now_s += pause_s
@@ -104,7 +106,7 @@
     def has_permit(self, now_s):
         return permits.has_permit(self.holder, LIMIT_PER_S, 7, now_s)
 
-    def test_an_unused_permit_lapses(self):
+    def test_an_unused_permit_expires(self):
         self.take(1, 0.0)
         self.assertTrue(self.has_permit(permits.PERMIT_LIFETIME_S / 2))
         self.assertFalse(self.has_permit(permits.PERMIT_LIFETIME_S))
@@ -114,12 +116,12 @@
         permits.use(self.holder, 0.0)
         self.assertFalse(self.has_permit(0.0))
 
-    def test_it_doesnt_ask_before_the_time_that_it_was_told(self):
+    def test_no_request_is_sent_before_the_next_permit(self):
         self.take(0, 0.0)
         self.assertFalse(permits.may_ask(self.holder, 0.3))
         self.assertTrue(permits.may_ask(self.holder, 0.4))
 
-    def test_the_time_until_others_are_served_passes(self):
+    def test_the_wait_behind_other_entries_decreases_with_time(self):
         self.take(0, 0.0)
         self.assertAlmostEqual(permits.wait_s(self.holder, 0.5), 0.4)
 
--- a/libs/policy/test/test_placement.py
+++ b/libs/policy/test/test_placement.py
@@ -26,7 +26,7 @@
         none = NEED._replace(exclude=frozenset("b"))
         self.assertIsNone(placement.choose_chain(fleet, none, 0.0))
 
-    def test_slowest_stage_and_links_decide(self):
+    def test_slowest_stage_and_links_determine_the_choice(self):
         fleet = a_fleet(
             an_engine("near", tokens_per_s=200.0),
             an_engine("far", centre="bogota-1", tokens_per_s=202.0),
@@ -38,7 +38,7 @@
             placement.began(fleet, "near", 0.0)
         self.assertEqual(names(placement.choose_chain(fleet, NEED, 0.0)), ["far"])
 
-    def test_no_credits_no_work(self):
+    def test_endpoint_without_credits_gets_no_requests(self):
         fleet = a_fleet(an_engine("a"))
         placement.set_credits(fleet, Credits("a", 2, 1), 0.0)
         placement.set_credits(fleet, Credits("a", 1, 9), 0.0)
@@ -47,7 +47,7 @@
         placement.ended(fleet, "a", 10, 0.2, 0.2)
         self.assertEqual(names(placement.choose_chain(fleet, NEED, 0.2)), ["a"])
 
-    def test_endpoint_that_is_cut_off_gets_nothing_until_it_grants_again(self):
+    def test_endpoint_with_a_broken_link_gets_nothing_until_its_next_grant(self):
         """An endpoint dies; it stays announced for the rest of its lease.
 
         Its broken link takes its credits, whether or not it had granted any yet. A
@@ -80,7 +80,7 @@
         self.assertEqual(found.endpoint, "s")
         self.assertIsNone(placement.choose_service(fleet, "filing", {"s"}, 0.0))
 
-    def test_restarted_endpoint_starts_from_nothing_in_flight(self):
+    def test_restarted_endpoint_has_nothing_in_flight(self):
         fleet = a_fleet(an_engine("a", slots=1))
         placement.began(fleet, "a", 0.0)
         placement.update(fleet, [an_engine("a", slots=1, incarnation="2")], 1.0)
--- a/libs/policy/test/test_refusal.py
+++ b/libs/policy/test/test_refusal.py
@@ -9,8 +9,8 @@
 class FullTest(unittest.TestCase):
     def setUp(self):
         self.drain = Drain()
-        refusal.note_start(self.drain, 100.0, 0.0)
-        refusal.note_finish(self.drain, 100.0, 3.0, 3.0)
+        refusal.record_start(self.drain, 100.0, 0.0)
+        refusal.record_finish(self.drain, 100.0, 3.0, 3.0)
 
     def wait_s(self, now_s):
         """Return the wait behind a hundred requests."""
@@ -22,10 +22,10 @@
         The second request is blocked and credits are asked for. Until they can have
         come nobody is refused; if none comes, the platform is full indeed.
         """
-        refusal.note_start(self.drain, 100.0, 5.0)
-        refusal.note_blocked(self.drain, 5.0)
+        refusal.record_start(self.drain, 100.0, 5.0)
+        refusal.record_blocked(self.drain, 5.0)
         self.assertEqual(self.wait_s(5.1), 0.0)
-        refusal.note_blocked(self.drain, 5.2)
+        refusal.record_blocked(self.drain, 5.2)
         self.assertGreater(self.wait_s(5.5), 10.0)
 
     def test_a_platform_that_stays_full_is_full_at_once(self):
@@ -34,9 +34,9 @@
         Each start must not begin a new time of grace, or nobody would be refused
         before its longest wait is over.
         """
-        refusal.note_blocked(self.drain, 5.0)
+        refusal.record_blocked(self.drain, 5.0)
         for tenth in range(4, 50):
             now_s = 5.0 + tenth / 10
-            refusal.note_start(self.drain, 100.0, now_s)
-            refusal.note_blocked(self.drain, now_s)
+            refusal.record_start(self.drain, 100.0, now_s)
+            refusal.record_blocked(self.drain, now_s)
             self.assertGreater(self.wait_s(now_s), 0.0)
--- a/libs/policy/test/test_roles.py
+++ b/libs/policy/test/test_roles.py
@@ -31,7 +31,7 @@
         gaps = [b - a for a, b in zip(self.orders, self.orders[1:], strict=False)]
         self.assertGreaterEqual(min(gaps), 60)
 
-    def test_bursts_and_swinging_demand_move_no_engine_to_and_fro(self):
+    def test_bursts_and_swings_of_demand_move_few_engines(self):
         """Demand swings between two models every minute.
 
         A planner that follows each swing orders an engine at each one; callers then
--- a/libs/policy/test/test_roomqueue.py
+++ b/libs/policy/test/test_roomqueue.py
@@ -41,11 +41,11 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_requests_of_one_account_go_by_arrival(self):
+    def test_requests_of_one_account_are_ordered_by_arrival(self):
         queue = a_queue(a_request("1", 0.0), a_request("2", 0.1), a_request("3", 0.2))
         self.assertEqual(order(queue, 0.3), ["1", "2", "3"])
 
-    def test_those_in_time_go_before_those_that_are_late_already(self):
+    def test_requests_in_time_go_before_late_ones(self):
         queue = a_queue(a_request("late", 0.0), a_request("in time", 0.5))
         self.assertEqual(order(queue, 0.6), ["in time", "late"])
 
@@ -54,7 +54,7 @@
         queue = a_queue(a_request("in time", 0.5), begun)
         self.assertEqual(order(queue, 0.6), ["begun", "in time"])
 
-    def test_an_answer_that_has_begun_is_let_in_however_long_the_queue(self):
+    def test_an_answer_that_has_begun_is_queued_whatever_the_length(self):
         """Its client would see it end in the middle; a new one can be told a time."""
         waiting = [a_request(f"{n}")._replace(in_time_until_s=9.0) for n in range(40)]
         queue = a_queue(*waiting)
@@ -71,13 +71,13 @@
         queue = a_queue(*flood, a_request("quiet", 0.1, "quiet"))
         self.assertLess(order(queue, 0.2).index("quiet"), 2)
 
-    def test_a_turn_counts_by_its_tokens(self):
+    def test_accounts_are_charged_by_tokens(self):
         big = [a_request(f"b{n}", 0.0, "big", 4 * TOKENS) for n in range(3)]
         small = [a_request(f"s{n}", 0.01, "small") for n in range(6)]
         ids = order(a_queue(*big, *small), 0.1)
         self.assertGreaterEqual(ids.index("b1"), 4)
 
-    def test_room_given_while_nobody_waited_is_no_debt(self):
+    def test_capacity_used_while_the_queue_was_empty_is_not_charged(self):
         queue = a_queue(a_request("1", 0.0, "a"))
         order(queue, 0.0)
         for request in (a_request("2", 1.0, "a"), a_request("3", 1.1, "b")):
@@ -100,7 +100,7 @@
             roomqueue.remove(queue, request_id)
         return queue, 20 * 0.2
 
-    def test_one_that_cannot_be_reached_in_time_is_refused_at_once(self):
+    def test_a_request_that_cannot_be_served_in_time_is_refused_at_once(self):
         queue, now_s = self.steady()
         refused = None
         for n in range(20):
@@ -111,15 +111,15 @@
         self.assertEqual(len(queue.waiting), 6)
         self.assertAlmostEqual(refused, 7 * 0.2, delta=0.05)
 
-    def test_nobody_is_refused_before_the_rate_is_known(self):
+    def test_no_request_is_refused_before_the_rate_is_known(self):
         queue = a_queue(*(a_request(str(n)) for n in range(100)))
         self.assertEqual(len(queue.waiting), 100)
 
-    def test_the_number_that_waits_is_bounded(self):
+    def test_the_queue_length_is_bounded(self):
         queue = a_queue(*(a_request(str(n)) for n in range(roomqueue.MAX_WAITING)))
         self.assertIsNotNone(roomqueue.push(queue, a_request("more"), 0.0))
 
-    def test_who_has_waited_long_enough_is_given_up(self):
+    def test_expired_requests_are_removed(self):
         queue = a_queue(a_request("1", 0.0), a_request("2", 1.0))
         expired = roomqueue.take_expired(queue, PATIENCE_S)
         self.assertEqual([r.request_id for r in expired], ["1"])
@@ -177,7 +177,7 @@
             for n in range(150)
         ]
 
-    def test_more_are_answered_in_time_than_in_order_of_arrival(self):
+    def test_more_are_answered_in_time_than_first_come_first_served(self):
         ours = play(roomqueue.first, self.arrivals, 0.05)
         naive = play(by_arrival, self.arrivals, 0.05)
         # By arrival 14 in time and 109 late; here 104 and 5 (seed 7).
@@ -185,7 +185,7 @@
         served, naive_served = ours.in_time + ours.late, naive.in_time + naive.late
         self.assertGreater(served, 0.85 * naive_served)
 
-    def test_a_quiet_account_is_served_beside_a_flood(self):
+    def test_an_account_with_little_load_is_served_beside_a_large_one(self):
         self.assertGreater(play(roomqueue.first, self.arrivals, 0.05).quiet_share, 0.9)
         self.assertLess(play(by_arrival, self.arrivals, 0.05).quiet_share, 0.9)
 
--- a/libs/policy/test/test_scenarios_faults.py
+++ b/libs/policy/test/test_scenarios_faults.py
@@ -45,7 +45,7 @@
         sim = Sim(engines, LARGE, requests, kind).run(60)
         return sim, [one for one in requests if one.at_s > 10]
 
-    def test_callers_hardly_notice(self):
+    def test_few_callers_are_affected(self):
         """A sixth of the callers meet an endpoint that harms them.
 
         A round robin goes on sending it a sixth for ever. Compared with its kind, the
@@ -65,7 +65,7 @@
 class LostEntryTest(unittest.TestCase):
     """Scenario 7: an entry dies and comes back, then the allocator's entry."""
 
-    def test_bound_holds_and_is_met_again(self):
+    def test_bound_holds_and_is_reached_again(self):
         """Callers of the other entries take over the load of one that died.
 
         A static split holds them to two thirds until it is back. With leases the dead
@@ -114,7 +114,7 @@
         sim = Sim(engines, LARGE, requests, kind, 4)
         return requests, sim.run(50)
 
-    def test_no_herd(self):
+    def test_entries_do_not_all_choose_the_same_engine(self):
         """Four entries see the same idle endpoint in reports five seconds old.
 
         All send to it until the next report: its queue grows by hundreds while others
@@ -139,7 +139,7 @@
             engines.append(Engine(f"g{number}", 8, token_s, hop_s=hop_s))
         return requests, Sim(engines, LARGE, requests, kind).run(50)
 
-    def test_fast_and_near_endpoints_earn_more(self):
+    def test_fast_and_near_endpoints_get_more_requests(self):
         requests, naive = self.run_mixed(NaiveEntry)
         requests, ours = self.run_mixed(OurEntry)
 
@@ -176,7 +176,7 @@
         self.ended_s = sim.now_s
         engine.fault = engine.fault or "fails"
 
-    def test_nothing_is_cut_and_no_work_comes_after_two_seconds(self):
+    def test_no_request_is_cut_off_and_none_arrives_after_two_seconds(self):
         """An operator takes an endpoint out, under normal load, overload, a hot
         caller, beside a slow endpoint, and half a second after a third was lost.
 
@@ -192,7 +192,7 @@
                 late = [at_s for at_s in sim.engines["g0"].received if at_s > 10.2]
                 self.assertEqual(late, [])
                 self.assertLess(self.ended_s, 13)
-                self.assertEqual(len(sim.results), len(sim.tries))
+                self.assertEqual(len(sim.results), len(sim.attempts))
                 self.assertLessEqual(sim.statuses(), {200, 503, 429})
 
 
@@ -203,14 +203,14 @@
         # 9 engines of 8 slots serve 144 requests of half a second a second.
         requests = arrivals("petra", 0.8 * 144, 0, 60)
         engines = [Engine(f"g{number}") for number in range(9)]
-        sim = Sim(engines, LARGE, requests, kind, tries=9)
+        sim = Sim(engines, LARGE, requests, kind, max_attempts=9)
         for number in range(3):
             sim.at(10.0, lambda name=f"g{number}": sim.lose(name))
             # Its announcement lapses.
             sim.at(12.0, lambda one=engines[number]: setattr(one, "fault", "gone"))
         return requests, sim.run(80)
 
-    def test_what_is_left_is_used_whole(self):
+    def test_the_remaining_capacity_is_fully_used(self):
         """Three of nine endpoints die with what they run; the rest can serve 83%.
 
         A round robin sends a third to the dead for ever and lets in more than the rest
--- a/libs/policy/test/test_scenarios_load.py
+++ b/libs/policy/test/test_scenarios_load.py
@@ -12,7 +12,7 @@
         requests = arrivals("petra", 200, 5, 15, entry=entry, timeout_s=8.0)
         contracts = contracts_for(["petra"], concurrent_requests=100)
         engines = [Engine(f"g{number}", slots=10) for number in range(6)]
-        return Sim(engines, contracts, requests, kind, 3, tries=99).run(25)
+        return Sim(engines, contracts, requests, kind, 3, max_attempts=99).run(25)
 
     def test_burst_through_one_entry_reaches_the_bound(self):
         """A customer's whole batch comes through one of three entries.
@@ -41,18 +41,18 @@
         requests = arrivals("petra", 200, 0, 2, timeout_s=90.0)
         contracts = contracts_for(["petra"], concurrent_requests=100)
         engines = [Engine(f"g{number}", slots=10) for number in range(6)]
-        return Sim(engines, contracts, requests, kind, tries=99).run(60)
+        return Sim(engines, contracts, requests, kind, max_attempts=99).run(60)
 
-    def test_they_are_let_in_when_they_were_told(self):
+    def test_callers_are_admitted_at_their_retry_time(self):
         """Two seconds' burst is half a minute's work under the contract.
 
         Told to come back in a second, all callers come back together and one is let
         in; some ask thirty times. Told their own turns, most need one more try.
         """
         naive, ours = self.run_burst(NaiveEntry), self.run_burst(OurEntry)
-        self.assertGreater(max(naive.tries.values()), 30)
-        self.assertLessEqual(max(ours.tries.values()), 4)
-        self.assertLess(sum(ours.tries.values()), 2.1 * len(ours.tries))
+        self.assertGreater(max(naive.attempts.values()), 30)
+        self.assertLessEqual(max(ours.attempts.values()), 4)
+        self.assertLess(sum(ours.attempts.values()), 2.1 * len(ours.attempts))
         self.assertEqual(ours.statuses(), {200})
 
 
@@ -67,9 +67,9 @@
             self.calm += arrivals(name, 1.2, 0, 30)
         hot = arrivals("c0", 75, 0, 30)
         engines = [Engine(f"g{number}", slots=3, token_s=0.02) for number in range(5)]
-        return Sim(engines, contracts, self.calm + hot, kind, tries=99).run(50)
+        return Sim(engines, contracts, self.calm + hot, kind, max_attempts=99).run(50)
 
-    def test_the_nine_lose_nothing(self):
+    def test_customers_within_their_shares_lose_nothing(self):
         """A platform for 1500 tokens a second, and one caller who wants 7500.
 
         First come first served lets the hot caller take its contract's whole 1000,
@@ -99,7 +99,7 @@
         engines = [Engine(f"g{number}") for number in range(10)]
         return requests, Sim(engines, LARGE, requests, kind).run(40)
 
-    def test_hot_prefix_is_cached_and_spread(self):
+    def test_popular_prefix_is_cached_and_spread(self):
         """Prompts that are computed anew take three times as long.
 
         A round robin spreads 41 prefixes over caches that hold eight each, computes
@@ -163,10 +163,10 @@
             after = arrivals(name, 0.75, length_s, length_s + 60, 2, timeout_s=8.0)
             requests += after
         engines = [Engine(f"g{n}", slots=2, token_s=0.04) for n in range(5)]
-        sim = Sim(engines, contracts, requests, kind, tries=99)
+        sim = Sim(engines, contracts, requests, kind, max_attempts=99)
         return requests, sim.run(length_s + 70)
 
-    def test_goodput_holds_and_nothing_outlives_the_overload(self):
+    def test_goodput_holds_and_recovers_after_the_overload(self):
         """Twice and five times the capacity, callers who come back, ten minutes.
 
         First come first served answers everything after its caller has gone: goodput
@@ -186,5 +186,5 @@
             self.assertLess(ours.wait_s(after), usual_s + 0.05)
             self.assertEqual(ours.statuses(), {200, 503})
             # Callers come back when they are told to, so refusals make no storm.
-            tries = sum(ours.tries.values()) / len(requests)
-            self.assertLess(tries, 1.5)
+            attempts = sum(ours.attempts.values()) / len(requests)
+            self.assertLess(attempts, 1.5)
--- a/libs/policy/test/test_sharebook.py
+++ b/libs/policy/test/test_sharebook.py
@@ -7,7 +7,7 @@
 
 
 class ShareBookTest(unittest.TestCase):
-    def test_uses_nothing_before_it_knows_the_entries_and_then_its_floor(self):
+    def test_share_is_zero_until_the_entries_are_known_and_then_the_floor(self):
         book, admission = ShareBook("e0", 2.0, 0.0), an_admission()
         sharebook.set_contract(book, a_contract())
         sharebook.put_in_force(book, admission, 3.0)
@@ -18,7 +18,7 @@
         self.assertEqual(admission.limits["petra"].share.tokens_per_s, 500)
         self.assertTrue(sharebook.is_ready(book, 3.0))
 
-    def test_asks_are_paced_when_no_allocator_answers(self):
+    def test_requests_are_paced_if_no_allocator_answers(self):
         book, admission = ShareBook("e0", 2.0, 0.0), an_admission()
         sharebook.set_contract(book, a_contract())
         asked = [sharebook.due_asks(book, admission, n / 100) for n in range(100)]
--- a/libs/policy/test/test_sharedbudget.py
+++ b/libs/policy/test/test_sharedbudget.py
@@ -6,7 +6,7 @@
 
 RATIO, SLACK, WINDOW_S, ENTRIES = 0.2, 200.0, 10.0, 20
 ATTEMPT = Attempt(1, True, False, 0.1, 1e9, 3)
-WORD_S = 0.5
+REPORT_S = 0.5
 
 
 def budgets(count=ENTRIES):
@@ -20,11 +20,11 @@
     return verdict is Verdict.RETRY
 
 
-def gossip(entries, now_s):
+def exchange_usage(entries, now_s):
     """Tell each entry what all others have spent."""
-    told = [sharedbudget.spent(entry, now_s) for entry in entries]
+    reported = [sharedbudget.spent(entry, now_s) for entry in entries]
     for own, entry in enumerate(entries):
-        others = [one for n, spent in enumerate(told) if n != own for one in spent]
+        others = [one for n, spent in enumerate(reported) if n != own for one in spent]
         total = Spent(
             "llm", sum(o.requests for o in others), sum(o.retries for o in others)
         )
@@ -37,7 +37,7 @@
     for step in range(int(until_s / 0.1)):
         now_s = step * 0.1
         if step % 5 == 0:
-            gossip(entries, now_s)
+            exchange_usage(entries, now_s)
         for number, entry in enumerate(entries):
             sharedbudget.note_request(entry, "llm", now_s)
             while number < asking and retry(entry, now_s):
@@ -53,11 +53,11 @@
     told truly that they have not run.
     """
 
-    def test_answers_that_have_begun_go_on_when_others_may_not(self):
+    def test_answers_that_have_begun_are_retried_when_others_may_not(self):
         entries = budgets()
         for entry in entries:
             sharedbudget.note_request(entry, "llm", 0.0)
-        gossip(entries, 0.0)
+        exchange_usage(entries, 0.0)
         own, fresh, begun = entries[0], 0, 0
         while retry(own, 0.1, has_begun=False):
             fresh += 1
@@ -72,7 +72,7 @@
         sent = 0
         for step in range(100):
             if step % 5 == 0:
-                gossip(entries, step * 0.1)
+                exchange_usage(entries, step * 0.1)
             for entry in entries:
                 if step < 20:
                     sharedbudget.note_request(entry, "llm", step * 0.1)
@@ -95,7 +95,7 @@
         # An even part allows 25 in these three seconds; shared, 64 were sent.
         self.assertGreater(len(sent), 2 * even)
 
-    def test_all_together_keep_the_operators_bound(self):
+    def test_all_entries_together_keep_the_operators_bound(self):
         for asking in (1, 5, ENTRIES):
             sent = play(budgets(), asking, until_s=30.0)
             for begins_s in range(0, 20):
@@ -104,12 +104,12 @@
                 with self.subTest(asking=asking, begins_s=begins_s):
                     self.assertLessEqual(within, allowed)
 
-    def test_words_that_come_late_do_not_break_the_bound(self):
+    def test_late_reports_do_not_exceed_the_bound(self):
         """All entries spend what they may before they hear of each other's spending."""
         entries = budgets()
         for entry in entries:
             sharedbudget.note_request(entry, "llm", 0.0)
-        gossip(entries, 0.0)
+        exchange_usage(entries, 0.0)
         sent = 0
         for _ in range(2):
             for entry in entries:
@@ -119,7 +119,7 @@
                 sharedbudget.share(entry, (Spent("llm", 19, 0),), ENTRIES, 0.2)
         self.assertLessEqual(sent, RATIO * ENTRIES + SLACK)
 
-    def burst(self, beat_steps, age_s, demand):
+    def play_burst(self, beat_steps, age_s, demand):
         """Play a burst; return the most sent in a window, and what waits at the end.
 
         Each of 70 entries tells what it has spent at its own moment in `beat_steps`
@@ -127,19 +127,19 @@
         retries an entry needs in the step in which the burst comes.
         """
         entries, burst_step = budgets(70), 150
-        sent, told, needed = [], [()] * 70, [0] * 70
+        sent, reported, needed = [], [()] * 70, [0] * 70
         for step in range(burst_step + 120):
             now_s = step * 0.1
             for own, entry in enumerate(entries):
                 if step % 3 == 0:
                     sharedbudget.note_request(entry, "llm", now_s)
                 if (step + 7 * own) % beat_steps == 0:
-                    told[own] = sharedbudget.spent(entry, now_s)
-            requests = sum(one.requests for spent in told for one in spent)
-            repeats = sum(one.retries for spent in told for one in spent)
+                    reported[own] = sharedbudget.spent(entry, now_s)
+            requests = sum(one.requests for spent in reported for one in spent)
+            repeats = sum(one.retries for spent in reported for one in spent)
             for own, entry in enumerate(entries):
-                if (step + own) % 5 == 0 and told[own]:
-                    (mine,) = told[own]
+                if (step + own) % 5 == 0 and reported[own]:
+                    (mine,) = reported[own]
                     others = Spent(
                         "llm", requests - mine.requests, repeats - mine.retries
                     )
@@ -154,7 +154,7 @@
         ]
         return max(windows), sum(needed)
 
-    def test_a_burst_that_nobody_has_heard_of_yet_keeps_the_bound(self):
+    def test_a_burst_before_the_next_reports_keeps_the_bound(self):
         """Engines die under every entry's streams at once, and go on dying.
 
         What the others spend is told up to two seconds late. With a new part at each
@@ -164,15 +164,15 @@
         for beat_steps in (5, 10, 15, 20):
             with self.subTest(beat_steps=beat_steps):
                 age_s = (beat_steps - 1) / 2 * 0.1
-                most, _ = self.burst(beat_steps, age_s, lambda own: 1000)
+                most, _ = self.play_burst(beat_steps, age_s, lambda own: 1000)
                 self.assertLessEqual(most, allowed)
                 self.assertGreater(most, 0.7 * SAFE_SHARE * allowed)
 
-    def test_a_burst_at_one_data_centre_is_over_soon(self):
-        _, waiting = self.burst(10, 0.45, lambda own: 10 if own < 14 else 0)
+    def test_a_burst_at_one_data_centre_gets_its_retries_soon(self):
+        _, waiting = self.play_burst(10, 0.45, lambda own: 10 if own < 14 else 0)
         self.assertEqual(waiting, 0)
 
-    def test_one_that_hears_of_nobody_keeps_to_its_even_part(self):
+    def test_an_entry_without_reports_keeps_to_its_even_part(self):
         entry = budgets()[0]
         sharedbudget.note_request(entry, "llm", 0.0)
         sent = sum(retry(entry, 0.0) for _ in range(100))
@@ -185,7 +185,7 @@
         verdict = sharedbudget.may_retry(entry, "desk", ATTEMPT, 0.0)
         self.assertIs(verdict, Verdict.RETRY)
 
-    def test_the_window_forgets(self):
+    def test_usage_outside_the_window_is_dropped(self):
         entry = budgets()[0]
         retry(entry, 0.0)
         self.assertEqual(sharedbudget.spent(entry, 1.0), (Spent("llm", 0, 1),))
--- a/libs/policy/test/test_shares.py
+++ b/libs/policy/test/test_shares.py
@@ -32,7 +32,7 @@
         parts = [round(entries.share(name).tokens_per_s) for name in entries.names]
         self.assertEqual(parts, [250] * 4)
 
-    def test_a_cut_off_entry_serves_on_at_its_floor(self):
+    def test_a_cut_off_entry_continues_at_its_floor(self):
         entries = Entries(BOUND, 4, seed=3)
         entries.demand["e0"] = Share(1e4, 1e6, 100)
         entries.run(6.0)
@@ -43,7 +43,7 @@
         self.assertEqual(entries.share("e1").tokens_per_s, 250)
         self.assertGreater(entries.share("e0").tokens_per_s, 0.7 * 1000)
 
-    def test_max_min_serves_small_demands_whole(self):
+    def test_max_min_satisfies_small_demands(self):
         self.assertEqual(shares.max_min([10, 90, 90], 100), [10, 45, 45])
         self.assertEqual(shares.max_min([0, 4], 10), [1.5, 5.5])
 
@@ -60,7 +60,7 @@
             max_size=10,
         ),
     )
-    def test_sum_of_shares_never_passes_the_bound(self, seed, steps):
+    def test_sum_of_shares_never_exceeds_the_bound(self, seed, steps):
         """Answers are lost, entries and allocators restart, entries disagree.
 
         Two entries must never use the same part of a bound: the customer would get
