--- a/libs/policy/test/builders.py
+++ b/libs/policy/test/builders.py
@@ -25,7 +25,7 @@
 
 
 def an_admission(*contracts, max_queued=1000):
-    """Return an admission with these contracts whole at this entry, at time 0."""
+    """Return an admission at time 0 that has the whole share of these contracts."""
     admission = Admission(max_queued)
     for contract in contracts or (a_contract(),):
         set_contract(admission, contract, 1.0, 0.0)
@@ -33,7 +33,7 @@
 
 
 class Entries:
-    """Entries that share one customer's bound, over answers that may be lost."""
+    """Entries that share one customer's bound; messages may be lost."""
 
     lease_s = 2.0
 
@@ -65,7 +65,7 @@
         return shares.floor_of(self.bound, self.names, name)
 
     def set_entries(self, names):
-        """Tell the allocators and the living entries of another set of entries."""
+        """Pass another set of entries to the allocators and the running entries."""
         self.names = list(names)
         for allocator in self.allocators:
             shares.set_entries(allocator, names)
--- a/libs/policy/test/driver.py
+++ b/libs/policy/test/driver.py
@@ -1,9 +1,9 @@
-"""A small driver of scenarios: a heap of events, fake engines, callers and entries.
+"""A small discrete-event simulation of entries, callers and fake engines.
 
-Callers that are refused come back when they are told to; `results` holds what each
-received in the end. `OurEntry` joins the policy's modules as an entry does, and
-`NaiveEntry` is what they are compared with: a static split of each contract, first come
-first served, round robin, no credits.
+Callers that are refused come back at their retry time; `results` holds what each
+received in the end. `OurEntry` combines the policy's modules as an entry does.
+`NaiveEntry` is the baseline: a static split of each contract, first come first served,
+round robin, no credits.
 """
 
 import heapq
@@ -46,7 +46,7 @@
 
 
 class Result(NamedTuple):
-    """What a caller received: 200 whole, 0 cut off or late, else a refusal."""
+    """What a caller received: 200 complete, 0 cut off or late, else a refusal."""
 
     request: Request
     status: int
@@ -55,7 +55,7 @@
 
 
 class Engine:
-    """A fake engine: so many slots at a fixed speed, a queue, a small prefix cache."""
+    """A fake engine: fixed slots and speed, a queue, a small prefix cache."""
 
     def __init__(self, name, slots=8, token_s=0.01, hop_s=0.0):
         self.name, self.slots = name, slots
@@ -157,7 +157,7 @@
             self.note(request, 200 if in_time else 0, started_s)
 
     def lose(self, name):
-        """Kill an engine; what it runs is lost and new work fails."""
+        """Kill an engine; its running requests are lost and new ones fail."""
         engine = self.engines[name]
         engine.fault = "fails"
         lost, engine.waiting = engine.waiting, []
@@ -165,18 +165,18 @@
             entry.failed(request, name)
 
     def good(self, requests=None):
-        """Return the results that were whole and in time, of these requests or all."""
+        """Return the complete and timely results, of these requests or all."""
         names = {one.request_id for one in requests or ()}
         good = [one for one in self.results if one.status == 200]
         return [r for r in good if requests is None or r.request.request_id in names]
 
     def goodput(self, start_s, end_s):
-        """Return the tokens per second that callers received whole and in time."""
+        """Return the tokens per second that callers received completely and in time."""
         good = [one for one in self.good() if start_s <= one.ended_s < end_s]
         return sum(one.request.tokens for one in good) / (end_s - start_s)
 
     def served_part(self, requests):
-        """Return the part of the requests that was answered whole and in time."""
+        """Return the fraction of the requests that was answered in full and in time."""
         return len(self.good(requests)) / len(requests)
 
     def wait_s(self, requests, part=0.95):
@@ -190,7 +190,7 @@
 
 
 class OurEntry:
-    """An entry that decides by the policy's modules."""
+    """An entry that uses the policy's modules."""
 
     def __init__(self, sim, name, entries):
         self.sim, self.name, self.is_lone = sim, name, entries == 1
@@ -317,7 +317,7 @@
     return [a_contract(name, **changes) for name in names]
 
 
-# Contracts that leave the platform as the only limit.
+# Contracts so large that only the platform limits the load.
 LARGE = contracts_for(
     ("petra", "c0", "c1"),
     requests_per_s=1e3,
--- a/libs/policy/test/permitsim.py
+++ b/libs/policy/test/permitsim.py
@@ -1,4 +1,4 @@
-"""Entries before one endpoint that limits its requests, in simulated time."""
+"""Simulation of entries that send to one endpoint with a limit on its requests."""
 
 import heapq
 import itertools
@@ -10,12 +10,12 @@
 
 WINDOW_S = 4.0
 LATENCY_S = (0.0005, 0.02)
-# How long a request waits for an answer to its ask.
+# How long a request waits for the answer to its request for a permit.
 ANSWER_WAIT_S = 0.06
 
 
 class Plan(NamedTuple):
-    """What happens in a run; `demand` is `even`, `one` or `moving`."""
+    """The settings of a run; `demand` is `even`, `one` or `moving`."""
 
     entries: int = 7
     demand: str = "even"
@@ -23,13 +23,13 @@
     per_s: float = 2.5
     requests_per_s: float = 20.0
     length_s: float = 40.0
-    # Another issuer takes over, without knowledge, this often.
+    # Interval at which another issuer takes over without any state.
     issuer_changes_s: float = 1e9
     lost_share: float = 0.0
 
 
 class Outcome(NamedTuple):
-    """What came of a run."""
+    """The results of a run."""
 
     sent_s: list[float]
     messages: int
@@ -41,12 +41,12 @@
         return most_in_window(self.sent_s)
 
     def share_used(self, per_s: float) -> float:
-        """Return which part of the limit was used."""
+        """Return the fraction of the limit that was used."""
         return len(self.sent_s) / (per_s * self.length_s)
 
 
 def most_in_window(sent_s):
-    """Return the most of some moments that lie within one window."""
+    """Return the most of these times that lie within one window."""
     most = first = 0
     for last, at_s in enumerate(sent_s):
         while at_s - sent_s[first] >= WINDOW_S:
@@ -56,7 +56,7 @@
 
 
 def play(plan: Plan, seed: int) -> Outcome:
-    """Play one run of a fleet."""
+    """Simulate one run."""
     return _Run(plan, random.Random(seed)).play()
 
 
@@ -132,7 +132,7 @@
 
     def take(self, now_s, entry, grant):
         permits.take(self.holder[entry], grant, now_s)
-        # The request that asked is still there.
+        # The request that asked for the permit still waits.
         self.try_send(now_s, entry)
 
     def try_send(self, now_s, entry):
--- a/libs/policy/test/test_admission.py
+++ b/libs/policy/test/test_admission.py
@@ -129,10 +129,11 @@
         self.assertEqual(results, [Started("b", 0.0)])
 
     def test_urgent_requests_go_first_without_starving_others(self):
-        """A customer sends urgent requests at twice its limit, and a few others.
+        """Urgent requests at twice the limit must not starve the others.
 
         By strict priority the others would wait until they expire. Each is overtaken
-        only by those that arrive within its allowance, so all that are let in start.
+        only by requests that arrive within its allowance, so all admitted requests
+        start.
         """
         admission = an_admission(a_contract(requests_per_s=1000.0))
         waited, let_in = {0: [], 2: []}, set()
--- a/libs/policy/test/test_dispatch.py
+++ b/libs/policy/test/test_dispatch.py
@@ -50,10 +50,10 @@
         self.assertEqual(self.in_flight(), {})
 
     def test_a_call_that_may_have_run_is_reported_as_unknown(self):
-        """A filing's answer is lost after it was sent.
+        """The answer of a call that must not be repeated is lost.
 
-        Sent again it could be filed twice; called not run, its caller would send it
-        again. The caller is told at once that the outcome is unknown.
+        A retry could file twice. Reported as not run, the caller would send it again.
+        So the caller is informed at once that the outcome is unknown.
         """
         self.submit("r1", service="filing", is_idempotent=False)
         (failure,) = dispatch.failed(self.dispatcher, "r1", "s", False, 0.1)
--- a/libs/policy/test/test_invariants.py
+++ b/libs/policy/test/test_invariants.py
@@ -25,7 +25,7 @@
 
 
 class Run:
-    """A dispatcher beside a plain record of what it has said."""
+    """A dispatcher, with a separate record of the effects that it returned."""
 
     def __init__(self, test):
         self.test, self.now_s, self.gone, self.stopped = test, 0.0, set(), set()
@@ -134,7 +134,8 @@
             own = admission.limits[contract.customer]
             test.assertLessEqual(own.running, contract.concurrent_requests)
             test.assertGreaterEqual(own.requests.level, -1e-6)
-            # Past burst and rate at most the debt, which the bucket holds against it.
+            # Beyond burst and rate, the excess is at most the debt that the bucket
+            # holds.
             bound = contract.tokens_per_s * (contract.burst_s + self.now_s)
             over = self.used[contract.customer] - bound
             test.assertLessEqual(over, -own.tokens.level + 1e-6)
@@ -149,11 +150,12 @@
     @settings(derandomize=True, database=None, deadline=None, max_examples=300)
     @given(STEPS)
     def test_invariants_hold_in_any_order_of_events(self, steps):
-        """Requests, ends, failures, cancels, late news, stops and lost endpoints.
+        """Each request ends exactly once, and no slot is lost.
 
-        Each request ends once; none is started past its deadline or refused while it
-        runs; none waits beside a free chain within its limits; no customer passes its
-        bound; no slot is lost. With no room at all each gets its answer in time.
+        The events are requests, ends, failures, cancellations, late reports, stops and
+        lost endpoints. No request starts after its deadline or is refused while it
+        runs. None waits within its limits while a chain is free. No customer exceeds
+        its bound. Without any capacity each request gets its answer in time.
         """
         run = Run(self)
         for action, which, size in steps:
--- a/libs/policy/test/test_otherload.py
+++ b/libs/policy/test/test_otherload.py
@@ -6,7 +6,7 @@
 
 ENTRIES = 8
 COPIES = ("x", "y", "z")
-# Between two words, in arrivals at each entry, and a stream's length in the same.
+# Arrivals at each entry between two reports, and the length of a stream in arrivals.
 REPORT_INTERVAL, LENGTH = 4, 12
 CAPACITY = 45
 
@@ -33,15 +33,16 @@
 
 
 class HerdTest(unittest.TestCase):
-    """Eight entries place streams on three copies, and hear of each other rarely.
+    """Eight entries place streams on three copies and rarely exchange their loads.
 
-    The first copy is the fastest, and takes as many streams as it has room for. By the
-    last word alone, each entry fills the room that was left then: the engine refuses
-    what is too much, and each refusal costs its client time and the operators a retry.
+    The first copy is the fastest, and runs as many streams as its capacity allows. By
+    the last report alone, each entry would use all of the capacity that was left then.
+    The engine refuses the excess, and each refusal costs the client time and the
+    operators a retry.
     """
 
     def play(self, estimate):
-        """Return how many streams were sent to a copy without room for them."""
+        """Return how many streams were sent to a copy without capacity for them."""
         rng = random.Random(7)
         own = [dict.fromkeys(COPIES, 0) for _ in range(ENTRIES)]
         loads = [OtherLoad() for _ in range(ENTRIES)]
--- a/libs/policy/test/test_permits.py
+++ b/libs/policy/test/test_permits.py
@@ -8,15 +8,15 @@
 from cherryrudder.policy.permits import Grant, Holder, Issuer
 
 LIMIT_PER_S = 2.5
-# The users' rule allows half as much again, and five more.
+# The users' rule permits one and a half times the limit, and five more.
 ALLOWED = 1.5 * LIMIT_PER_S * WINDOW_S + 5
 
 
 class FleetTest(unittest.TestCase):
-    """Guards against entries that together send more than an endpoint takes."""
+    """Guards against entries that together send more than an endpoint accepts."""
 
     def outcomes(self, strategy, **changes):
-        """Play fleets of several sizes and kinds of demand."""
+        """Simulate fleets of several sizes and kinds of demand."""
         fleets = itertools.product((3, 26, 370), ("even", "one", "moving"))
         plans = [
             Plan(entries=n, demand=d, strategy=strategy, **changes) for n, d in fleets
--- a/libs/policy/test/test_placement.py
+++ b/libs/policy/test/test_placement.py
@@ -48,10 +48,10 @@
         self.assertEqual(names(placement.choose_chain(fleet, NEED, 0.2)), ["a"])
 
     def test_endpoint_with_a_broken_link_gets_nothing_until_its_next_grant(self):
-        """An endpoint dies; it stays announced for the rest of its lease.
+        """A dead endpoint stays announced until its lease expires.
 
-        Its broken link takes its credits, whether or not it had granted any yet. A
-        link that only broke is made good by the next grant.
+        Its broken link sets its credits to zero, whether or not it had granted any. If
+        only the link was broken, the next grant restores them.
         """
         fleet = a_fleet(an_engine("e1"))
         need = Need("briefing", "1")
--- a/libs/policy/test/test_refusal.py
+++ b/libs/policy/test/test_refusal.py
@@ -1,4 +1,4 @@
-"""Tests of what counts as a full platform."""
+"""Tests of when the platform counts as full."""
 
 import unittest
 
@@ -17,10 +17,10 @@
         return refusal.platform_wait_s(self.drain, 10_000.0, now_s)
 
     def test_a_burst_on_an_idle_platform_waits_for_credits(self):
-        """A burst comes to an idle entry, which holds one credit for each endpoint.
+        """A burst reaches an idle entry, which holds one credit for each endpoint.
 
-        The second request is blocked and credits are asked for. Until they can have
-        come nobody is refused; if none comes, the platform is full indeed.
+        The second request is blocked, and credits are requested. Until they can arrive
+        no request is refused. If none arrive, the platform is full.
         """
         refusal.record_start(self.drain, 100.0, 5.0)
         refusal.record_blocked(self.drain, 5.0)
@@ -31,8 +31,8 @@
     def test_a_platform_that_stays_full_is_full_at_once(self):
         """Requests wait all the time, and one starts whenever another ends.
 
-        Each start must not begin a new time of grace, or nobody would be refused
-        before its longest wait is over.
+        If each start began a new grace period, no request would be refused before the
+        end of its longest wait.
         """
         refusal.record_blocked(self.drain, 5.0)
         for tenth in range(4, 50):
--- a/libs/policy/test/test_roles.py
+++ b/libs/policy/test/test_roles.py
@@ -16,7 +16,7 @@
         self.orders = []
 
     def run_for(self, start_s, end_s, briefing, summary):
-        """Plan every second; an ordered engine changes at once."""
+        """Plan every second; an engine takes up its new job at once."""
         for now_s in range(start_s, end_s):
             demands = {BRIEFING: briefing(now_s), SUMMARY: summary(now_s)}
             engines = [Engine(e, job, BOTH, 100.0) for e, job in self.jobs.items()]
@@ -34,8 +34,8 @@
     def test_bursts_and_swings_of_demand_move_few_engines(self):
         """Demand swings between two models every minute.
 
-        A planner that follows each swing orders an engine at each one; callers then
-        see two models short of engines that are loading weights.
+        A planner that follows each swing would move an engine each time, and both
+        models would lack the engines that are loading weights.
         """
         burst = [100, 400]
         self.run_for(0, 300, lambda t: 100, lambda t: burst[t % 15 < 5])
--- a/libs/policy/test/test_roomqueue.py
+++ b/libs/policy/test/test_roomqueue.py
@@ -12,7 +12,7 @@
 
 
 def a_request(request_id, arrived_s=0.0, account="a", tokens=TOKENS):
-    """Return a stream that waits."""
+    """Return a stream to be queued."""
     return Waiting(
         request_id=request_id,
         account=account,
@@ -24,7 +24,7 @@
 
 
 def a_queue(*requests):
-    """Return a queue in which some requests wait."""
+    """Return a queue with these requests."""
     queue = RoomQueue()
     for request in requests:
         assert roomqueue.push(queue, request, request.arrived_s) is None
@@ -32,7 +32,7 @@
 
 
 def order(queue, now_s):
-    """Return the ids in the order in which room is given."""
+    """Return the ids in the order in which the requests are admitted."""
     ids = []
     while (request := roomqueue.first(queue, now_s)) is not None:
         ids.append(request.request_id)
@@ -55,7 +55,7 @@
         self.assertEqual(order(queue, 0.6), ["begun", "in time"])
 
     def test_an_answer_that_has_begun_is_queued_whatever_the_length(self):
-        """Its client would see it end in the middle; a new one can be told a time."""
+        """If refused it would end in the middle; a new one can be told a retry time."""
         waiting = [a_request(f"{n}")._replace(in_time_until_s=9.0) for n in range(40)]
         queue = a_queue(*waiting)
         for now_s in range(1, 8):
@@ -66,7 +66,7 @@
         self.assertIsNone(roomqueue.push(queue, begun, 4.0))
 
     def test_accounts_take_turns(self):
-        """A partner floods; the one request of another account isn't behind all."""
+        """One request of an account does not wait behind all those of a larger one."""
         flood = [a_request(f"f{n}", n / 1000, "flood") for n in range(20)]
         queue = a_queue(*flood, a_request("quiet", 0.1, "quiet"))
         self.assertLess(order(queue, 0.2).index("quiet"), 2)
@@ -87,7 +87,7 @@
 
 class RefusalTest(unittest.TestCase):
     def steady(self):
-        """Return a queue whose room comes free for one usual request in 0.2 s."""
+        """Return a queue that can admit one usual request every 0.2 s."""
         queue = RoomQueue()
         for turn in range(20):
             now_s = turn * 0.2
@@ -127,7 +127,7 @@
 
 
 class Outcome(NamedTuple):
-    """What the callers of a load got."""
+    """The results of all callers."""
 
     in_time: int
     late: int
@@ -135,7 +135,7 @@
 
 
 def play(take_next, arrivals, room_every_s):
-    """Give room to waiting requests at a steady rate, and return the outcome."""
+    """Free capacity at a steady rate, and return the outcome."""
     queue, now_s, turn = RoomQueue(), 0.0, 1
     in_time = late = quiet = 0
     waiting = sorted(arrivals, key=lambda r: r.arrived_s)
@@ -159,15 +159,16 @@
 
 
 def by_arrival(queue, now_s):
-    """Serve first who came first, as a plain queue does."""
+    """Return the request that arrived first, as a plain queue does."""
     return min(queue.waiting.values(), key=lambda r: r.arrived_s, default=None)
 
 
 class LoadTest(unittest.TestCase):
-    """For five seconds, half as many streams again come as there is room for.
+    """For five seconds, half as many streams again arrive as there is capacity for.
 
-    First come, first served lets the wait grow to the clients' patience: nearly every
-    answer is late. Served in time first, as many are answered, most of them in time.
+    First come, first served lets the wait grow to the clients' patience, and nearly
+    every answer is late. If requests in time go first, as many are answered, most of
+    them in time.
     """
 
     def setUp(self):
--- a/libs/policy/test/test_scenarios_faults.py
+++ b/libs/policy/test/test_scenarios_faults.py
@@ -1,4 +1,4 @@
-"""Scenarios of faults, judged by what callers receive, against the naive entry."""
+"""Scenarios with faults: what callers receive, compared with the naive entry."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class LaggedEntry(NaiveEntry):
-    """Choose the engine with the least load by reports that are five seconds old."""
+    """Choose the least loaded engine by reports that are five seconds old."""
 
     reports, taken_s = {}, -5.0
 
@@ -46,11 +46,11 @@
         return sim, [one for one in requests if one.at_s > 10]
 
     def test_few_callers_are_affected(self):
-        """A sixth of the callers meet an endpoint that harms them.
+        """A sixth of the callers are sent to a faulty endpoint.
 
-        A round robin goes on sending it a sixth for ever. Compared with its kind, the
-        endpoint is found out within seconds, and requests that it swallowed are sent
-        elsewhere.
+        A round robin never stops sending it a sixth. Compared with its kind, the
+        endpoint is detected within seconds, and the requests that it did not answer are
+        sent elsewhere.
         """
         for fault in ("slow", "slow when long", "silent", "fails"):
             with self.subTest(fault=fault):
@@ -63,14 +63,14 @@
 
 
 class LostEntryTest(unittest.TestCase):
-    """Scenario 7: an entry dies and comes back, then the allocator's entry."""
+    """Scenario 7: an entry dies and returns, then the allocator's entry."""
 
     def test_bound_holds_and_is_reached_again(self):
-        """Callers of the other entries take over the load of one that died.
+        """Callers of the other entries take over the load of a dead one.
 
         A static split holds them to two thirds until it is back. With leases the dead
-        entry's floor is kept until it is taken out of the set, and then is theirs; at
-        no moment do the shares pass the bound.
+        entry's floor is kept until it is removed from the set of entries, and then is
+        theirs. The sum of the shares never exceeds the bound.
         """
         entries = Entries(Share(100.0, 1000.0, 30), 3, seed=1)
         for name in entries.names:
@@ -104,7 +104,7 @@
 
 
 class HerdTest(unittest.TestCase):
-    """Scenario 8: reports five seconds old, entries that decide at the same moment."""
+    """Scenario 8: entries choose at the same moment, by five seconds old reports."""
 
     def run_herd(self, kind):
         requests = []
@@ -115,10 +115,10 @@
         return requests, sim.run(50)
 
     def test_entries_do_not_all_choose_the_same_engine(self):
-        """Four entries see the same idle endpoint in reports five seconds old.
+        """Four entries see the same idle endpoint in reports that are five seconds old.
 
         All send to it until the next report: its queue grows by hundreds while others
-        idle, and its callers wait. Credits are spent where they are counted.
+        are idle, and its callers wait. Credits are counted at the endpoint.
         """
         requests, naive = self.run_herd(LaggedEntry)
         self.assertGreater(naive.wait_s(requests), 2.0)
@@ -153,7 +153,7 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    """Scenario 10: a planned stop in the middle of the others."""
+    """Scenario 10: a planned stop during each of the other scenarios."""
 
     def run_stop(self, kind, rate, fault="", hot_part=0.5):
         requests = arrivals("c0", rate * hot_part, 0, 25, entry=0)
@@ -165,7 +165,7 @@
         if fault == "lost":
             sim.at(9.5, lambda: [sim.lose("g4"), sim.lose("g5")])
         sim.at(10.0, lambda: setattr(engines[0], "is_leaving", True))
-        # The process ends when nothing is in flight, or a minute after the stop.
+        # The process exits when nothing is in flight, or a minute after the stop.
         sim.at(10.5, lambda: self.end_when_idle(sim, engines[0]))
         return sim.run(80)
 
@@ -177,11 +177,12 @@
         engine.fault = engine.fault or "fails"
 
     def test_no_request_is_cut_off_and_none_arrives_after_two_seconds(self):
-        """An operator takes an endpoint out, under normal load, overload, a hot
-        caller, beside a slow endpoint, and half a second after a third was lost.
+        """An operator stops an endpoint.
 
-        A round robin goes on sending to it, so it never gets idle or its callers see
-        errors once it has gone. Ours sends nothing more and the process ends soon.
+        The load is normal, too high, or mostly from one caller; or another endpoint is
+        slow, or a third was lost half a second before. A round robin continues to send
+        to the endpoint, so that it never becomes idle or its callers get errors once it
+        has gone. Here nothing more is sent to it and its process exits soon.
         """
         for load in ((30,), (120,), (100, "", 0.9), (30, "slow"), (60, "lost")):
             with self.subTest(load=load):
@@ -200,22 +201,23 @@
     """Scenario 11: a third of the endpoints is lost at once at 80% load."""
 
     def run_loss(self, kind):
-        # 9 engines of 8 slots serve 144 requests of half a second a second.
+        # 9 engines of 8 slots serve 144 requests of half a second per second.
         requests = arrivals("petra", 0.8 * 144, 0, 60)
         engines = [Engine(f"g{number}") for number in range(9)]
         sim = Sim(engines, LARGE, requests, kind, max_attempts=9)
         for number in range(3):
             sim.at(10.0, lambda name=f"g{number}": sim.lose(name))
-            # Its announcement lapses.
+            # Its announcement expires.
             sim.at(12.0, lambda one=engines[number]: setattr(one, "fault", "gone"))
         return requests, sim.run(80)
 
     def test_the_remaining_capacity_is_fully_used(self):
-        """Three of nine endpoints die with what they run; the rest can serve 83%.
+        """Three of nine endpoints die with their requests; the rest can serve 83%.
 
-        A round robin sends a third to the dead for ever and lets in more than the rest
-        can do, so that callers get their answers late. Ours sends the lost requests
-        elsewhere, as they are idempotent, and refuses at once what has no room.
+        A round robin still sends a third to the dead ones and admits more than the rest
+        can serve, so that callers get their answers late. Here the lost requests are
+        sent elsewhere, as they are idempotent, and what exceeds the capacity is refused
+        at once.
         """
         left = 96 * 100
         requests, naive = self.run_loss(NaiveEntry)
--- a/libs/policy/test/test_scenarios_load.py
+++ b/libs/policy/test/test_scenarios_load.py
@@ -1,4 +1,4 @@
-"""Scenarios of load, judged by what callers receive, against the naive entry."""
+"""Scenarios with high load: what callers receive, compared with the naive entry."""
 
 import unittest
 
@@ -18,8 +18,8 @@
         """A customer's whole batch comes through one of three entries.
 
         Under a static split the caller gets a third of its contract and refusals for
-        the rest, though nobody uses the other two thirds. With leases the busy entry
-        gets what the idle ones don't need.
+        the rest, though the other two thirds are unused. With leases the busy entry
+        gets what the idle ones do not need.
         """
         naive, ours = self.run_burst(NaiveEntry, 0), self.run_burst(OurEntry, 0)
         self.assertLess(naive.goodput(6, 15), 0.4 * 1000)
@@ -35,7 +35,7 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """Callers who come back when they are told to."""
+    """Callers that come back at the time in their refusal."""
 
     def run_burst(self, kind):
         requests = arrivals("petra", 200, 0, 2, timeout_s=90.0)
@@ -44,10 +44,11 @@
         return Sim(engines, contracts, requests, kind, max_attempts=99).run(60)
 
     def test_callers_are_admitted_at_their_retry_time(self):
-        """Two seconds' burst is half a minute's work under the contract.
+        """A burst of two seconds is half a minute's work under the contract.
 
-        Told to come back in a second, all callers come back together and one is let
-        in; some ask thirty times. Told their own turns, most need one more try.
+        If all are told to come back in a second, they come back together and one is
+        admitted; some try thirty times. With a time for each, most need one more
+        attempt.
         """
         naive, ours = self.run_burst(NaiveEntry), self.run_burst(OurEntry)
         self.assertGreater(max(naive.attempts.values()), 30)
@@ -57,7 +58,7 @@
 
 
 class HotCallerTest(unittest.TestCase):
-    """Scenario 2: one caller at 50 times its share beside nine that keep to theirs."""
+    """Scenario 2: one caller at 50 times its share, nine within theirs."""
 
     def run_hot(self, kind):
         names = [f"c{number}" for number in range(10)]
@@ -70,11 +71,11 @@
         return Sim(engines, contracts, self.calm + hot, kind, max_attempts=99).run(50)
 
     def test_customers_within_their_shares_lose_nothing(self):
-        """A platform for 1500 tokens a second, and one caller who wants 7500.
+        """The platform serves 1500 tokens a second, and one caller asks for 7500.
 
-        First come first served lets the hot caller take its contract's whole 1000,
-        more than is free beside the nine's 1080; all queues grow, and the nine's
-        requests come late. Fair queueing starts theirs first.
+        First come, first served lets this caller use its contract's whole 1000, more
+        than is free beside the nine's 1080; all queues grow, and the nine's answers are
+        late. Fair queueing starts their requests first.
         """
         naive = self.run_hot(NaiveEntry)
         self.assertLess(naive.served_part(self.calm), 0.8)
@@ -89,7 +90,7 @@
 
 
 class HotKeyTest(unittest.TestCase):
-    """Scenario 3: one prompt prefix takes 60% of the load."""
+    """Scenario 3: one prompt prefix makes up 60% of the load."""
 
     def run_hot_key(self, kind):
         def prefix(rng):
@@ -100,10 +101,10 @@
         return requests, Sim(engines, LARGE, requests, kind).run(40)
 
     def test_popular_prefix_is_cached_and_spread(self):
-        """Prompts that are computed anew take three times as long.
+        """Prompts whose prefix is not cached take three times as long.
 
         A round robin spreads 41 prefixes over caches that hold eight each, computes
-        many anew, falls behind and answers late. Placing each request at whichever
+        many again, falls behind and answers late. Sending each request to whichever
         endpoint frees a slot did the same once the fleet was full.
         """
         requests, naive = self.run_hot_key(NaiveEntry)
@@ -135,7 +136,7 @@
         """A round robin puts short requests behind long ones at a busy engine.
 
         Their callers wait seconds for a tenth of a second's work while other engines
-        are free. With credits nothing waits at an engine.
+        are free. With credits no request waits at an engine.
         """
         requests, naive = self.run_mixed(NaiveEntry)
         short = [one for one in requests if one.answer == 10]
@@ -148,7 +149,7 @@
 
 
 class OverloadTest(unittest.TestCase):
-    """Scenario 6: 2 and 5 times capacity for ten minutes, then back."""
+    """Scenario 6: 2 and 5 times the capacity for ten minutes, then normal load."""
 
     capacity = 500.0
 
@@ -167,10 +168,11 @@
         return requests, sim.run(length_s + 70)
 
     def test_goodput_holds_and_recovers_after_the_overload(self):
-        """Twice and five times the capacity, callers who come back, ten minutes.
+        """Two and five times the capacity for ten minutes, with callers that come back.
 
-        First come first served answers everything after its caller has gone: goodput
-        is nothing while engines are busy all the time, and stays so afterwards.
+        First come, first served answers every request after its caller has gone:
+        goodput is zero while the engines are busy all the time, and stays there
+        afterwards.
         """
         _, naive = self.run_overload(NaiveEntry, 2, 100)
         self.assertLess(naive.goodput(50, 100), 0.1 * self.capacity)
@@ -185,6 +187,6 @@
             self.assertEqual(ours.served_part(after), 1.0)
             self.assertLess(ours.wait_s(after), usual_s + 0.05)
             self.assertEqual(ours.statuses(), {200, 503})
-            # Callers come back when they are told to, so refusals make no storm.
+            # Callers come back at their retry times, so refusals cause no retry storm.
             attempts = sum(ours.attempts.values()) / len(requests)
             self.assertLess(attempts, 1.5)
--- a/libs/policy/test/test_sharedbudget.py
+++ b/libs/policy/test/test_sharedbudget.py
@@ -15,13 +15,13 @@
 
 
 def retry(shared, now_s, has_begun=None):
-    """Try to send a retry; tell whether it may."""
+    """Try to send a retry; return whether it is permitted."""
     verdict = sharedbudget.may_retry(shared, "llm", ATTEMPT, now_s, has_begun)
     return verdict is Verdict.RETRY
 
 
 def exchange_usage(entries, now_s):
-    """Tell each entry what all others have spent."""
+    """Send each entry the usage of all others."""
     reported = [sharedbudget.spent(entry, now_s) for entry in entries]
     for own, entry in enumerate(entries):
         others = [one for n, spent in enumerate(reported) if n != own for one in spent]
@@ -32,7 +32,7 @@
 
 
 def play(entries, asking, until_s):
-    """Let some entries retry whatever they may; return what was sent, by time."""
+    """Let some entries retry as much as they may; return the times of the retries."""
     sent = []
     for step in range(int(until_s / 0.1)):
         now_s = step * 0.1
@@ -48,9 +48,9 @@
 class BegunTest(unittest.TestCase):
     """Engines that leave refuse some requests, and cut streams two seconds later.
 
-    The streams have no other way on than the same budget. Spent on the requests that
-    were refused, it leaves them broken in the middle, where the others could still be
-    told truly that they have not run.
+    The streams need retries from the same budget. If the refused requests used it up,
+    the streams would end in the middle, whereas the requests could still be refused
+    correctly as not run.
     """
 
     def test_answers_that_have_begun_are_retried_when_others_may_not(self):
@@ -83,16 +83,17 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """One data centre loses an engine; only its entries have streams to send again.
+    """One data centre loses an engine, so only its entries have streams to retry.
 
-    An even part for each entry runs out there at once, and streams are given up while
-    nine tenths of the budget lie unused elsewhere.
+    An even part for each entry would be used up there at once, and streams would be
+    given up while nine tenths of the budget are unused elsewhere.
     """
 
     def test_entries_that_need_retries_get_more_than_an_even_part(self):
         sent = play(budgets(), asking=2, until_s=3.0)
         even = 2 * SAFE_SHARE * (SLACK / ENTRIES + 3.0 * 10 * RATIO)
-        # An even part allows 25 in these three seconds; shared, 64 were sent.
+        # An even part allows 25 in these three seconds; with the shared budget it is
+        # 64.
         self.assertGreater(len(sent), 2 * even)
 
     def test_all_entries_together_keep_the_operators_bound(self):
@@ -105,7 +106,7 @@
                     self.assertLessEqual(within, allowed)
 
     def test_late_reports_do_not_exceed_the_bound(self):
-        """All entries spend what they may before they hear of each other's spending."""
+        """All entries spend what they may before they receive each other's usage."""
         entries = budgets()
         for entry in entries:
             sharedbudget.note_request(entry, "llm", 0.0)
@@ -120,11 +121,11 @@
         self.assertLessEqual(sent, RATIO * ENTRIES + SLACK)
 
     def play_burst(self, beat_steps, age_s, demand):
-        """Play a burst; return the most sent in a window, and what waits at the end.
+        """Simulate a burst; return the most sent in a window, and what is still needed.
 
-        Each of 70 entries tells what it has spent at its own moment in `beat_steps`
-        steps of 0.1 s, and hears the sum of the others every five; `demand` is how many
-        retries an entry needs in the step in which the burst comes.
+        Each of 70 entries reports its usage at its own moment within `beat_steps` steps
+        of 0.1 s, and receives the sum of the others every five steps. `demand` returns
+        how many retries an entry needs in the step of the burst.
         """
         entries, burst_step = budgets(70), 150
         sent, reported, needed = [], [()] * 70, [0] * 70
@@ -155,10 +156,10 @@
         return max(windows), sum(needed)
 
     def test_a_burst_before_the_next_reports_keeps_the_bound(self):
-        """Engines die under every entry's streams at once, and go on dying.
+        """Engines with streams of every entry die at once, and continue to die.
 
-        What the others spend is told up to two seconds late. With a new part at each
-        word the entries spent the same retries two and three times over.
+        The usage of the others arrives up to two seconds late. With a new part at each
+        report the entries spent the same retries two and three times over.
         """
         allowed = RATIO * 70 * WINDOW_S / 0.3 + SLACK
         for beat_steps in (5, 10, 15, 20):
--- a/libs/policy/test/test_shares.py
+++ b/libs/policy/test/test_shares.py
@@ -61,10 +61,11 @@
         ),
     )
     def test_sum_of_shares_never_exceeds_the_bound(self, seed, steps):
-        """Answers are lost, entries and allocators restart, entries disagree.
+        """Two entries never use the same part of a bound.
 
-        Two entries must never use the same part of a bound: the customer would get
-        more than its contract, at the cost of the others.
+        Answers are lost, entries and allocators restart, and entries use different
+        allocators. If a part was used twice, the customer would get more than its
+        contract, at the cost of the others.
         """
         entries = Entries(BOUND, 4, seed)
         for action, number, amount, wait_s in steps:
