--- a/libs/policy/test/test_admission.py
+++ b/libs/policy/test/test_admission.py
@@ -80,11 +80,10 @@
         self.assertEqual((gone.request_id, gone.refusal.status), ("b", 503))
 
     def test_request_without_prospect_is_given_up_before_its_deadline(self):
-        """Engines freeze while requests wait.
+        """If engines freeze, a request is given up before its longest wait ends.
 
-        The caller sees a 503 after about a second, not at the end of its longest wait.
-        All slots are taken, nothing finishes any more, and the estimated wait grows
-        past the time that the request has left.
+        All slots are taken and nothing finishes, so the estimated wait grows beyond the
+        time that the request has left, and the caller gets a 503 after about a second.
         """
         admission = an_admission(a_contract(max_wait_s=8.0))
         self.fill(admission, 4)
--- a/libs/policy/test/test_ejection.py
+++ b/libs/policy/test/test_ejection.py
@@ -55,11 +55,11 @@
         self.assertEqual(ejection.review(self.kind, self.peers, 6.0), ["g0"])
 
     def test_a_prefill_during_streaming_is_not_silence(self):
-        """Tokens stream by the hundred a second; one endpoint reads a long prompt.
+        """An endpoint reads a long prompt while others stream tokens by the hundred.
 
-        Its caller waits three seconds for the first token, as others did before. Were
-        that forgotten with the next tokens, the endpoint would be ejected and the
-        prompt read again elsewhere.
+        Its caller waits three seconds for the first token, as others did before. If
+        that gap decayed with the next tokens, the endpoint would be ejected and the
+        prompt read again at another one.
         """
         for peer in self.peers:
             ejection.record_signal(peer.health, self.kind, 3.0)
--- a/libs/policy/test/test_sharedbudget.py
+++ b/libs/policy/test/test_sharedbudget.py
@@ -92,8 +92,8 @@
     def test_entries_that_need_retries_get_more_than_an_even_part(self):
         sent = play(budgets(), asking=2, until_s=3.0)
         even = 2 * SAFE_SHARE * (SLACK / ENTRIES + 3.0 * 10 * RATIO)
-        # An even part allows 25 in these three seconds; with the shared budget it is
-        # 64.
+        # An even part allows 25 in these three seconds; 64 are sent with the shared
+        # budget.
         self.assertGreater(len(sent), 2 * even)
 
     def test_all_entries_together_keep_the_operators_bound(self):
