--- a/libs/policy/src/cherryrudder/policy/admission.py
+++ b/libs/policy/src/cherryrudder/policy/admission.py
@@ -262,14 +262,16 @@
 def _refuse(admission, request, is_own, over_s, now_s):
     tokens = request.cost_tokens
     if is_own:
-        turn_s = limits.request_interval_s(admission.limits[request.customer], tokens)
+        interval_s = limits.request_interval_s(
+            admission.limits[request.customer], tokens
+        )
         key = (request.customer, "")
     else:
         rate = refusal.drain_rate(_drain(admission, request.model), now_s)
-        turn_s = tokens / rate if rate else math.inf
+        interval_s = tokens / rate if rate else math.inf
         key = ("", request.model)
     retry_s = refusal.retry_after_s(
-        admission.retry_schedule, key, over_s, turn_s, now_s
+        admission.retry_schedule, key, over_s, interval_s, now_s
     )
     answer = refusal.own_limit if is_own else refusal.platform_full
     return answer(retry_s)
@@ -281,11 +283,11 @@
     # A full queue evicts the last request of the customer with the largest backlog. If
     # it refused the new request, one customer with excessive load could lock out all
     # others.
-    victim = fairqueue.last_of_longest(admission.queue)
-    if victim is None or victim.customer == request.customer:
+    evicted = fairqueue.last_of_longest(admission.queue)
+    if evicted is None or evicted.customer == request.customer:
         return False
-    fairqueue.remove(admission.queue, victim.request_id)
-    admission.given_up.append(_give_up(admission, victim, now_s))
+    fairqueue.remove(admission.queue, evicted.request_id)
+    admission.given_up.append(_give_up(admission, evicted, now_s))
     return True
 
 
--- a/libs/policy/src/cherryrudder/policy/fairqueue.py
+++ b/libs/policy/src/cherryrudder/policy/fairqueue.py
@@ -220,7 +220,7 @@
 
 
 def last_of_longest(queue: FairQueue) -> QueuedRequest | None:
-    """Return the last request of the customer with the most tokens for its weight."""
+    """Return the last request of the customer with the largest weighted backlog."""
     longest, most = None, -math.inf
     for name in queue.active:
         flow = queue.flows[name]
--- a/libs/policy/src/cherryrudder/policy/permits.py
+++ b/libs/policy/src/cherryrudder/policy/permits.py
@@ -93,7 +93,7 @@
         # Start of the current period without answers, None if they arrive.
         self.unanswered_s: float | None = None
         # When the entry last sent without a permit, for lack of an issuer.
-        self.fallback_s = float("-inf")
+        self.last_fallback_s = float("-inf")
 
 
 def has_permit(holder: Holder, per_s: float, entries: int, now_s: float) -> bool:
@@ -107,7 +107,7 @@
     if holder.until_s:
         holder.until_s.pop(0)
     else:
-        holder.fallback_s = now_s
+        holder.last_fallback_s = now_s
 
 
 def _has_fallback_permit(holder, per_s, entries, now_s):
@@ -118,7 +118,7 @@
     """
     if holder.unanswered_s is None or now_s - holder.unanswered_s < ISSUER_TIMEOUT_S:
         return False
-    since_s = max(holder.fallback_s, holder.unanswered_s)
+    since_s = max(holder.last_fallback_s, holder.unanswered_s)
     return (now_s - since_s) * SAFE_SHARE * per_s >= max(1, entries)
 
 
