--- a/libs/policy/src/cherryrudder/policy/refusal.py
+++ b/libs/policy/src/cherryrudder/policy/refusal.py
@@ -156,9 +156,9 @@
     """
     if math.isinf(over_s) or math.isinf(interval_s):
         return DEFAULT_RETRY_AFTER_S
-    retry_s = max(now_s + over_s, schedule.next_s.get(key, 0.0))
-    schedule.next_s[key] = min(retry_s + interval_s, now_s + MAX_RETRY_AFTER_S)
-    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_s - now_s))
+    retry_at_s = max(now_s + over_s, schedule.next_s.get(key, 0.0))
+    schedule.next_s[key] = min(retry_at_s + interval_s, now_s + MAX_RETRY_AFTER_S)
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_at_s - now_s))
 
 
 def drop_customer(schedule: RetrySchedule, customer: str) -> None:
