--- a/bench/state_apply.py
+++ b/bench/state_apply.py
@@ -123,7 +123,7 @@
 
 def apply_all(state, payloads):
     for payload in payloads:
-        apply(state, state.applied + 1, payload)
+        apply(state, state.applied_index + 1, payload)
 
 
 def measure_applies(rounds):
@@ -165,7 +165,7 @@
 
 def measure_config(state, rounds):
     """Measure what readers of the configuration cost."""
-    apply(state, state.applied + 1, encode_command(a_contract(0, 1)))
+    apply(state, state.applied_index + 1, encode_command(a_contract(0, 1)))
     one = encode(delta(state, state.revision - 1))
     show("configuration delta, one contract", [len(one)], "bytes")
     show("configuration, all contracts", [len(encode(delta(state, 0)))], "bytes")
--- a/libs/daemon/src/cherryrudder/daemon/controlapi.py
+++ b/libs/daemon/src/cherryrudder/daemon/controlapi.py
@@ -47,7 +47,7 @@
     async def find_claim(request):
         query = request.query
         try:
-            await voter.confirm(PROPOSE_S)
+            await voter.wait_for_read_index(PROPOSE_S)
         except NoQuorum as error:
             raise no_quorum(error) from error
         claim = machine.find_claim(
@@ -57,7 +57,7 @@
 
     async def fence(request):
         try:
-            await voter.confirm(PROPOSE_S)
+            await voter.wait_for_read_index(PROPOSE_S)
         except NoQuorum as error:
             raise no_quorum(error) from error
         endpoint = request.query.get("endpoint", "")
--- a/libs/daemon/src/cherryrudder/daemon/controlrole.py
+++ b/libs/daemon/src/cherryrudder/daemon/controlrole.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from cherryrudder.membership import table as soft
-from cherryrudder.quorum.events import HandOver
+from cherryrudder.quorum.events import TransferLeadership
 
 from . import controlapi, gauges, operatorapi
 from .clock import new_id, now_s
@@ -48,7 +48,7 @@
     await process.leaving.wait()
     # Watchers and announcers have other control VMs; nothing here is in flight for
     # longer than one answer. A leader hands over first, which saves an election.
-    control.voter.feed(HandOver())
+    control.voter.feed(TransferLeadership())
     await anyio.sleep(HAND_OVER_S)
     control.voter.disk.close()
     process.stop()
--- a/libs/daemon/src/cherryrudder/daemon/operatorapi.py
+++ b/libs/daemon/src/cherryrudder/daemon/operatorapi.py
@@ -33,7 +33,7 @@
     async def fresh_state():
         # An operator must never be shown what a majority has since changed.
         try:
-            await voter.confirm(PROPOSE_S)
+            await voter.wait_for_read_index(PROPOSE_S)
         except NoQuorum as error:
             raise no_quorum(error) from error
         return voter.state
--- a/libs/daemon/src/cherryrudder/daemon/voter.py
+++ b/libs/daemon/src/cherryrudder/daemon/voter.py
@@ -4,9 +4,9 @@
 
 from cherryrudder.quorum import events
 from cherryrudder.quorum.files import open_disk
-from cherryrudder.quorum.saved import Timing
+from cherryrudder.quorum.saved_state import Timing
 from cherryrudder.replica import voter
-from cherryrudder.replica.seat import Machine, Seat
+from cherryrudder.replica.config import StateMachine, VoterConfig
 from cherryrudder.state import machine
 from cherryrudder.state.commands import Clock
 
@@ -25,7 +25,7 @@
         result = open_disk(settings.quorum.data_folder, settings.process.vm)
         if result.is_error():
             raise StartError(str(result.error))
-        functions = Machine(
+        functions = StateMachine(
             machine.new_state, machine.apply, machine.snapshot, machine.restore
         )
         super().__init__(_seat(process), result.ok, functions, process.group)
@@ -45,7 +45,7 @@
 
 def _seat(process):
     quorum = process.settings.quorum
-    return Seat(
+    return VoterConfig(
         vm=process.settings.process.vm,
         address=process.settings.listen.frames,
         key=process.internal_key,
--- a/libs/daemon/src/cherryrudder/daemon/watches.py
+++ b/libs/daemon/src/cherryrudder/daemon/watches.py
@@ -60,7 +60,7 @@
         with_table = query.get("table", "1") == "1"
         if fresh:
             # A process that starts waits for this answer: it comes without news too.
-            await self.voter.confirm(FRESH_S)
+            await self.voter.wait_for_read_index(FRESH_S)
         else:
             await self._wait_news(revision, epoch, version, with_table, wait_s)
         if self.process.leaving.is_set():
@@ -97,7 +97,7 @@
         while True:
             started_s = now_s()
             try:
-                await self.voter.confirm(CONFIRM_EVERY_S * 2)
+                await self.voter.wait_for_read_index(CONFIRM_EVERY_S * 2)
             except NoQuorum:
                 pass
             else:
@@ -107,7 +107,7 @@
     async def _follow(self):
         revision = self.voter.state.revision
         while True:
-            applied = self.voter.applied
+            applied = self.voter.applied_event
             if self.voter.state.revision != revision:
                 revision = self.voter.state.revision
                 self.wake()
--- a/libs/membership/test/test_config.py
+++ b/libs/membership/test/test_config.py
@@ -28,7 +28,7 @@
         taking(config, delta(states[position], since))
         assert config.revision >= before
         expected = Config()
-        accepted = max(s.applied for s in states if s.revision <= config.revision)
+        accepted = max(s.applied_index for s in states if s.revision <= config.revision)
         take(expected, delta(states[accepted], 0))
         assert not config.is_loaded or contents(config) == contents(expected)
 
--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -151,7 +151,7 @@
             if voter is None:
                 await _fail(exchange, 503, "the log is not open")
                 return
-            await voter.confirm(ANSWER_S)
+            await voter.wait_for_read_index(ANSWER_S)
         except ReplicaError as error:
             self.state.sink.write("control", "read-unconfirmed", True, error=str(error))
             await _fail(exchange, 503, str(error))
--- a/libs/node/src/cherryrudder/node/controlbeats.py
+++ b/libs/node/src/cherryrudder/node/controlbeats.py
@@ -264,7 +264,7 @@
         if voter is None:
             return -1
         try:
-            await voter.confirm(CONFIRM_S)
+            await voter.wait_for_read_index(CONFIRM_S)
         except ReplicaError as error:
             log.debug("No confirmation: {}.", error)
             return -1
--- a/libs/node/src/cherryrudder/node/council.py
+++ b/libs/node/src/cherryrudder/node/council.py
@@ -11,7 +11,7 @@
 
 from cherryrudder.quorum import voters
 from cherryrudder.quorum.events import Voter
-from cherryrudder.quorum.saved import VoterSet
+from cherryrudder.quorum.saved_state import VoterSet
 
 # A voter that was not heard for this long makes room for a standby. Five beats; a
 # planned restart takes about a second and is over before.
--- a/libs/node/src/cherryrudder/node/seatkeeper.py
+++ b/libs/node/src/cherryrudder/node/seatkeeper.py
@@ -11,10 +11,10 @@
 
 from cherryrudder.quorum import core, events, voters
 from cherryrudder.quorum.errors import DiskError
-from cherryrudder.quorum.saved import Timing
+from cherryrudder.quorum.saved_state import Timing
 from cherryrudder.replica.clock import new_id, now_s
+from cherryrudder.replica.config import StateMachine, VoterConfig
 from cherryrudder.replica.errors import NoQuorum, ReplicaError, VoterFailed
-from cherryrudder.replica.seat import Machine, Seat
 from cherryrudder.replica.voter import Voter
 from cherryrudder.routing import configlog
 
@@ -44,7 +44,7 @@
 
 log = logger.bind(part="voter")
 
-MACHINE = Machine(
+MACHINE = StateMachine(
     configlog.new_state, configlog.apply, configlog.snapshot, configlog.restore
 )
 
@@ -87,7 +87,7 @@
         FIRST_ELECTION_MAX_S,
     )
     settings = state.settings
-    return Seat(settings.vm, state.log_address, gossip.KEY, timing, new_id())
+    return VoterConfig(settings.vm, state.log_address, gossip.KEY, timing, new_id())
 
 
 async def _open_disk(state):
@@ -131,7 +131,7 @@
 async def _watch_applied(voter, on_applied):
     while True:
         on_applied()
-        await voter.applied.wait()
+        await voter.applied_event.wait()
 
 
 async def _watch_leader(state, voter):
@@ -190,6 +190,6 @@
     if state.voter is None:
         return
     try:
-        state.voter.feed(events.HandOver())
+        state.voter.feed(events.TransferLeadership())
     except VoterFailed as error:
         log.warning("The leadership was not handed over: {}.", error)
--- a/libs/node/src/cherryrudder/node/voterdisk.py
+++ b/libs/node/src/cherryrudder/node/voterdisk.py
@@ -13,7 +13,7 @@
     new_disk_id,
     open_disk,
 )
-from cherryrudder.quorum.saved import Identity, Saved
+from cherryrudder.quorum.saved_state import Identity, SavedState
 
 from .linesink import LineSink
 
@@ -22,7 +22,7 @@
     """Stands in for the disk of a control VM without one: its copy never votes."""
 
     def __init__(self, vm: str, address: str):
-        self.saved = Saved(Identity("", vm, new_disk_id(), address, ()))
+        self.saved = SavedState(Identity("", vm, new_disk_id(), address, ()))
 
     def persist(self, effect: Persist) -> None:
         """Keep nothing: a restart begins again as a new learner."""
--- a/libs/node/test/test_controlbeats.py
+++ b/libs/node/test/test_controlbeats.py
@@ -31,7 +31,7 @@
             return 1
 
         voted = SimpleNamespace(version=5, packed=b"")
-        state.voter = SimpleNamespace(confirm=confirm, state=voted)
+        state.voter = SimpleNamespace(wait_for_read_index=confirm, state=voted)
 
         async def play():
             async with anyio.create_task_group() as group:
--- a/libs/node/test/test_council.py
+++ b/libs/node/test/test_council.py
@@ -7,7 +7,7 @@
 from cherryrudder.node import council
 from cherryrudder.node.council import Member
 from cherryrudder.quorum import voters
-from cherryrudder.quorum.saved import VoterSet
+from cherryrudder.quorum.saved_state import VoterSet
 
 A, B, C = (a_voter(vm) for vm in "abc")
 NEW_C = a_voter("c", "d2")
--- a/libs/quorum/src/cherryrudder/quorum/core.py
+++ b/libs/quorum/src/cherryrudder/quorum/core.py
@@ -10,7 +10,6 @@
 from . import commit, election, proposals, reads, replication, snapshots, writes
 from .events import (
     ChangeVoters,
-    HandOver,
     Persisted,
     Propose,
     ReadIndex,
@@ -18,6 +17,7 @@
     RestoreSnapshot,
     Snapshotted,
     Tick,
+    TransferLeadership,
     Voter,
 )
 from .messages import (
@@ -32,7 +32,7 @@
     check,
 )
 from .node import LEADER, Node, emit, reset_election, set_term
-from .saved import Saved, Timing
+from .saved_state import SavedState, Timing
 
 ON_MESSAGE = {
     PRE_VOTE: election.on_pre_vote,
@@ -47,7 +47,7 @@
 
 
 def open_node(
-    me: Voter, saved: Saved, timing: Timing, rng: random.Random, now_s: float
+    me: Voter, saved: SavedState, timing: Timing, rng: random.Random, now_s: float
 ) -> Node:
     """Return a voter that goes on from what its disk holds.
 
@@ -122,7 +122,7 @@
             proposals.on_change_voters(node, event, now_s)
         case Snapshotted():
             snapshots.on_snapshotted(node, event)
-        case HandOver():
+        case TransferLeadership():
             election.hand_over(node, now_s)
         case _:
             raise TypeError(f"not an event: {event!r}")
--- a/libs/quorum/src/cherryrudder/quorum/events.py
+++ b/libs/quorum/src/cherryrudder/quorum/events.py
@@ -73,7 +73,7 @@
     data: str
 
 
-class HandOver(NamedTuple):
+class TransferLeadership(NamedTuple):
     """This VM is about to stop: a leader asks its best follower to take over."""
 
 
--- a/libs/quorum/src/cherryrudder/quorum/files.py
+++ b/libs/quorum/src/cherryrudder/quorum/files.py
@@ -22,7 +22,7 @@
 from .events import Persist, SaveSnapshot, Voter
 from .filesystem import FileSystem, real_filesystem
 from .log import Log
-from .saved import Identity, Saved, Snapshot, VoterSet
+from .saved_state import Identity, SavedState, Snapshot, VoterSet
 from .wholefiles import read_whole, write_whole
 
 IDENTITY = "identity"
@@ -54,11 +54,11 @@
         self._failed = ""
 
     @property
-    def saved(self) -> Saved:
+    def saved(self) -> SavedState:
         """Return what the disk holds, for `open_node`."""
         log = self._log
         entries = log.slice(log.base_index + 1, log.last_index + 1)
-        return Saved(
+        return SavedState(
             self._identity, self._term, self._voted_for, entries, self._snapshot
         )
 
--- a/libs/quorum/src/cherryrudder/quorum/messages.py
+++ b/libs/quorum/src/cherryrudder/quorum/messages.py
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from .events import Entry
-from .saved import VoterSet
+from .saved_state import VoterSet
 
 PRE_VOTE = "pre-vote"
 PRE_VOTE_REPLY = "pre-vote-reply"
--- a/libs/quorum/src/cherryrudder/quorum/node.py
+++ b/libs/quorum/src/cherryrudder/quorum/node.py
@@ -6,7 +6,7 @@
 from . import voters
 from .events import Rejected, Send, Voter
 from .log import Log
-from .saved import Saved, Snapshot, Timing, VoterSet
+from .saved_state import SavedState, Snapshot, Timing, VoterSet
 
 FOLLOWER = "follower"
 PRE_CANDIDATE = "pre-candidate"
@@ -58,7 +58,9 @@
 class Node:
     """One voter or learner."""
 
-    def __init__(self, me: Voter, saved: Saved, timing: Timing, rng: random.Random):
+    def __init__(
+        self, me: Voter, saved: SavedState, timing: Timing, rng: random.Random
+    ):
         self.me = me
         self.timing = timing
         self.rng = rng
--- a/libs/quorum/src/cherryrudder/quorum/saved.py
+++ b/libs/quorum/src/cherryrudder/quorum/saved_state.py
@@ -32,7 +32,7 @@
     data: str
 
 
-class Saved(NamedTuple):
+class SavedState(NamedTuple):
     """Everything that the disk holds; `entries` follow the snapshot without a gap."""
 
     identity: Identity
--- a/libs/quorum/src/cherryrudder/quorum/snapshots.py
+++ b/libs/quorum/src/cherryrudder/quorum/snapshots.py
@@ -3,7 +3,7 @@
 from .events import Snapshotted
 from .node import Node
 from .replication import accept_leader, acknowledge, refuse_old_leader
-from .saved import Snapshot
+from .saved_state import Snapshot
 from .writes import install
 
 
--- a/libs/quorum/src/cherryrudder/quorum/voters.py
+++ b/libs/quorum/src/cherryrudder/quorum/voters.py
@@ -10,7 +10,7 @@
 from expression import Error, Ok, Result
 
 from .events import Voter
-from .saved import VoterSet
+from .saved_state import VoterSet
 
 ADD_LEARNER = "add-learner"
 PROMOTE = "promote"
--- a/libs/quorum/src/cherryrudder/quorum/writes.py
+++ b/libs/quorum/src/cherryrudder/quorum/writes.py
@@ -8,7 +8,7 @@
 from .events import Persist, RestoreSnapshot, SaveSnapshot
 from .log import Log
 from .node import Node, Write, emit, is_saved, is_set
-from .saved import Snapshot
+from .saved_state import Snapshot
 
 
 def flush(node: Node) -> None:
--- a/libs/quorum/test/builders.py
+++ b/libs/quorum/test/builders.py
@@ -10,7 +10,7 @@
 from cherryrudder.quorum import events as ev
 from cherryrudder.quorum.core import handle, open_node, status
 from cherryrudder.quorum.files import init_disk, join_disk, open_disk
-from cherryrudder.quorum.saved import Timing
+from cherryrudder.quorum.saved_state import Timing
 
 FOLDER = "data"
 TIMING = Timing(0.05, 0.3, 0.6, 40)
--- a/libs/quorum/test/test_core.py
+++ b/libs/quorum/test/test_core.py
@@ -39,7 +39,7 @@
         """
         cluster = Cluster(3)
         leader = cluster.settle()
-        cluster.feed(leader, ev.HandOver())
+        cluster.feed(leader, ev.TransferLeadership())
         cluster.run(TIMING.election_min_s / 3)
         self.assertNotIn(cluster.leader(), (None, leader))
         late = cluster.propose(leader)
--- a/libs/quorum/test/test_replication.py
+++ b/libs/quorum/test/test_replication.py
@@ -7,7 +7,7 @@
 
 from cherryrudder.quorum import events as ev
 from cherryrudder.quorum.core import handle, open_node
-from cherryrudder.quorum.saved import Identity, Saved
+from cherryrudder.quorum.saved_state import Identity, SavedState
 
 
 class Hand:
@@ -16,7 +16,7 @@
     def __init__(self, entries=()):
         self.voters = make_voters(5)
         identity = Identity("x", "a", "disk-a", "10.0.0.0:1", self.voters)
-        saved = Saved(identity, 2, "disk-a", tuple(entries))
+        saved = SavedState(identity, 2, "disk-a", tuple(entries))
         self.node = open_node(self.voters[0], saved, TIMING, random.Random(1), 0.0)
         self.now_s = 1.0
 
--- a/libs/replica/src/cherryrudder/replica/seat.py
+++ b/libs/replica/src/cherryrudder/replica/config.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from cherryrudder.quorum.saved import Timing
+from cherryrudder.quorum.saved_state import Timing
 
 
-class Seat(NamedTuple):
+class VoterConfig(NamedTuple):
     """One voter: its VM, its frame address IP:PORT, its key and its timing."""
 
     vm: str
@@ -17,7 +17,7 @@
     seed: str
 
 
-class Machine(NamedTuple):
+class StateMachine(NamedTuple):
     """A deterministic state machine, as functions over its state."""
 
     new_state: Callable[[], Any]
--- a/libs/replica/src/cherryrudder/replica/peers.py
+++ b/libs/replica/src/cherryrudder/replica/peers.py
@@ -17,8 +17,8 @@
 from cherryrudder.wire.links import Links, listen_frames
 
 from .clock import new_id
+from .config import VoterConfig
 from .pending import Pending
-from .seat import Seat
 
 log = logger.bind(part="peers")
 
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        seat: Seat,
+        seat: VoterConfig,
         group: TaskGroup,
         on_message: Callable[[str, dict], None],
         on_call: Callable[[str, Any], Awaitable[Any]],
--- a/libs/replica/src/cherryrudder/replica/voter.py
+++ b/libs/replica/src/cherryrudder/replica/voter.py
@@ -19,10 +19,10 @@
 from cherryrudder.quorum.files import Disk
 
 from .clock import new_id, now_s
+from .config import StateMachine, VoterConfig
 from .errors import NoQuorum, VoterFailed
 from .peers import Peers
 from .pending import Pending
-from .seat import Machine, Seat
 
 # One try at a leader, some ten times a change's usual time. A frozen one is asked
 # again and again until its followers have elected another, in about a second.
@@ -38,13 +38,15 @@
 class Voter:
     """The control VM's part of the replicated log, and the state that it drives."""
 
-    def __init__(self, seat: Seat, disk: Disk, machine: Machine, group: TaskGroup):
+    def __init__(
+        self, seat: VoterConfig, disk: Disk, machine: StateMachine, group: TaskGroup
+    ):
         self.group = group
         self.disk = disk
         self.machine = machine
         self.state = machine.new_state()
         self.applied_index = 0
-        self.applied = anyio.Event()
+        self.applied_event = anyio.Event()
         self.peers = Peers(seat, group, self._on_message, self._on_call)
         self.node = open_core(seat, disk)
         self._heartbeat_s = seat.timing.heartbeat_s
@@ -90,7 +92,7 @@
             await anyio.sleep(RETRY_S)
         raise NoQuorum(NO_QUORUM)
 
-    async def confirm(self, timeout_s: float) -> int:
+    async def wait_for_read_index(self, timeout_s: float) -> int:
         """Wait until the state here is as fresh as the call; raises NoQuorum."""
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
@@ -152,7 +154,7 @@
     async def _wait_applied(self, index, deadline_s):
         while self.applied_index < index:
             with anyio.move_on_after(deadline_s - now_s()) as scope:
-                await self.applied.wait()
+                await self.applied_event.wait()
             if scope.cancelled_caught:
                 raise NoQuorum("the log has not caught up in time")
 
@@ -214,8 +216,8 @@
 
     def _moved_to(self, index):
         self.applied_index = index
-        self.applied.set()
-        self.applied = anyio.Event()
+        self.applied_event.set()
+        self.applied_event = anyio.Event()
 
     def _resolve(self, name, effect):
         pending = self._waiting.get(name)
@@ -235,7 +237,7 @@
     return None
 
 
-def open_core(seat: Seat, disk: Disk):
+def open_core(seat: VoterConfig, disk: Disk):
     """Return the log's core as the disk left it."""
     identity = disk.saved.identity
     me = events.Voter(identity.vm, identity.disk_id, seat.address)
--- a/libs/state/src/cherryrudder/state/machine.py
+++ b/libs/state/src/cherryrudder/state/machine.py
@@ -86,10 +86,10 @@
     """Carry out one record of the log; never raises, whatever the record holds."""
     # A record that is handed over twice, after a restart or by a resent batch, must
     # not take a second fencing number or open a claim that has left since.
-    if index <= state.applied:
+    if index <= state.applied_index:
         message = f"record {index} was applied before"
         return Answer("invalid", message, revision=state.revision)
-    state.applied = index
+    state.applied_index = index
     try:
         command, body = _decode(payload)
     except (ValueError, RecursionError, OverflowError) as error:
--- a/libs/state/src/cherryrudder/state/records.py
+++ b/libs/state/src/cherryrudder/state/records.py
@@ -44,7 +44,7 @@
     """
 
     def __init__(self):
-        self.applied = 0
+        self.applied_index = 0
         self.revision = 0
         self.now_s = 0.0
         self.clock_s: float | None = None
--- a/libs/state/src/cherryrudder/state/snapshots.py
+++ b/libs/state/src/cherryrudder/state/snapshots.py
@@ -22,7 +22,7 @@
     """The text's content; lists keep the order by which records leave the state."""
 
     format: int
-    applied: int
+    applied_index: int
     revision: int
     now_s: float
     clock_s: float | None
@@ -41,7 +41,7 @@
     """Return the state as text; equal states give equal texts."""
     content = Snapshot(
         FORMAT,
-        state.applied,
+        state.applied_index,
         state.revision,
         state.now_s,
         state.clock_s,
@@ -67,7 +67,7 @@
     if content.format != FORMAT:
         raise SnapshotError(f"snapshot format {content.format}, not {FORMAT}")
     state = State()
-    state.applied = content.applied
+    state.applied_index = content.applied_index
     state.revision = content.revision
     state.now_s = content.now_s
     state.clock_s = content.clock_s
--- a/libs/state/test/builders.py
+++ b/libs/state/test/builders.py
@@ -48,7 +48,7 @@
 
     def apply(self, command):
         payload = machine.encode_command(command)
-        return machine.apply(self.state, self.state.applied + 1, payload)
+        return machine.apply(self.state, self.state.applied_index + 1, payload)
 
     def restart(self):
         self.state = machine.restore(machine.snapshot(self.state))
