--- a/bench/policy_cost.py
+++ b/bench/policy_cost.py
@@ -15,7 +15,7 @@
 from cherryrudder.policy.fleet import Fleet
 from cherryrudder.policy.limits import Share
 from cherryrudder.policy.placement import Need
-from cherryrudder.policy.shares import Allocator, ask, set_bound, set_entries
+from cherryrudder.policy.shares import Allocator, grant_lease, set_bound, set_entries
 
 ENDPOINTS = (3, 43, 1100)
 CUSTOMERS = (10, 260)
@@ -71,7 +71,7 @@
     placement.update(fleet, announcements, 0.0)
     for number in range(count):
         for _ in range(int(16 * BUSY_PART)):
-            placement.began(fleet, f"g{number}", 0.0)
+            placement.record_start(fleet, f"g{number}", 0.0)
     return fleet
 
 
@@ -84,9 +84,9 @@
         prefix = f"p{rng.randrange(prefixes)}" if prefixes else ""
         chain = placement.choose_chain(fleet, Need("briefing", "1", 100, prefix), 1.0)
         for stage in chain.stages:
-            placement.began(fleet, stage.endpoint, 1.0)
+            placement.record_start(fleet, stage.endpoint, 1.0)
         for stage in chain.stages:
-            placement.withdrawn(fleet, stage.endpoint, 1.0)
+            placement.record_withdrawal(fleet, stage.endpoint, 1.0)
 
     return measure(choose)
 
@@ -163,7 +163,7 @@
         asked = adm.Offer(f"r{sent[0]}", customer, "briefing", 50, 100, 0, 1e9)
         work = dispatch.Work(asked, version="1")
         for effect in dispatch.submit(dispatcher, work, 1.0):
-            dispatch.finished(dispatcher, effect.request_id, 100, 0.5, 1.0)
+            dispatch.finish(dispatcher, effect.request_id, 100, 0.5, 1.0)
 
     return measure(request)
 
@@ -195,7 +195,9 @@
     def renew():
         now[0] += 0.5 / entries
         name = names[round(now[0] * entries / 0.5) % entries]
-        last[name] = ask(allocator, name, "c", demand, now[0], last[name]).number
+        last[name] = grant_lease(
+            allocator, name, "c", demand, now[0], last[name]
+        ).number
 
     return measure(renew)
 
--- a/libs/daemon/src/cherryrudder/daemon/creditdesk.py
+++ b/libs/daemon/src/cherryrudder/daemon/creditdesk.py
@@ -22,7 +22,7 @@
 
     def answer(self, report: CreditReport, at_s: float) -> None:
         """Answer an entry's report."""
-        given = credits.report(
+        given = credits.handle_report(
             self.issuer, report.entry, report.running, report.wanted, at_s
         )
         self._send(report.entry, given, at_s)
@@ -31,7 +31,7 @@
         """Take all credits back at once, or give them again."""
         self.issuer.is_leaving = leaving
         for entry, holding in list(self.issuer.holdings.items()):
-            given = credits.report(self.issuer, entry, holding.running, 0, at_s)
+            given = credits.handle_report(self.issuer, entry, holding.running, 0, at_s)
             self._send(entry, given, at_s)
 
     def call_began(self, call: object, at_s: float) -> None:
--- a/libs/daemon/src/cherryrudder/daemon/fleet.py
+++ b/libs/daemon/src/cherryrudder/daemon/fleet.py
@@ -36,11 +36,11 @@
         placement.set_credits(self.fleet, given, at_s)
         self.step_s[grant.endpoint] = grant.step_s
         if grant.oldest_s < SILENT_S:
-            placement.progressed(self.fleet, grant.endpoint, at_s)
+            placement.record_progress(self.fleet, grant.endpoint, at_s)
 
     def cut_off(self, endpoint: str) -> None:
         """Take an endpoint's credits away until it gives some again."""
-        placement.cut_off(self.fleet, endpoint, now_s())
+        placement.revoke_credits(self.fleet, endpoint, now_s())
 
     def own_s(self, endpoint: str, tokens: float) -> float:
         """Return an endpoint's own time for so many tokens, 0 while unknown."""
--- a/libs/daemon/src/cherryrudder/daemon/frontdoor.py
+++ b/libs/daemon/src/cherryrudder/daemon/frontdoor.py
@@ -81,7 +81,7 @@
         """Return where to send a failed request again; raises GivenUp, TurnedAway."""
         ticket = self._tickets[request_id] = _Ticket()
         self._carry_out(
-            dispatch.failed(
+            dispatch.fail_attempt(
                 self.dispatcher, request_id, endpoint, is_certain_not_run, now_s()
             )
         )
@@ -91,7 +91,7 @@
         """End a request that was answered."""
         own_s = self.view.own_s
         self._carry_out(
-            dispatch.finished(
+            dispatch.finish(
                 self.dispatcher, request_id, used_tokens, took_s, now_s(), own_s
             )
         )
@@ -136,7 +136,7 @@
         match ticket.effect:
             case Send():
                 return ticket.effect
-            case dispatch.Answer():
+            case dispatch.Refuse():
                 raise TurnedAway(ticket.effect.refusal)
             case dispatch.Failed():
                 raise GivenUp(ticket.effect.outcome, ticket.effect.verdict)
--- a/libs/daemon/src/cherryrudder/daemon/sharing.py
+++ b/libs/daemon/src/cherryrudder/daemon/sharing.py
@@ -14,7 +14,7 @@
 from cherryrudder.model.errors import RequestError
 from cherryrudder.policy import sharebook, shares
 from cherryrudder.policy.limits import share_of
-from cherryrudder.policy.sharebook import ShareAsk, ShareBook
+from cherryrudder.policy.sharebook import ShareBook, ShareRequest
 from cherryrudder.policy.shares import Allocator, Grant
 from cherryrudder.wire.asgi import Request, Routes, json_reply
 from cherryrudder.wire.errors import WireError
@@ -38,7 +38,7 @@
     """What one entry asks one allocator in one message."""
 
     entry: str
-    asks: tuple[ShareAsk, ...]
+    asks: tuple[ShareRequest, ...]
 
 
 class Grants(NamedTuple):
@@ -96,7 +96,7 @@
 
     def put_in_force(self, at_s: float) -> None:
         """Give admission each customer's present share."""
-        sharebook.put_in_force(self.book, self.entry.door.admission, at_s)
+        sharebook.apply_shares(self.book, self.entry.door.admission, at_s)
         for customer in sharebook.drop_retired(self.book, self.entry.door.admission):
             self.allocators.pop(customer, None)
 
@@ -106,7 +106,9 @@
             self._allocate(at_s)
             self.put_in_force(at_s)
             due = {}
-            for ask in sharebook.due_asks(self.book, self.entry.door.admission, at_s):
+            for ask in sharebook.due_requests(
+                self.book, self.entry.door.admission, at_s
+            ):
                 due.setdefault(self._allocator_of(ask.customer), []).append(ask)
             async with anyio.create_task_group() as group:
                 for allocator, asks in due.items():
@@ -147,7 +149,7 @@
                 log.debug("No shares from {}: {}.", allocator, error)
                 return
         for grant in grants.grants:
-            sharebook.take(self.book, grant, asked_s, now_s())
+            sharebook.record_grant(self.book, grant, asked_s, now_s())
 
     async def _answer(self, request: Request):
         value = await request.json(Asks)
@@ -158,7 +160,7 @@
 
     def _decide(self, asks, at_s):
         grants = [
-            sharebook.answer(self.allocators[ask.customer], ask, at_s)
+            sharebook.handle_request(self.allocators[ask.customer], ask, at_s)
             for ask in asks
             if ask.customer in self.allocators
         ]
--- a/libs/daemon/test/test_sharing.py
+++ b/libs/daemon/test/test_sharing.py
@@ -56,7 +56,7 @@
                         await anyio.sleep(0.01)
                 group.cancel_scope.cancel()
 
-        with mock.patch.object(sharing.sharebook, "due_asks", lambda *_: asks):
+        with mock.patch.object(sharing.sharebook, "due_requests", lambda *_: asks):
             anyio.run(play)
         self.assertEqual(asked[0], "http://10.0.0.2:1/v1/shares")
 
--- a/libs/node/src/cherryrudder/node/controlbeats.py
+++ b/libs/node/src/cherryrudder/node/controlbeats.py
@@ -3,7 +3,7 @@
 import anyio
 from loguru import logger
 
-from cherryrudder.policy.sharedbudget import Spent
+from cherryrudder.policy.sharedbudget import RetryUsage
 from cherryrudder.replica.clock import now_s
 from cherryrudder.replica.errors import ReplicaError
 from cherryrudder.wire.frames import FrameCodec
@@ -328,9 +328,9 @@
 
 def _sum_spent(beats):
     """Sum up what entries have spent, by service."""
-    sums: dict[str, Spent] = {}
+    sums: dict[str, RetryUsage] = {}
     for one in (one for beat in beats for one in beat.spent):
-        known = sums.get(one.service, Spent(one.service, 0, 0))
+        known = sums.get(one.service, RetryUsage(one.service, 0, 0))
         requests, retries = known.requests + one.requests, known.retries + one.retries
-        sums[one.service] = Spent(one.service, requests, retries)
+        sums[one.service] = RetryUsage(one.service, requests, retries)
     return tuple(sums.values())
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -10,8 +10,8 @@
 from cherryrudder.layers.chains import Candidate, Chain
 from cherryrudder.layers.pipes import PipeBudget
 from cherryrudder.platform.settings import NodeSettings
-from cherryrudder.policy import otherload
-from cherryrudder.policy.otherload import Load, OtherLoad
+from cherryrudder.policy import peerload
+from cherryrudder.policy.peerload import Load, PeerLoad
 from cherryrudder.policy.sharedbudget import SharedBudget
 from cherryrudder.relay.pool import Pool
 from cherryrudder.replica.clock import new_id, now_s
@@ -98,7 +98,7 @@
         self.firsts: dict[str, int] = {}
         # Tokens of this entry's prompts that gave no event yet, by engine address.
         self.unread: dict[str, int] = {}
-        self.others = OtherLoad()
+        self.others = PeerLoad()
         # Other entries that serve the same data centre.
         self.peers = FIRST_PEERS
         self.started_s = now_s()
@@ -168,7 +168,7 @@
 def note_beat(state: EntryState) -> None:
     """Take note of what this entry has running as it tells the others."""
     own = {address: _own(state, address) for address in state.running}
-    otherload.note_beat(state.others, own)
+    peerload.record_report_sent(state.others, own)
 
 
 def hear_others(
@@ -176,7 +176,7 @@
 ) -> None:
     """Take what the other entries had running."""
     told = {one.address: Load(*one[1:]) for one in usages}
-    otherload.hear(state.others, told)
+    peerload.update_reported(state.others, told)
     is_new = now_s - state.started_s < FIRST_S
     least = FIRST_PEERS if is_new else 0.0
     state.peers = max(least, state.entries / max(1, data_centres) - 1)
@@ -184,7 +184,7 @@
 
 def _own(state, address):
     if address not in state.running:
-        return otherload.NONE
+        return peerload.NO_LOAD
     return Load(
         state.running.get(address, 0),
         state.tokens.get(address, 0),
@@ -246,7 +246,7 @@
 def _candidate(state, announcement, now):
     address = announcement.address
     own = _own(state, address)
-    others = otherload.estimate(state.others, address, own, state.peers)
+    others = peerload.estimate(state.others, address, own, state.peers)
     is_barred = hangs.is_resting(
         state.hangs, announcement.engine_id, now
     ) or not backpressure.may_begin(state, announcement.engine_id, now)
--- a/libs/node/src/cherryrudder/node/gossip.py
+++ b/libs/node/src/cherryrudder/node/gossip.py
@@ -12,7 +12,7 @@
 
 from cherryrudder.platform.settings import NodeSettings
 from cherryrudder.policy.permits import Grant
-from cherryrudder.policy.sharedbudget import Spent
+from cherryrudder.policy.sharedbudget import RetryUsage
 from cherryrudder.routing.endpoints import Announcement
 
 log = logger.bind(part="gossip")
@@ -107,7 +107,7 @@
     # Both are sent only to the control VMs that tell the entries of their data centre.
     usage: tuple[Usage, ...]
     # Requests and retries of this entry within the operators' window.
-    spent: tuple[Spent, ...]
+    spent: tuple[RetryUsage, ...]
     # One control VM is asked for what other entries have running and have spent, and
     # for the signs of life of all endpoints.
     wants_all: bool
@@ -132,7 +132,7 @@
     vm_zone: str
     # Of all other entries together; None when it wasn't asked for.
     usage: tuple[Usage, ...] | None
-    spent: tuple[Spent, ...] | None
+    spent: tuple[RetryUsage, ...] | None
     # How old what the others told is, on the average: it is summed up.
     spent_age_s: float
     # How many entries there are.
--- a/libs/node/src/cherryrudder/node/ratekeeper.py
+++ b/libs/node/src/cherryrudder/node/ratekeeper.py
@@ -116,7 +116,7 @@
 def begin(state: "EntryState", engine_id: str, now_s: float) -> None:
     """Take the permit of a request that is about to be sent."""
     if ratelimits.limit_of(state.rates.book, engine_id) is not None:
-        permits.use(_holder(state.rates, engine_id), now_s)
+        permits.use_permit(_holder(state.rates, engine_id), now_s)
 
 
 def ask(state: "EntryState", engine_ids: Collection[str], now_s: float) -> None:
@@ -124,9 +124,9 @@
     rates = state.rates
     for engine_id in engine_ids:
         holder = _holder(rates, engine_id)
-        if not permits.may_ask(holder, now_s):
+        if not permits.may_request(holder, now_s):
             continue
-        permits.note_ask(holder, now_s)
+        permits.record_request(holder, now_s)
         limit = rates.book.limits[engine_id]
         named = ToldLimit(engine_id, limit.per_s, now_s - limit.said_s)
         rates.send_ask(PermitRequest(state.address, named, 1))
@@ -157,7 +157,7 @@
     """Take an issuer's answer."""
     rates = state.rates
     holder = _holder(rates, answer.engine_id)
-    permits.take(holder, answer.grant, now_s)
+    permits.record_grant(holder, answer.grant, now_s)
     outcome = "granted" if answer.grant.permits else "denied"
     state.metrics.permits.labels(outcome).inc()
     rates.answered.set()
--- a/libs/node/src/cherryrudder/node/roomdesk.py
+++ b/libs/node/src/cherryrudder/node/roomdesk.py
@@ -11,8 +11,8 @@
 from anyio.abc import TaskGroup
 
 from cherryrudder.layers.chains import Chain
-from cherryrudder.policy import roomqueue
-from cherryrudder.policy.roomqueue import RoomQueue, Waiting
+from cherryrudder.policy import capacityqueue
+from cherryrudder.policy.capacityqueue import CapacityQueue, WaitingStream
 from cherryrudder.replica.clock import now_s
 
 # Room comes free when a stream ends, here or at another entry; the latter isn't told at
@@ -36,17 +36,17 @@
     """The streams of one entry that wait for chains of one service."""
 
     def __init__(self):
-        self.queue = RoomQueue()
+        self.queue = CapacityQueue()
         self._turns: dict[str, _Turn] = {}
         self._wake = anyio.Event()
 
     def retry_after_s(self) -> float:
         """Return when all that wait now will have had their turn, 0 if unknown."""
         waiting = self.queue.waiting.values()
-        return roomqueue.expected_wait_s(self.queue, sum(r.tokens for r in waiting))
+        return capacityqueue.expected_wait_s(self.queue, sum(r.tokens for r in waiting))
 
     async def find(
-        self, request: Waiting, find_chain: FindChain, is_picky: bool
+        self, request: WaitingStream, find_chain: FindChain, is_picky: bool
     ) -> Chain | None:
         """Return a chain, once there is one with room; None when it takes too long.
 
@@ -54,18 +54,18 @@
         the room as taken. `is_picky`: the stream can't use all engines, so that others
         may find room where it doesn't.
         """
-        if not roomqueue.ahead_tokens(self.queue, request, now_s()):
+        if not capacityqueue.ahead_tokens(self.queue, request, now_s()):
             chain = find_chain()
             if chain is not None:
                 return chain
-        if roomqueue.push(self.queue, request, now_s()) is not None:
+        if capacityqueue.push(self.queue, request, now_s()) is not None:
             return None
         turn = self._turns[request.request_id] = _Turn(find_chain, is_picky)
         self._wake.set()
         try:
             await turn.is_over.wait()
         except BaseException:
-            roomqueue.remove(self.queue, request.request_id)
+            capacityqueue.remove(self.queue, request.request_id)
             raise
         finally:
             del self._turns[request.request_id]
@@ -82,14 +82,16 @@
 
     def _give_turns(self):
         now = now_s()
-        for request in roomqueue.take_expired(self.queue, now):
+        for request in capacityqueue.take_expired(self.queue, now):
             self._turns[request.request_id].is_over.set()
         skipped: set[str] = set()
-        while (request := roomqueue.first(self.queue, now, skipped)) is not None:
+        while (
+            request := capacityqueue.next_waiting(self.queue, now, skipped)
+        ) is not None:
             turn = self._turns[request.request_id]
             turn.chain = turn.find_chain()
             if turn.chain is not None:
-                roomqueue.started(self.queue, request.request_id, now)
+                capacityqueue.record_start(self.queue, request.request_id, now)
                 turn.is_over.set()
             elif turn.is_picky:
                 skipped.add(request.request_id)
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -5,7 +5,7 @@
 
 from cherryrudder.layers import chains, pace, pipes
 from cherryrudder.layers.chains import Candidate, Chain, Need
-from cherryrudder.policy.roomqueue import Waiting
+from cherryrudder.policy.capacityqueue import WaitingStream
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import backoffs
 
@@ -126,7 +126,7 @@
         return False
     firsts = _firsts(stream, now)
     lefts_s = [backoffs.left_s(book, one.engine_id, now) for one in firsts]
-    return min(lefts_s, default=0.0) > max(0.0, _waiting(stream).give_up_s - now)
+    return min(lefts_s, default=0.0) > max(0.0, _waiting(stream).expires_s - now)
 
 
 def _backpressure_s(stream, now):
@@ -145,13 +145,13 @@
     """
     job, route = stream.job, stream.job.route
     give_up_s = min(job.arrived_s + WAIT_SHARE * job.patience_s(), job.end_s)
-    return Waiting(
+    return WaitingStream(
         request_id=f"{job.facts.request_id}-{id(stream)}",
         account=job.admitted.account,
         tokens=stream.tokens,
         arrived_s=job.arrived_s,
-        in_time_until_s=job.arrived_s + route.objective_s - READ_S,
-        give_up_s=job.leaves_s() if stream.has_begun else give_up_s,
+        first_event_deadline_s=job.arrived_s + route.objective_s - READ_S,
+        expires_s=job.leaves_s() if stream.has_begun else give_up_s,
         has_begun=stream.has_begun,
     )
 
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -203,7 +203,7 @@
             version=state.version,
             seen=self._seen.get(address, TableMark("", 0)),
             usage=entrystate.usage(state) if is_teller else (),
-            spent=sharedbudget.spent(state.budget, now) if is_teller else (),
+            spent=sharedbudget.count_usage(state.budget, now) if is_teller else (),
             wants_all=wants_all,
             crashes=state.crashes.message(address, now) if wants_crashes else None,
             limits=ratekeeper.told(state.rates.book, now),
@@ -251,7 +251,7 @@
         if answer.usage is not None:
             data_centres = len(tellers_of(roster.beats(state.controls, now)))
             entrystate.hear_others(state, answer.usage, data_centres, now)
-            sharedbudget.share(
+            sharedbudget.update_share(
                 state.budget, answer.spent, answer.entries, now, answer.spent_age_s
             )
         if answer.crashes is not None:
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -4,8 +4,8 @@
 
 from cherryrudder.layers.chains import Part
 from cherryrudder.node import entrystate, tablesync
-from cherryrudder.policy import otherload
-from cherryrudder.policy.otherload import Load
+from cherryrudder.policy import peerload
+from cherryrudder.policy.peerload import Load
 from cherryrudder.replica.clock import now_s
 
 
@@ -25,7 +25,7 @@
         """Return what the others are thought to run once this entry has sent ten."""
         own = Load(10.0, 9000.0, 10.0)
         others = self.state.others
-        return otherload.estimate(others, "e:1", own, self.state.peers)
+        return peerload.estimate(others, "e:1", own, self.state.peers)
 
     def test_before_any_word_the_others_are_thought_to_send_as_much(self):
         self.assertGreaterEqual(self.others_seen().firsts, 50)
--- a/libs/node/test/test_roomdesk.py
+++ b/libs/node/test/test_roomdesk.py
@@ -3,7 +3,7 @@
 import anyio
 
 from cherryrudder.node.roomdesk import RoomDesk
-from cherryrudder.policy.roomqueue import Waiting
+from cherryrudder.policy.capacityqueue import WaitingStream
 from cherryrudder.replica.clock import now_s
 
 CHAIN = ("chain",)
@@ -12,7 +12,9 @@
 def a_request(name, patience_s=5.0, tokens=900.0):
     """Return a stream that waits from now on."""
     now = now_s()
-    return Waiting(name, "account", tokens, now, now + patience_s, now + patience_s)
+    return WaitingStream(
+        name, "account", tokens, now, now + patience_s, now + patience_s
+    )
 
 
 class Room:
--- a/libs/policy/src/cherryrudder/policy/roomqueue.py
+++ b/libs/policy/src/cherryrudder/policy/capacityqueue.py
@@ -37,7 +37,7 @@
 MAX_WAITING = 256
 
 
-class Waiting(NamedTuple):
+class WaitingStream(NamedTuple):
     """A stream that waits for room; times are by the entry's own clock."""
 
     # Differs from those of all others that wait.
@@ -46,18 +46,18 @@
     tokens: float
     arrived_s: float
     # Until then its first event can still be in time.
-    in_time_until_s: float
+    first_event_deadline_s: float
     # Then its client is about to leave, or its answer is refused.
-    give_up_s: float
+    expires_s: float
     # Its client has a part of the answer already.
     has_begun: bool = False
 
 
-class RoomQueue:
+class CapacityQueue:
     """The streams of one entry that wait for room."""
 
     def __init__(self):
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, WaitingStream] = {}
         # What each account was given, in tokens; only differences count.
         self.tags: dict[str, float] = {}
         self.virtual = 0.0
@@ -68,7 +68,7 @@
         self.turn_s: float | None = None
 
 
-def ahead_tokens(queue: RoomQueue, request: Waiting, now_s: float) -> float:
+def ahead_tokens(queue: CapacityQueue, request: WaitingStream, now_s: float) -> float:
     """Return the tokens that are given room before a new request."""
     return sum(
         other.tokens
@@ -77,18 +77,18 @@
     )
 
 
-def expected_wait_s(queue: RoomQueue, tokens: float) -> float:
+def expected_wait_s(queue: CapacityQueue, tokens: float) -> float:
     """Return how long room for so many tokens takes to come free, 0 if unknown."""
     if queue.turns < FEWEST_TURNS:
         return 0.0
     return tokens * queue.turn_gap_s / queue.turn_tokens
 
 
-def push(queue: RoomQueue, request: Waiting, now_s: float) -> float | None:
+def push(queue: CapacityQueue, request: WaitingStream, now_s: float) -> float | None:
     """Let a request wait; else return in how many seconds there may be room."""
     ahead = ahead_tokens(queue, request, now_s)
     wait_s = expected_wait_s(queue, ahead + request.tokens)
-    is_in_vain = not request.has_begun and now_s + wait_s > request.give_up_s
+    is_in_vain = not request.has_begun and now_s + wait_s > request.expires_s
     if len(queue.waiting) >= MAX_WAITING or is_in_vain:
         return wait_s
     if not queue.waiting:
@@ -98,9 +98,9 @@
     return None
 
 
-def first(
-    queue: RoomQueue, now_s: float, skipped: Container[str] = ()
-) -> Waiting | None:
+def next_waiting(
+    queue: CapacityQueue, now_s: float, skipped: Container[str] = ()
+) -> WaitingStream | None:
     """Return the request that is next to get room."""
     usable = [r for r in queue.waiting.values() if r.request_id not in skipped]
     return min(usable, key=lambda r: _order(queue, r, now_s), default=None)
@@ -114,10 +114,10 @@
 def _rank(request, now_s):
     if request.has_begun:
         return BEGUN
-    return LATE if now_s > request.in_time_until_s else IN_TIME
+    return LATE if now_s > request.first_event_deadline_s else IN_TIME
 
 
-def started(queue: RoomQueue, request_id: str, now_s: float) -> None:
+def record_start(queue: CapacityQueue, request_id: str, now_s: float) -> None:
     """Take a request out that was given room."""
     request = queue.waiting.pop(request_id)
     tag = max(queue.tags.get(request.account, 0.0), queue.virtual)
@@ -140,14 +140,14 @@
     queue.turn_s = now_s
 
 
-def remove(queue: RoomQueue, request_id: str) -> None:
+def remove(queue: CapacityQueue, request_id: str) -> None:
     """Take a request out that waits no longer."""
     queue.waiting.pop(request_id, None)
 
 
-def take_expired(queue: RoomQueue, now_s: float) -> list[Waiting]:
+def take_expired(queue: CapacityQueue, now_s: float) -> list[WaitingStream]:
     """Take out the requests that have waited as long as their clients will."""
-    expired = [r for r in queue.waiting.values() if now_s >= r.give_up_s]
+    expired = [r for r in queue.waiting.values() if now_s >= r.expires_s]
     for request in expired:
         del queue.waiting[request.request_id]
     return expired
--- a/libs/policy/src/cherryrudder/policy/credits.py
+++ b/libs/policy/src/cherryrudder/policy/credits.py
@@ -47,7 +47,7 @@
         self.holdings: dict[str, Holding] = {}
 
 
-def report(issuer: Issuer, entry: str, running, wanted, now_s: float) -> Credits:
+def handle_report(issuer: Issuer, entry: str, running, wanted, now_s: float) -> Credits:
     """Take an entry's report, what it runs here and wants besides; return its credits.
 
     A leaving endpoint gives none, so that its last request is the last of those that
--- a/libs/policy/src/cherryrudder/policy/dispatch.py
+++ b/libs/policy/src/cherryrudder/policy/dispatch.py
@@ -41,7 +41,7 @@
     expected_s: float
 
 
-class Answer(NamedTuple):
+class Refuse(NamedTuple):
     """Answer a request that did not run."""
 
     request_id: str
@@ -87,7 +87,7 @@
     """Take in a request: send it, queue it or answer it."""
     request_id = work.offer.request_id
     dispatcher.works[request_id] = work
-    retries.note_request(dispatcher.budget)
+    retries.record_request(dispatcher.budget)
     answer = adm.offer(dispatcher.admission, work.offer, now_s)
     if isinstance(answer, adm.Admitted) and not _place(dispatcher, request_id, now_s):
         answer = adm.put_back(dispatcher.admission, request_id, now_s)
@@ -96,7 +96,7 @@
     return advance(dispatcher, now_s)
 
 
-def finished(
+def finish(
     dispatcher, request_id, used_tokens, duration_s, now_s: float, own_s=None
 ) -> list:
     """End a request that was answered whole.
@@ -113,13 +113,15 @@
     for endpoint in dispatcher.placed.pop(request_id).stages:
         known_s = own_s(endpoint, answer_tokens) if own_s is not None else 0.0
         took_s = known_s or duration_s
-        placement.ended(dispatcher.fleet, endpoint, answer_tokens, took_s, now_s)
+        placement.record_success(
+            dispatcher.fleet, endpoint, answer_tokens, took_s, now_s
+        )
     adm.settle(dispatcher.admission, request_id, used_tokens, now_s)
     _forget(dispatcher, request_id)
     return advance(dispatcher, now_s)
 
 
-def failed(
+def fail_attempt(
     dispatcher: Dispatcher,
     request_id: str,
     endpoint: str,
@@ -193,9 +195,11 @@
     else:
         return None
     # One that is to stop is relieved by plan; that is no fault of its own.
-    take_off = placement.withdrawn if lost.is_leaving else placement.failed
+    take_off = (
+        placement.record_withdrawal if lost.is_leaving else placement.record_failure
+    )
     take_off(dispatcher.fleet, endpoint, now_s)
-    placement.began(dispatcher.fleet, found.endpoint, now_s)
+    placement.record_start(dispatcher.fleet, found.endpoint, now_s)
     stages = tuple(
         found.endpoint if name == endpoint else name for name in placed.stages
     )
@@ -274,7 +278,7 @@
     if chain is None:
         return False
     for stage in chain.stages:
-        placement.began(dispatcher.fleet, stage.endpoint, now_s)
+        placement.record_start(dispatcher.fleet, stage.endpoint, now_s)
     if work.prefix:
         placement.note_sent(dispatcher.fleet, chain, work.prefix)
     names = tuple(stage.endpoint for stage in chain.stages)
@@ -299,14 +303,14 @@
     placed = dispatcher.placed.pop(request_id)
     for name in placed.stages:
         if name == endpoint:
-            placement.failed(dispatcher.fleet, name, now_s)
+            placement.record_failure(dispatcher.fleet, name, now_s)
         else:
-            placement.withdrawn(dispatcher.fleet, name, now_s)
+            placement.record_withdrawal(dispatcher.fleet, name, now_s)
     return placed.expected_s
 
 
 def _answer(dispatcher, request_id, refusal):
-    dispatcher.effects.append(Answer(request_id, refusal))
+    dispatcher.effects.append(Refuse(request_id, refusal))
     _forget(dispatcher, request_id)
 
 
--- a/libs/policy/src/cherryrudder/policy/fleet.py
+++ b/libs/policy/src/cherryrudder/policy/fleet.py
@@ -137,7 +137,7 @@
         refresh(member, now_s)
 
 
-def cut_off(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def revoke_credits(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Take an endpoint's credits away until it gives some again; its link broke.
 
     A dead endpoint stays announced for a lease. A chain that lost its stage would be
@@ -151,7 +151,7 @@
         refresh(member, now_s)
 
 
-def began(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_start(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Count a request that is sent to an endpoint."""
     member = fleet.members.get(endpoint)
     if member is None:
@@ -163,14 +163,16 @@
     refresh(member, now_s)
 
 
-def progressed(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_progress(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Note that an endpoint has answered part of a request."""
     member = fleet.members.get(endpoint)
     if member is not None:
         ejection.note_signal(member.health, member.kind.health, now_s)
 
 
-def ended(fleet, endpoint: str, tokens, duration_s: float, now_s: float) -> None:
+def record_success(
+    fleet, endpoint: str, tokens, duration_s: float, now_s: float
+) -> None:
     """Count a request that an endpoint has answered, with its own time for it."""
     member = fleet.members.get(endpoint)
     if member is None:
@@ -181,7 +183,7 @@
     _take_off(fleet, member, now_s)
 
 
-def failed(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_failure(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Count a request that an endpoint has failed."""
     member = fleet.members.get(endpoint)
     if member is None:
@@ -191,7 +193,7 @@
     _take_off(fleet, member, now_s)
 
 
-def withdrawn(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_withdrawal(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Count a request that was cancelled, or failed by no fault of this endpoint."""
     member = fleet.members.get(endpoint)
     if member is not None:
--- a/libs/policy/src/cherryrudder/policy/otherload.py
+++ b/libs/policy/src/cherryrudder/policy/peerload.py
@@ -23,40 +23,40 @@
     firsts: float = 0.0
 
 
-NONE = Load()
+NO_LOAD = Load()
 
 
-class OtherLoad:
+class PeerLoad:
     """The last word on the other entries, and what this one had running then."""
 
     def __init__(self):
-        self.told: dict[str, Load] = {}
-        self.own_then: dict[str, Load] = {}
+        self.reported: dict[str, Load] = {}
+        self.own_at_report: dict[str, Load] = {}
         self._own_before: dict[str, Load] = {}
 
 
-def note_beat(load: OtherLoad, own: Mapping[str, Load]) -> None:
+def record_report_sent(load: PeerLoad, own: Mapping[str, Load]) -> None:
     """Take note of what this entry has running as it tells the others."""
     load._own_before = dict(own)
 
 
-def hear(load: OtherLoad, told: Mapping[str, Load]) -> None:
+def update_reported(load: PeerLoad, reported: Mapping[str, Load]) -> None:
     """Take what the others had running.
 
     They told it at different moments of the last half second; of this entry it is
     compared with what it had at the beat that was answered.
     """
-    load.told = dict(told)
-    load.own_then = load._own_before
+    load.reported = dict(reported)
+    load.own_at_report = load._own_before
 
 
-def estimate(load: OtherLoad, address: str, own: Load, peers: float) -> Load:
+def estimate(load: PeerLoad, address: str, own: Load, peers: float) -> Load:
     """Return what all other entries have running on an engine by now.
 
     `peers` is how many of them send to it as much as this one.
     """
-    told = load.told.get(address, NONE)
-    then = load.own_then.get(address, NONE)
+    told = load.reported.get(address, NO_LOAD)
+    then = load.own_at_report.get(address, NO_LOAD)
     if own == then:
         return told
     return Load(
--- a/libs/policy/src/cherryrudder/policy/permits.py
+++ b/libs/policy/src/cherryrudder/policy/permits.py
@@ -102,7 +102,7 @@
     return bool(holder.until_s) or _has_even_part(holder, per_s, entries, now_s)
 
 
-def use(holder: Holder, now_s: float) -> None:
+def use_permit(holder: Holder, now_s: float) -> None:
     """Take a permit for a request that is about to be sent."""
     if holder.until_s:
         holder.until_s.pop(0)
@@ -121,12 +121,12 @@
     return (now_s - since_s) * SAFE_SHARE * per_s >= max(1, entries)
 
 
-def may_ask(holder: Holder, now_s: float) -> bool:
+def may_request(holder: Holder, now_s: float) -> bool:
     """Tell whether the issuer may have a permit."""
     return now_s >= holder.not_before_s
 
 
-def note_ask(holder: Holder, now_s: float) -> None:
+def record_request(holder: Holder, now_s: float) -> None:
     """Count an ask that goes out."""
     if now_s - holder.asked_s > PENDING_S:
         holder.pending = 0
@@ -150,7 +150,7 @@
     return max(0.0, holder.served_s - now_s)
 
 
-def take(holder: Holder, grant: Grant, now_s: float) -> None:
+def record_grant(holder: Holder, grant: Grant, now_s: float) -> None:
     """Take an issuer's answer."""
     holder.pending = max(0, holder.pending - 1)
     holder.unanswered_s = None
--- a/libs/policy/src/cherryrudder/policy/retries.py
+++ b/libs/policy/src/cherryrudder/policy/retries.py
@@ -57,7 +57,7 @@
         self.saved = min(FIRST_SAVED, max_saved)
 
 
-def note_request(budget: RetryBudget) -> None:
+def record_request(budget: RetryBudget) -> None:
     """Earn a part of a retry for a first attempt."""
     earned = budget.saved + budget.earned_per_request
     budget.saved = min(budget.max_saved, earned)
--- a/libs/policy/src/cherryrudder/policy/sharebook.py
+++ b/libs/policy/src/cherryrudder/policy/sharebook.py
@@ -18,7 +18,7 @@
 from .shares import Allocator, Grant
 
 
-class ShareAsk(NamedTuple):
+class ShareRequest(NamedTuple):
     """An entry's message to a customer's allocator.
 
     `allocator` and `received` name the last grant that the entry has.
@@ -76,7 +76,9 @@
     return bool(book.entries) and now_s >= book.started_s + book.lease_s
 
 
-def due_asks(book: ShareBook, admission: Admission, now_s: float) -> list[ShareAsk]:
+def due_requests(
+    book: ShareBook, admission: Admission, now_s: float
+) -> list[ShareRequest]:
     """Return the asks to send now, each to its customer's allocator."""
     asks = []
     for customer, holder in book.holders.items():
@@ -86,7 +88,7 @@
         if not shareholder.is_due(holder, demand, now_s):
             continue
         grant = holder.grant
-        ask = ShareAsk(
+        ask = ShareRequest(
             book.entry,
             customer,
             demand,
@@ -101,22 +103,28 @@
     return asks
 
 
-def answer(allocator: Allocator, ask: ShareAsk, now_s: float) -> Grant:
+def handle_request(allocator: Allocator, request: ShareRequest, now_s: float) -> Grant:
     """Return the allocator's answer to an ask."""
-    received = ask.received if ask.allocator == allocator.name else 0
-    return shares.ask(
-        allocator, ask.entry, ask.customer, ask.demand, now_s, received, ask.in_use
+    received = request.received if request.allocator == allocator.name else 0
+    return shares.grant_lease(
+        allocator,
+        request.entry,
+        request.customer,
+        request.demand,
+        now_s,
+        received,
+        request.in_use,
     )
 
 
-def take(book: ShareBook, grant: Grant, asked_s: float, now_s: float) -> None:
+def record_grant(book: ShareBook, grant: Grant, asked_s: float, now_s: float) -> None:
     """Take in the answer to an ask that was sent at `asked_s`."""
     holder = book.holders.get(grant.customer)
     if holder is not None and grant.entry == book.entry:
         shareholder.take(holder, grant, asked_s, now_s)
 
 
-def put_in_force(book: ShareBook, admission: Admission, now_s: float) -> None:
+def apply_shares(book: ShareBook, admission: Admission, now_s: float) -> None:
     """Give admission each share that has changed; call it at each tick.
 
     A share also changes without any message, when its lease lapses.
--- a/libs/policy/src/cherryrudder/policy/sharedbudget.py
+++ b/libs/policy/src/cherryrudder/policy/sharedbudget.py
@@ -40,7 +40,7 @@
 UNTOLD_S = 2.0
 
 
-class Spent(NamedTuple):
+class RetryUsage(NamedTuple):
     """Requests for a service within the window, and retries of them."""
 
     service: str
@@ -75,13 +75,13 @@
         self.services: dict[str, _Service] = {}
 
 
-def note_request(shared: SharedBudget, service: str, now_s: float) -> None:
+def record_request(shared: SharedBudget, service: str, now_s: float) -> None:
     """Count a client's request for a service."""
     known = _service(shared, service)
     if now_s - known.told_s > UNTOLD_S:
         # A word counts the requests of all. Earned beside it, each let every entry go
         # on with one retry between two words, also when nothing was left.
-        retries.note_request(known.budget)
+        retries.record_request(known.budget)
     _bucket(shared, known, now_s).requests += 1
 
 
@@ -113,7 +113,7 @@
     return 1.0 - LEAST_FOR_BEGUN if has_begun else -RESERVED_SHARE * known.part
 
 
-def spent(shared: SharedBudget, now_s: float) -> tuple[Spent, ...]:
+def count_usage(shared: SharedBudget, now_s: float) -> tuple[RetryUsage, ...]:
     """Return what this entry has counted within the window."""
     sums = []
     for name, known in shared.services.items():
@@ -121,13 +121,13 @@
         if known.buckets:
             requests = sum(bucket.requests for bucket in known.buckets)
             repeats = sum(bucket.retries for bucket in known.buckets)
-            sums.append(Spent(name, requests, repeats))
+            sums.append(RetryUsage(name, requests, repeats))
     return tuple(sums)
 
 
-def share(
+def update_share(
     shared: SharedBudget,
-    others: Iterable[Spent],
+    others: Iterable[RetryUsage],
     entries: int,
     now_s: float,
     age_s: float = 0.0,
@@ -139,8 +139,8 @@
     """
     shared.entries = max(1, entries)
     by_service = {one.service: one for one in others}
-    for own in spent(shared, now_s):
-        other = by_service.get(own.service, Spent(own.service, 0, 0))
+    for own in count_usage(shared, now_s):
+        other = by_service.get(own.service, RetryUsage(own.service, 0, 0))
         allowed = shared.ratio * (own.requests + other.requests) + shared.slack
         left = SAFE_SHARE * allowed - own.retries - other.retries
         part = max(0.0, SPENDABLE_SHARE * left / shared.entries)
--- a/libs/policy/src/cherryrudder/policy/shares.py
+++ b/libs/policy/src/cherryrudder/policy/shares.py
@@ -125,7 +125,7 @@
     return Share(bound.requests_per_s / count, bound.tokens_per_s / count, slots)
 
 
-def ask(
+def grant_lease(
     allocator: Allocator,
     entry: str,
     customer: str,
--- a/libs/policy/test/builders.py
+++ b/libs/policy/test/builders.py
@@ -100,7 +100,9 @@
         if self.rng.random() < self.lost[name]:
             return
         wanted = self.demand[name]
-        grant = shares.ask(allocator, name, "petra", wanted, self.now_s, received)
+        grant = shares.grant_lease(
+            allocator, name, "petra", wanted, self.now_s, received
+        )
         if self.rng.random() >= self.lost[name]:
             shareholder.take(holder, grant, self.now_s, self.now_s)
 
--- a/libs/policy/test/driver.py
+++ b/libs/policy/test/driver.py
@@ -207,7 +207,7 @@
         sharebook.set_entries(self.book, [f"e{n}" for n in range(entries)])
         for contract in sim.contracts:
             sharebook.set_contract(self.book, contract)
-        sharebook.put_in_force(self.book, self.admission, 0.0)
+        sharebook.apply_shares(self.book, self.admission, 0.0)
         self.announced()
 
     def announced(self):
@@ -227,7 +227,7 @@
             request = self.requests[effect.request_id]
             if isinstance(effect, dispatch.Send):
                 self.sim.send(effect.stages[0].endpoint, request, self)
-            elif isinstance(effect, dispatch.Answer):
+            elif isinstance(effect, dispatch.Refuse):
                 answer = effect.refusal
                 self.sim.refuse(request, answer.status, answer.retry_after_s)
             elif isinstance(effect, dispatch.Failed):
@@ -240,12 +240,12 @@
         if placed is None or placed.stages != (name,):
             return False
         end = (request.request_id, request.tokens, duration_s, self.sim.now_s)
-        self.apply(dispatch.finished(self.dispatcher, *end))
+        self.apply(dispatch.finish(self.dispatcher, *end))
         return True
 
     def failed(self, request, name):
         end = (request.request_id, name, False, self.sim.now_s)
-        self.apply(dispatch.failed(self.dispatcher, *end))
+        self.apply(dispatch.fail_attempt(self.dispatcher, *end))
 
     def tick(self):
         self.announced()
@@ -256,17 +256,19 @@
 
     def renew(self):
         now_s = self.sim.now_s
-        for ask in sharebook.due_asks(self.book, self.admission, now_s):
-            grant = sharebook.answer(self.sim.allocator, ask, now_s)
-            sharebook.take(self.book, grant, now_s, now_s)
-        sharebook.put_in_force(self.book, self.admission, now_s)
+        for ask in sharebook.due_requests(self.book, self.admission, now_s):
+            grant = sharebook.handle_request(self.sim.allocator, ask, now_s)
+            sharebook.record_grant(self.book, grant, now_s, now_s)
+        sharebook.apply_shares(self.book, self.admission, now_s)
 
     def report(self):
         wanted = len(self.admission.queue.waiting) + 1
         for name, engine in self.sim.engines.items():
             here = self.fleet.members[name].in_flight
             report = (engine.issuer, self.name, here, wanted, self.sim.now_s)
-            placement.set_credits(self.fleet, credits.report(*report), self.sim.now_s)
+            placement.set_credits(
+                self.fleet, credits.handle_report(*report), self.sim.now_s
+            )
 
 
 class NaiveEntry:
--- a/libs/policy/test/permitsim.py
+++ b/libs/policy/test/permitsim.py
@@ -116,8 +116,8 @@
         holder = self.holder[entry]
         if self.begin(now_s, entry):
             return
-        if permits.may_ask(holder, now_s):
-            permits.note_ask(holder, now_s)
+        if permits.may_request(holder, now_s):
+            permits.record_request(holder, now_s)
             self.messages += 1
             if self.rng.random() >= self.plan.lost_share:
                 self.at(now_s + self.rng.uniform(*TRIP_S), self.issue, entry)
@@ -131,7 +131,7 @@
             self.at(now_s + self.rng.uniform(*TRIP_S), self.take, entry, grant)
 
     def take(self, now_s, entry, grant):
-        permits.take(self.holder[entry], grant, now_s)
+        permits.record_grant(self.holder[entry], grant, now_s)
         # The request that asked is still there.
         self.begin(now_s, entry)
 
@@ -139,6 +139,6 @@
         holder = self.holder[entry]
         if not permits.has_permit(holder, self.plan.per_s, self.plan.entries, now_s):
             return False
-        permits.use(holder, now_s)
+        permits.use_permit(holder, now_s)
         self.sent_s.append(now_s)
         return True
--- a/libs/policy/test/test_dispatch.py
+++ b/libs/policy/test/test_dispatch.py
@@ -5,7 +5,7 @@
 from cherryrudder.model.endpoints import Kind
 from cherryrudder.model.outcomes import Outcome
 from cherryrudder.policy import dispatch, gauges, placement
-from cherryrudder.policy.dispatch import Answer, Dispatcher, Failed, Send, Silent, Work
+from cherryrudder.policy.dispatch import Dispatcher, Failed, Refuse, Send, Silent, Work
 from cherryrudder.policy.retries import Verdict
 
 
@@ -28,7 +28,7 @@
         (sent,) = self.submit("r1")
         self.assertEqual([s.end_layer for s in sent.stages], [4, 8])
         self.assertEqual(self.submit("r2"), [])
-        (second,) = dispatch.finished(self.dispatcher, "r1", 80, 0.5, 0.5)
+        (second,) = dispatch.finish(self.dispatcher, "r1", 80, 0.5, 0.5)
         self.assertIsInstance(second, Send)
         dispatch.cancel(self.dispatcher, "r2", 60, 0.6)
         self.assertEqual((self.in_flight(), self.dispatcher.works), ({}, {}))
@@ -40,12 +40,14 @@
     def test_a_lost_request_is_sent_elsewhere_if_it_may_be_repeated(self):
         (sent,) = self.submit("r1")
         lost = sent.stages[0].endpoint
-        (again,) = dispatch.failed(self.dispatcher, "r1", lost, False, 0.1)
+        (again,) = dispatch.fail_attempt(self.dispatcher, "r1", lost, False, 0.1)
         self.assertNotEqual(again.stages[0].endpoint, lost)
-        self.assertEqual(dispatch.failed(self.dispatcher, "r1", lost, False, 0.2), [])
+        self.assertEqual(
+            dispatch.fail_attempt(self.dispatcher, "r1", lost, False, 0.2), []
+        )
         self.assertEqual(sum(self.in_flight().values()), 2)
-        dispatch.finished(self.dispatcher, "r1", 80, 0.5, 0.5)
-        self.assertEqual(dispatch.finished(self.dispatcher, "r1", 80, 0.5, 0.6), [])
+        dispatch.finish(self.dispatcher, "r1", 80, 0.5, 0.5)
+        self.assertEqual(dispatch.finish(self.dispatcher, "r1", 80, 0.5, 0.6), [])
         self.assertEqual(dispatch.cancel(self.dispatcher, "r1", 80, 0.7), [])
         self.assertEqual(self.in_flight(), {})
 
@@ -56,17 +58,17 @@
         again. The caller is told at once that the outcome is unknown.
         """
         self.submit("r1", service="filing", is_idempotent=False)
-        (told,) = dispatch.failed(self.dispatcher, "r1", "s", False, 0.1)
+        (told,) = dispatch.fail_attempt(self.dispatcher, "r1", "s", False, 0.1)
         self.assertEqual(told, Failed("r1", Outcome.UNKNOWN, Verdict.MAY_HAVE_RUN))
         self.submit("r2", service="filing", is_idempotent=False)
-        (again,) = dispatch.failed(self.dispatcher, "r2", "s", True, 0.1)
+        (again,) = dispatch.fail_attempt(self.dispatcher, "r2", "s", True, 0.1)
         self.assertIsInstance(again, Send)
         self.assertEqual(self.in_flight(), {"s": 1})
 
     def test_silent_stage_is_told_and_replaced_without_touching_the_other(self):
         (sent,) = self.submit("r1")
         lost = sent.stages[0].endpoint
-        placement.progressed(self.fleet, "b", 11.0)
+        placement.record_progress(self.fleet, "b", 11.0)
         self.assertIn(Silent("r1", lost), dispatch.tick(self.dispatcher, 11.0))
         found = dispatch.replace_stage(self.dispatcher, "r1", lost, 11.0)
         self.assertEqual({lost, found.endpoint}, {"a", "c"})
@@ -78,5 +80,5 @@
         effects = []
         for tick in range(1, 45):
             effects += dispatch.tick(self.dispatcher, tick / 10)
-        answers = [effect for effect in effects if isinstance(effect, Answer)]
+        answers = [effect for effect in effects if isinstance(effect, Refuse)]
         self.assertEqual([a.refusal.status for a in answers], [503])
--- a/libs/policy/test/test_invariants.py
+++ b/libs/policy/test/test_invariants.py
@@ -71,13 +71,13 @@
             self.ended[name] = "answered"
             self.used[self.offers[name].customer] += 50 + size
             end = (name, 50 + size, 0.5, self.now_s)
-            self.apply(dispatch.finished(self.dispatcher, *end))
+            self.apply(dispatch.finish(self.dispatcher, *end))
 
     def fail(self, which, size):
         if self.running:
             name, stages = self.running.popitem()
             end = (name, stages[-1], size % 2 == 0, self.now_s)
-            self.apply(dispatch.failed(self.dispatcher, *end))
+            self.apply(dispatch.fail_attempt(self.dispatcher, *end))
 
     def cancel(self, which, size):
         name = f"r{size % (len(self.offers) + 1)}"
@@ -89,9 +89,9 @@
     def late(self, which, size):
         for name in list(self.ended)[-3:]:
             end = (name, 50, 0.5, self.now_s)
-            self.apply(dispatch.finished(self.dispatcher, *end))
+            self.apply(dispatch.finish(self.dispatcher, *end))
             end = (name, f"g{which}", True, self.now_s)
-            self.apply(dispatch.failed(self.dispatcher, *end))
+            self.apply(dispatch.fail_attempt(self.dispatcher, *end))
 
     def replace(self, which, size):
         for name, stages in list(self.running.items())[:1]:
--- a/libs/policy/test/test_otherload.py
+++ b/libs/policy/test/test_otherload.py
@@ -1,8 +1,8 @@
 import random
 import unittest
 
-from cherryrudder.policy import otherload
-from cherryrudder.policy.otherload import Load, OtherLoad
+from cherryrudder.policy import peerload
+from cherryrudder.policy.peerload import Load, PeerLoad
 
 ENTRIES = 8
 COPIES = ("x", "y", "z")
@@ -13,23 +13,23 @@
 
 class EstimateTest(unittest.TestCase):
     def test_what_was_told_counts_until_this_entry_adds_something(self):
-        load = OtherLoad()
-        otherload.note_beat(load, {"x": Load(2, 1800, 1)})
-        otherload.hear(load, {"x": Load(9, 8000, 4)})
-        same = otherload.estimate(load, "x", Load(2, 1800, 1), 7)
+        load = PeerLoad()
+        peerload.record_report_sent(load, {"x": Load(2, 1800, 1)})
+        peerload.update_reported(load, {"x": Load(9, 8000, 4)})
+        same = peerload.estimate(load, "x", Load(2, 1800, 1), 7)
         self.assertEqual(same, Load(9, 8000, 4))
-        more = otherload.estimate(load, "x", Load(3, 2700, 2), 7)
+        more = peerload.estimate(load, "x", Load(3, 2700, 2), 7)
         self.assertEqual(more, Load(16, 14_300, 11))
 
     def test_what_ended_here_ended_elsewhere_but_never_below_nothing(self):
-        load = OtherLoad()
-        otherload.note_beat(load, {"x": Load(3, 2700, 0)})
-        otherload.hear(load, {"x": Load(9, 8000, 0)})
-        self.assertEqual(otherload.estimate(load, "x", Load(2, 1800, 0), 7).running, 2)
-        self.assertEqual(otherload.estimate(load, "x", Load(0, 0, 0), 7).running, 0)
+        load = PeerLoad()
+        peerload.record_report_sent(load, {"x": Load(3, 2700, 0)})
+        peerload.update_reported(load, {"x": Load(9, 8000, 0)})
+        self.assertEqual(peerload.estimate(load, "x", Load(2, 1800, 0), 7).running, 2)
+        self.assertEqual(peerload.estimate(load, "x", Load(0, 0, 0), 7).running, 0)
 
     def test_an_engine_that_nobody_named_is_empty(self):
-        self.assertEqual(otherload.estimate(OtherLoad(), "x", Load(), 7), Load())
+        self.assertEqual(peerload.estimate(PeerLoad(), "x", Load(), 7), Load())
 
 
 class HerdTest(unittest.TestCase):
@@ -44,7 +44,7 @@
         """Return how many streams were sent to a copy without room for them."""
         rng = random.Random(7)
         own = [dict.fromkeys(COPIES, 0) for _ in range(ENTRIES)]
-        loads = [OtherLoad() for _ in range(ENTRIES)]
+        loads = [PeerLoad() for _ in range(ENTRIES)]
         ends, refused = [], 0
         for turn in range(200):
             for entry, copy in (e[1:] for e in ends if e[0] == turn):
@@ -66,16 +66,18 @@
 
     def tell(self, own, loads):
         for entry, load in enumerate(loads):
-            otherload.note_beat(load, {c: Load(n) for c, n in own[entry].items()})
+            peerload.record_report_sent(
+                load, {c: Load(n) for c, n in own[entry].items()}
+            )
             others = [o for number, o in enumerate(own) if number != entry]
             told = {c: Load(sum(o[c] for o in others)) for c in COPIES}
-            otherload.hear(load, told)
+            peerload.update_reported(load, told)
 
     def test_few_streams_go_where_there_is_no_room(self):
-        naive = self.play(lambda load, own, copy: load.told[copy].running)
+        naive = self.play(lambda load, own, copy: load.reported[copy].running)
         guessed = self.play(
             lambda load, own, copy: (
-                otherload.estimate(load, copy, Load(own[copy]), ENTRIES - 1).running
+                peerload.estimate(load, copy, Load(own[copy]), ENTRIES - 1).running
             )
         )
         self.assertLess(guessed, 0.6 * naive, (naive, guessed))
--- a/libs/policy/test/test_permits.py
+++ b/libs/policy/test/test_permits.py
@@ -99,7 +99,9 @@
         self.holder = Holder()
 
     def take(self, count, now_s):
-        permits.take(self.holder, Grant(count, 0.0 if count else 0.4, 0.9), now_s)
+        permits.record_grant(
+            self.holder, Grant(count, 0.0 if count else 0.4, 0.9), now_s
+        )
 
     def has_permit(self, now_s):
         return permits.has_permit(self.holder, LIMIT_PER_S, 7, now_s)
@@ -111,20 +113,20 @@
 
     def test_a_permit_is_used_once(self):
         self.take(1, 0.0)
-        permits.use(self.holder, 0.0)
+        permits.use_permit(self.holder, 0.0)
         self.assertFalse(self.has_permit(0.0))
 
     def test_it_doesnt_ask_before_the_time_that_it_was_told(self):
         self.take(0, 0.0)
-        self.assertFalse(permits.may_ask(self.holder, 0.3))
-        self.assertTrue(permits.may_ask(self.holder, 0.4))
+        self.assertFalse(permits.may_request(self.holder, 0.3))
+        self.assertTrue(permits.may_request(self.holder, 0.4))
 
     def test_the_time_until_others_are_served_passes(self):
         self.take(0, 0.0)
         self.assertAlmostEqual(permits.wait_s(self.holder, 0.5), 0.4)
 
     def test_a_lost_answer_is_not_waited_for_long(self):
-        permits.note_ask(self.holder, 0.0)
+        permits.record_request(self.holder, 0.0)
         self.assertTrue(permits.is_pending(self.holder, 0.1))
         self.assertFalse(permits.is_pending(self.holder, permits.PENDING_S))
 
--- a/libs/policy/test/test_placement.py
+++ b/libs/policy/test/test_placement.py
@@ -35,16 +35,16 @@
         placement.links.set_measured(fleet.links, "amman-1", "bogota-1", 0.01)
         self.assertEqual(names(placement.choose_chain(fleet, NEED, 0.0)), ["near"])
         for _ in range(4):
-            placement.began(fleet, "near", 0.0)
+            placement.record_start(fleet, "near", 0.0)
         self.assertEqual(names(placement.choose_chain(fleet, NEED, 0.0)), ["far"])
 
     def test_no_credits_no_work(self):
         fleet = a_fleet(an_engine("a"))
         placement.set_credits(fleet, Credits("a", 2, 1), 0.0)
         placement.set_credits(fleet, Credits("a", 1, 9), 0.0)
-        placement.began(fleet, "a", 0.0)
+        placement.record_start(fleet, "a", 0.0)
         self.assertIsNone(placement.choose_chain(fleet, NEED, 0.0))
-        placement.ended(fleet, "a", 10, 0.2, 0.2)
+        placement.record_success(fleet, "a", 10, 0.2, 0.2)
         self.assertEqual(names(placement.choose_chain(fleet, NEED, 0.2)), ["a"])
 
     def test_endpoint_that_is_cut_off_gets_nothing_until_it_grants_again(self):
@@ -56,7 +56,7 @@
         fleet = a_fleet(an_engine("e1"))
         need = Need("briefing", "1")
         self.assertIsNotNone(placement.choose_stage(fleet, need, 0, 8, 0.0))
-        placement.cut_off(fleet, "e1", 0.1)
+        placement.revoke_credits(fleet, "e1", 0.1)
         placement.update(fleet, [an_engine("e1")], 0.2)
         self.assertIsNone(placement.choose_stage(fleet, need, 0, 8, 0.2))
         placement.set_credits(fleet, Credits("e1", 2, 4), 0.3)
@@ -82,7 +82,7 @@
 
     def test_restarted_endpoint_starts_from_nothing_in_flight(self):
         fleet = a_fleet(an_engine("a", slots=1))
-        placement.began(fleet, "a", 0.0)
+        placement.record_start(fleet, "a", 0.0)
         placement.update(fleet, [an_engine("a", slots=1, incarnation="2")], 1.0)
         self.assertEqual(names(placement.choose_chain(fleet, NEED, 1.0)), ["a"])
 
@@ -92,7 +92,7 @@
         placed = []
         for _ in range(100):
             placed += names(placement.choose_chain(fleet, need, 0.0))
-            placement.began(fleet, placed[-1], 0.0)
+            placement.record_start(fleet, placed[-1], 0.0)
         counts = sorted(placed.count(name) for name in set(placed))
         self.assertEqual(placed[0], placed[1])
         self.assertLessEqual(counts[-1], 13)
--- a/libs/policy/test/test_retries.py
+++ b/libs/policy/test/test_retries.py
@@ -22,6 +22,6 @@
         attempt = Attempt(1, True, True, 0.1, 1e6)
         verdicts = []
         for _ in range(1000):
-            retries.note_request(budget)
+            retries.record_request(budget)
             verdicts.append(retries.may_retry(budget, attempt, 0.0))
         self.assertLessEqual(verdicts.count(Verdict.RETRY), 111)
--- a/libs/policy/test/test_roomqueue.py
+++ b/libs/policy/test/test_roomqueue.py
@@ -2,8 +2,8 @@
 import unittest
 from typing import NamedTuple
 
-from cherryrudder.policy import roomqueue
-from cherryrudder.policy.roomqueue import RoomQueue, Waiting
+from cherryrudder.policy import capacityqueue
+from cherryrudder.policy.capacityqueue import CapacityQueue, WaitingStream
 
 OBJECTIVE_S = 0.5
 PATIENCE_S = 1.3
@@ -13,30 +13,30 @@
 
 def a_request(request_id, arrived_s=0.0, account="a", tokens=TOKENS):
     """Return a stream that waits."""
-    return Waiting(
+    return WaitingStream(
         request_id=request_id,
         account=account,
         tokens=tokens,
         arrived_s=arrived_s,
-        in_time_until_s=arrived_s + OBJECTIVE_S - READ_S,
-        give_up_s=arrived_s + PATIENCE_S,
+        first_event_deadline_s=arrived_s + OBJECTIVE_S - READ_S,
+        expires_s=arrived_s + PATIENCE_S,
     )
 
 
 def a_queue(*requests):
     """Return a queue in which some requests wait."""
-    queue = RoomQueue()
+    queue = CapacityQueue()
     for request in requests:
-        assert roomqueue.push(queue, request, request.arrived_s) is None
+        assert capacityqueue.push(queue, request, request.arrived_s) is None
     return queue
 
 
 def order(queue, now_s):
     """Return the ids in the order in which room is given."""
     ids = []
-    while (request := roomqueue.first(queue, now_s)) is not None:
+    while (request := capacityqueue.next_waiting(queue, now_s)) is not None:
         ids.append(request.request_id)
-        roomqueue.started(queue, request.request_id, now_s)
+        capacityqueue.record_start(queue, request.request_id, now_s)
     return ids
 
 
@@ -56,14 +56,16 @@
 
     def test_an_answer_that_has_begun_is_let_in_however_long_the_queue(self):
         """Its client would see it end in the middle; a new one can be told a time."""
-        waiting = [a_request(f"{n}")._replace(in_time_until_s=9.0) for n in range(40)]
+        waiting = [
+            a_request(f"{n}")._replace(first_event_deadline_s=9.0) for n in range(40)
+        ]
         queue = a_queue(*waiting)
         for now_s in range(1, 8):
-            request = roomqueue.first(queue, now_s / 2)
-            roomqueue.started(queue, request.request_id, now_s / 2)
-        self.assertIsNotNone(roomqueue.push(queue, a_request("new", 4.0), 4.0))
+            request = capacityqueue.next_waiting(queue, now_s / 2)
+            capacityqueue.record_start(queue, request.request_id, now_s / 2)
+        self.assertIsNotNone(capacityqueue.push(queue, a_request("new", 4.0), 4.0))
         begun = a_request("begun", 0.0)._replace(has_begun=True)
-        self.assertIsNone(roomqueue.push(queue, begun, 4.0))
+        self.assertIsNone(capacityqueue.push(queue, begun, 4.0))
 
     def test_accounts_take_turns(self):
         """A partner floods; the one request of another account isn't behind all."""
@@ -81,30 +83,32 @@
         queue = a_queue(a_request("1", 0.0, "a"))
         order(queue, 0.0)
         for request in (a_request("2", 1.0, "a"), a_request("3", 1.1, "b")):
-            roomqueue.push(queue, request, request.arrived_s)
+            capacityqueue.push(queue, request, request.arrived_s)
         self.assertEqual(order(queue, 1.2), ["2", "3"])
 
 
 class RefusalTest(unittest.TestCase):
     def steady(self):
         """Return a queue whose room comes free for one usual request in 0.2 s."""
-        queue = RoomQueue()
+        queue = CapacityQueue()
         for turn in range(20):
             now_s = turn * 0.2
             for name in ("x", "y"):
                 request = a_request(f"{name}{turn}", now_s)
                 if request.request_id not in queue.waiting:
-                    roomqueue.push(queue, request, now_s)
-            roomqueue.started(queue, roomqueue.first(queue, now_s).request_id, now_s)
+                    capacityqueue.push(queue, request, now_s)
+            capacityqueue.record_start(
+                queue, capacityqueue.next_waiting(queue, now_s).request_id, now_s
+            )
         for request_id in tuple(queue.waiting):
-            roomqueue.remove(queue, request_id)
+            capacityqueue.remove(queue, request_id)
         return queue, 20 * 0.2
 
     def test_one_that_cannot_be_reached_in_time_is_refused_at_once(self):
         queue, now_s = self.steady()
         refused = None
         for n in range(20):
-            refused = roomqueue.push(queue, a_request(f"n{n}", now_s), now_s)
+            refused = capacityqueue.push(queue, a_request(f"n{n}", now_s), now_s)
             if refused is not None:
                 break
         # Six at 0.2 s each fit into 1.3 s.
@@ -116,12 +120,12 @@
         self.assertEqual(len(queue.waiting), 100)
 
     def test_the_number_that_waits_is_bounded(self):
-        queue = a_queue(*(a_request(str(n)) for n in range(roomqueue.MAX_WAITING)))
-        self.assertIsNotNone(roomqueue.push(queue, a_request("more"), 0.0))
+        queue = a_queue(*(a_request(str(n)) for n in range(capacityqueue.MAX_WAITING)))
+        self.assertIsNotNone(capacityqueue.push(queue, a_request("more"), 0.0))
 
     def test_who_has_waited_long_enough_is_given_up(self):
         queue = a_queue(a_request("1", 0.0), a_request("2", 1.0))
-        expired = roomqueue.take_expired(queue, PATIENCE_S)
+        expired = capacityqueue.take_expired(queue, PATIENCE_S)
         self.assertEqual([r.request_id for r in expired], ["1"])
         self.assertEqual(list(queue.waiting), ["2"])
 
@@ -136,7 +140,7 @@
 
 def play(take_next, arrivals, room_every_s):
     """Give room to waiting requests at a steady rate, and return the outcome."""
-    queue, now_s, turn = RoomQueue(), 0.0, 1
+    queue, now_s, turn = CapacityQueue(), 0.0, 1
     in_time = late = quiet = 0
     waiting = sorted(arrivals, key=lambda r: r.arrived_s)
     end_s = waiting[-1].arrived_s + PATIENCE_S
@@ -145,14 +149,14 @@
         turn += 1
         while waiting and waiting[0].arrived_s <= now_s:
             request = waiting.pop(0)
-            roomqueue.push(queue, request, request.arrived_s)
-        roomqueue.take_expired(queue, now_s)
+            capacityqueue.push(queue, request, request.arrived_s)
+        capacityqueue.take_expired(queue, now_s)
         request = take_next(queue, now_s)
         if request is None:
             continue
-        roomqueue.started(queue, request.request_id, now_s)
-        in_time += now_s <= request.in_time_until_s
-        late += now_s > request.in_time_until_s
+        capacityqueue.record_start(queue, request.request_id, now_s)
+        in_time += now_s <= request.first_event_deadline_s
+        late += now_s > request.first_event_deadline_s
         quiet += request.account == "quiet"
     asked = sum(r.account == "quiet" for r in arrivals)
     return Outcome(in_time, late, quiet / asked if asked else 1.0)
@@ -178,7 +182,7 @@
         ]
 
     def test_more_are_answered_in_time_than_in_order_of_arrival(self):
-        ours = play(roomqueue.first, self.arrivals, 0.05)
+        ours = play(capacityqueue.next_waiting, self.arrivals, 0.05)
         naive = play(by_arrival, self.arrivals, 0.05)
         # By arrival 14 in time and 109 late; here 104 and 5 (seed 7).
         self.assertGreater(ours.in_time, 5 * naive.in_time)
@@ -186,7 +190,9 @@
         self.assertGreater(served, 0.85 * naive_served)
 
     def test_a_quiet_account_is_served_beside_a_flood(self):
-        self.assertGreater(play(roomqueue.first, self.arrivals, 0.05).quiet_share, 0.9)
+        self.assertGreater(
+            play(capacityqueue.next_waiting, self.arrivals, 0.05).quiet_share, 0.9
+        )
         self.assertLess(play(by_arrival, self.arrivals, 0.05).quiet_share, 0.9)
 
 
--- a/libs/policy/test/test_sharedbudget.py
+++ b/libs/policy/test/test_sharedbudget.py
@@ -2,7 +2,7 @@
 
 from cherryrudder.policy import sharedbudget
 from cherryrudder.policy.retries import Attempt, Verdict
-from cherryrudder.policy.sharedbudget import SAFE_SHARE, SharedBudget, Spent
+from cherryrudder.policy.sharedbudget import SAFE_SHARE, RetryUsage, SharedBudget
 
 RATIO, SLACK, WINDOW_S, ENTRIES = 0.2, 200.0, 10.0, 20
 ATTEMPT = Attempt(1, True, False, 0.1, 1e9, 3)
@@ -22,13 +22,13 @@
 
 def gossip(entries, now_s):
     """Tell each entry what all others have spent."""
-    told = [sharedbudget.spent(entry, now_s) for entry in entries]
+    told = [sharedbudget.count_usage(entry, now_s) for entry in entries]
     for own, entry in enumerate(entries):
         others = [one for n, spent in enumerate(told) if n != own for one in spent]
-        total = Spent(
+        total = RetryUsage(
             "llm", sum(o.requests for o in others), sum(o.retries for o in others)
         )
-        sharedbudget.share(entry, (total,), len(entries), now_s)
+        sharedbudget.update_share(entry, (total,), len(entries), now_s)
 
 
 def play(entries, asking, until_s):
@@ -39,7 +39,7 @@
         if step % 5 == 0:
             gossip(entries, now_s)
         for number, entry in enumerate(entries):
-            sharedbudget.note_request(entry, "llm", now_s)
+            sharedbudget.record_request(entry, "llm", now_s)
             while number < asking and retry(entry, now_s):
                 sent.append(now_s)
     return sent
@@ -56,7 +56,7 @@
     def test_answers_that_have_begun_go_on_when_others_may_not(self):
         entries = budgets()
         for entry in entries:
-            sharedbudget.note_request(entry, "llm", 0.0)
+            sharedbudget.record_request(entry, "llm", 0.0)
         gossip(entries, 0.0)
         own, fresh, begun = entries[0], 0, 0
         while retry(own, 0.1, has_begun=False):
@@ -75,7 +75,7 @@
                 gossip(entries, step * 0.1)
             for entry in entries:
                 if step < 20:
-                    sharedbudget.note_request(entry, "llm", step * 0.1)
+                    sharedbudget.record_request(entry, "llm", step * 0.1)
                 while retry(entry, step * 0.1, has_begun=True):
                     sent += 1
         self.assertLess(sent, RATIO * 20 * ENTRIES + SLACK)
@@ -108,7 +108,7 @@
         """All entries spend what they may before they hear of each other's spending."""
         entries = budgets()
         for entry in entries:
-            sharedbudget.note_request(entry, "llm", 0.0)
+            sharedbudget.record_request(entry, "llm", 0.0)
         gossip(entries, 0.0)
         sent = 0
         for _ in range(2):
@@ -116,7 +116,9 @@
                 while retry(entry, 0.1):
                     sent += 1
             for entry in entries:
-                sharedbudget.share(entry, (Spent("llm", 19, 0),), ENTRIES, 0.2)
+                sharedbudget.update_share(
+                    entry, (RetryUsage("llm", 19, 0),), ENTRIES, 0.2
+                )
         self.assertLessEqual(sent, RATIO * ENTRIES + SLACK)
 
     def burst(self, beat_steps, age_s, demand):
@@ -132,18 +134,18 @@
             now_s = step * 0.1
             for own, entry in enumerate(entries):
                 if step % 3 == 0:
-                    sharedbudget.note_request(entry, "llm", now_s)
+                    sharedbudget.record_request(entry, "llm", now_s)
                 if (step + 7 * own) % beat_steps == 0:
-                    told[own] = sharedbudget.spent(entry, now_s)
+                    told[own] = sharedbudget.count_usage(entry, now_s)
             requests = sum(one.requests for spent in told for one in spent)
             repeats = sum(one.retries for spent in told for one in spent)
             for own, entry in enumerate(entries):
                 if (step + own) % 5 == 0 and told[own]:
                     (mine,) = told[own]
-                    others = Spent(
+                    others = RetryUsage(
                         "llm", requests - mine.requests, repeats - mine.retries
                     )
-                    sharedbudget.share(entry, (others,), 70, now_s, age_s)
+                    sharedbudget.update_share(entry, (others,), 70, now_s, age_s)
                 needed[own] += demand(own) if step == burst_step else 0
                 while needed[own] and retry(entry, now_s, has_begun=True):
                     needed[own] -= 1
@@ -174,7 +176,7 @@
 
     def test_one_that_hears_of_nobody_keeps_to_its_even_part(self):
         entry = budgets()[0]
-        sharedbudget.note_request(entry, "llm", 0.0)
+        sharedbudget.record_request(entry, "llm", 0.0)
         sent = sum(retry(entry, 0.0) for _ in range(100))
         self.assertLessEqual(sent, SAFE_SHARE * SLACK / ENTRIES)
 
@@ -188,8 +190,10 @@
     def test_the_window_forgets(self):
         entry = budgets()[0]
         retry(entry, 0.0)
-        self.assertEqual(sharedbudget.spent(entry, 1.0), (Spent("llm", 0, 1),))
-        self.assertEqual(sharedbudget.spent(entry, WINDOW_S + 1), ())
+        self.assertEqual(
+            sharedbudget.count_usage(entry, 1.0), (RetryUsage("llm", 0, 1),)
+        )
+        self.assertEqual(sharedbudget.count_usage(entry, WINDOW_S + 1), ())
 
 
 if __name__ == "__main__":
