--- a/libs/layers/src/cherryrudder/layers/chains.py
+++ b/libs/layers/src/cherryrudder/layers/chains.py
@@ -163,7 +163,7 @@
     return best and best[1]
 
 
-def is_whole(profile: ModelProfile, engines: Iterable[Candidate]) -> bool:
+def has_full_copy(profile: ModelProfile, engines: Iterable[Candidate]) -> bool:
     """Tell whether some data centre holds all layers, with room or without."""
     groups = _by_zone(engines).values()
     return any(_has_all_layers(profile, group) for group in groups)
@@ -198,7 +198,7 @@
     usable = [e for e in engines if has_room(profile, e, need.tokens)]
     if not _has_all_layers(profile, usable):
         return None
-    chain = cheapest(profile, usable, need.home_zone)
+    chain = cheapest_chain(profile, usable, need.home_zone)
     if chain is None or crossings(chain, usable) > MAX_CROSSINGS:
         return None
     return chain
@@ -240,7 +240,7 @@
             filled.append(part)
             continue
         span = (part.first, part.end)
-        found = cheapest(profile, spare, need.home_zone, span)
+        found = cheapest_chain(profile, spare, need.home_zone, span)
         if found is None:
             return None
         used = {p.address for p in found}
@@ -249,7 +249,7 @@
     return tuple(filled) if len(filled) <= MAX_PARTS else None
 
 
-def cheapest(
+def cheapest_chain(
     profile: ModelProfile,
     engines: list[Candidate],
     home_zone: str,
@@ -273,7 +273,9 @@
     return (cost, chain) if len(chain) <= MAX_PARTS else None
 
 
-def tightest(profile: ModelProfile, engines: Iterable[Candidate]) -> tuple[int, float]:
+def tightest_layer(
+    profile: ModelProfile, engines: Iterable[Candidate]
+) -> tuple[int, float]:
     """Return the layer with the least free room on all engines, and the free tokens."""
     free = [0.0] * profile.layers
     for engine in engines:
--- a/libs/layers/src/cherryrudder/layers/layout.py
+++ b/libs/layers/src/cherryrudder/layers/layout.py
@@ -18,9 +18,9 @@
 from typing import NamedTuple
 
 from .profile import (
-    NOTHING,
-    Holding,
+    NO_LAYERS,
     KindProfile,
+    LayerRange,
     ModelProfile,
     most_layers,
     room_tokens,
@@ -42,14 +42,14 @@
 TRY_STEP = 1.03
 
 
-class Holder(NamedTuple):
+class EngineState(NamedTuple):
     """An engine as the planner sees it; `holding` is what it has or is loading."""
 
     address: str
     engine_id: str
     vm_zone: str
     kind: str
-    holding: Holding = NOTHING
+    holding: LayerRange = NO_LAYERS
     # Told to load and not done yet, or not to be moved for another reason.
     is_busy: bool = False
     is_leaving: bool = False
@@ -60,14 +60,14 @@
 class Placement(NamedTuple):
     """An engine is to hold this range from now on."""
 
-    holder: Holder
-    holding: Holding
+    state: EngineState
+    holding: LayerRange
 
 
 class Engine(NamedTuple):
     """A holder that stays, with what its kind can hold."""
 
-    holder: Holder
+    state: EngineState
     kind: KindProfile
 
 
@@ -102,19 +102,19 @@
     engines = by_size(engines)
     holdings = _tile(profile, tuple(e.kind for e in engines), aim) or []
     return [
-        Placement(engine.holder, holding)
+        Placement(engine.state, holding)
         for engine, holding in zip(engines, holdings, strict=False)
-        if holding != NOTHING
+        if holding != NO_LAYERS
     ]
 
 
 def by_size(engines: Iterable[Engine]) -> list[Engine]:
     """Return engines with the largest first, in the same order every time."""
-    return sorted(engines, key=lambda e: (-e.kind.size_mb, e.holder.address))
+    return sorted(engines, key=lambda e: (-e.kind.size_mb, e.state.address))
 
 
 def layer_room(
-    profile: ModelProfile, kind: KindProfile, holding: Holding, layer: int
+    profile: ModelProfile, kind: KindProfile, holding: LayerRange, layer: int
 ) -> float:
     """Return the room in tokens that an engine gives one of its layers.
 
@@ -156,7 +156,7 @@
             if length is None:
                 return None
             end = min(profile.layers, first + length)
-            holdings.append(Holding(first, end) if length else NOTHING)
+            holdings.append(LayerRange(first, end) if length else NO_LAYERS)
             first = end
     first_room = sum(
         _first_layer_room(profile, kind, holding)
@@ -166,13 +166,13 @@
         length = next(lengths, None)
         if length is None:
             return None
-        holdings.append(Holding(0, length) if length else NOTHING)
+        holdings.append(LayerRange(0, length) if length else NO_LAYERS)
         first_room += _first_layer_room(profile, kinds[len(holdings) - 1], holdings[-1])
     return holdings
 
 
 def _first_layer_room(profile, kind, holding):
     """Return the room that an engine gives the first layer."""
-    if holding == NOTHING or holding.first:
+    if holding == NO_LAYERS or holding.first:
         return 0.0
     return layer_room(profile, kind, holding, 0)
--- a/libs/layers/src/cherryrudder/layers/pace.py
+++ b/libs/layers/src/cherryrudder/layers/pace.py
@@ -40,7 +40,7 @@
     return profile.stride * step_s
 
 
-def is_stuck(silent_s: float, expected_s: float) -> bool:
+def is_stalled(silent_s: float, expected_s: float) -> bool:
     """Tell whether a single pause is long enough for the same hint."""
     return silent_s > STUCK_FACTOR * expected_s + READING_S
 
--- a/libs/layers/src/cherryrudder/layers/pipes.py
+++ b/libs/layers/src/cherryrudder/layers/pipes.py
@@ -29,15 +29,15 @@
     return crossings * bits / (profile.pipe_mbps * 1e6)
 
 
-def is_open(budget: PipeBudget, cost_s: float, entries: int, now_s: float) -> bool:
+def has_budget(budget: PipeBudget, cost_s: float, entries: int, now_s: float) -> bool:
     """Tell whether a prompt that takes so long might cross now."""
     debt_s = _debt_s(budget, entries, now_s)
     return not debt_s or debt_s + cost_s <= BURST_S
 
 
-def may_cross(budget: PipeBudget, cost_s: float, entries: int, now_s: float) -> bool:
+def try_cross(budget: PipeBudget, cost_s: float, entries: int, now_s: float) -> bool:
     """Tell whether a prompt may cross now, and count it if so."""
-    is_free = is_open(budget, cost_s, entries, now_s)
+    is_free = has_budget(budget, cost_s, entries, now_s)
     budget.debt_s = _debt_s(budget, entries, now_s)
     budget.counted_s = now_s
     if is_free:
--- a/libs/layers/src/cherryrudder/layers/planner.py
+++ b/libs/layers/src/cherryrudder/layers/planner.py
@@ -16,8 +16,15 @@
 import collections
 from collections.abc import Iterable
 
-from .layout import Engine, Holder, Placement, aim_of, by_size, lay_out, layer_room
-from .profile import NOTHING, Holding, ModelProfile, kind_of, most_layers, room_tokens
+from .layout import Engine, EngineState, Placement, aim_of, by_size, lay_out, layer_room
+from .profile import (
+    NO_LAYERS,
+    LayerRange,
+    ModelProfile,
+    kind_of,
+    most_layers,
+    room_tokens,
+)
 
 # The least room beside its layers that an engine may be left with. It is a dozen
 # usual requests; with less a burst stops every stream through it.
@@ -38,7 +45,7 @@
 HOLE_VALUE = 1000.0
 
 
-def plan(profile: ModelProfile, holders: Iterable[Holder]) -> list[Placement]:
+def plan(profile: ModelProfile, holders: Iterable[EngineState]) -> list[Placement]:
     """Return the placements to order now; none when all is as it should be."""
     holders = list(holders)
     engines = [
@@ -59,7 +66,7 @@
     """Return the room in tokens that each layer has on all engines that hold it."""
     sums = [0.0] * profile.layers
     for engine in engines:
-        _add(profile, sums, engine, engine.holder.holding, 1)
+        _add(profile, sums, engine, engine.state.holding, 1)
     return sums
 
 
@@ -67,7 +74,7 @@
     """Return the engines by data centre; centres without a whole copy share one."""
     zones: dict[str, list[Engine]] = {}
     for engine in engines:
-        zones.setdefault(engine.holder.vm_zone, []).append(engine)
+        zones.setdefault(engine.state.vm_zone, []).append(engine)
     groups, pooled = [], []
     for _, group in sorted(zones.items()):
         least = sum(most_layers(profile, e.kind, LEAST_ROOM_TOKENS) for e in group)
@@ -99,18 +106,18 @@
     empty = [
         e
         for e in _without(group, placements)
-        if e.holder.holding == NOTHING
-        and not e.holder.is_busy
-        and (is_short or not e.holder.is_fresh or _is_awaited(e, awaited))
+        if e.state.holding == NO_LAYERS
+        and not e.state.is_busy
+        and (is_short or not e.state.is_fresh or _is_awaited(e, awaited))
     ]
     for engine in by_size(empty):
         holding = _best_range(profile, engine, sums, room)
-        if holding != NOTHING:
-            placements.append(Placement(engine.holder, holding))
+        if holding != NO_LAYERS:
+            placements.append(Placement(engine.state, holding))
             _add(profile, sums, engine, holding, 1)
     if 0.0 not in sums:
         return placements
-    movable = [e for e in group if e.holder.holding != NOTHING and not e.holder.is_busy]
+    movable = [e for e in group if e.state.holding != NO_LAYERS and not e.state.is_busy]
     extended = _extend(profile, movable, sums, EASY_ROOM_TOKENS)
     movable = _without(movable, extended)
     moved = _move(profile, movable, sums, room)
@@ -121,34 +128,34 @@
 
 def _lay_out_empty(profile, group, aim):
     """Return the first ranges of a data centre whose engines hold nothing at all."""
-    if any(e.holder.holding != NOTHING or e.holder.is_busy for e in group):
+    if any(e.state.holding != NO_LAYERS or e.state.is_busy for e in group):
         return []
     return lay_out(profile, group, aim)
 
 
 def _engine_of(group, placement):
-    return next(e for e in group if e.holder is placement.holder)
+    return next(e for e in group if e.state is placement.state)
 
 
 def _awaited(group, leaving):
     """Return how many engines leave for which none has come, by place and kind."""
     counts = collections.Counter((h.vm_zone, h.kind) for h in leaving)
     for engine in group:
-        holder = engine.holder
-        if holder.is_fresh and holder.holding != NOTHING:
+        holder = engine.state
+        if holder.is_fresh and holder.holding != NO_LAYERS:
             counts[holder.vm_zone, holder.kind] -= 1
     return counts
 
 
 def _is_awaited(engine, awaited):
-    place = engine.holder.vm_zone, engine.holder.kind
+    place = engine.state.vm_zone, engine.state.kind
     awaited[place] -= 1
     return awaited[place] >= 0
 
 
 def _without(engines, placements):
-    placed = {placement.holder.engine_id for placement in placements}
-    return [e for e in engines if e.holder.engine_id not in placed]
+    placed = {placement.state.engine_id for placement in placements}
+    return [e for e in engines if e.state.engine_id not in placed]
 
 
 def _add(profile, sums, engine, holding, sign):
@@ -175,9 +182,9 @@
     length = most_layers(profile, engine.kind, room)
     if length < 1:
         length = min(1, most_layers(profile, engine.kind, LEAST_ROOM_TOKENS))
-    best, best_worth = NOTHING, -1.0
+    best, best_worth = NO_LAYERS, -1.0
     for first in range(0, profile.layers - length + 1) if length else ():
-        holding = Holding(first, first + length)
+        holding = LayerRange(first, first + length)
         worth = _worth(sums, holding, room)
         if worth > best_worth + 1e-9:
             best, best_worth = holding, worth
@@ -189,19 +196,19 @@
 
     They go on serving their own range while the new layers load.
     """
-    held = {e.holder.engine_id: e.holder.holding for e in movable}
+    held = {e.state.engine_id: e.state.holding for e in movable}
     while (hole := _first_hole(sums)) is not None:
         step = _best_extension(profile, movable, held, hole, least_room)
         if step is None:
             break
         engine, holding = step
-        _add(profile, sums, engine, held[engine.holder.engine_id], -1)
+        _add(profile, sums, engine, held[engine.state.engine_id], -1)
         _add(profile, sums, engine, holding, 1)
-        held[engine.holder.engine_id] = holding
+        held[engine.state.engine_id] = holding
     return [
-        Placement(e.holder, held[e.holder.engine_id])
+        Placement(e.state, held[e.state.engine_id])
         for e in movable
-        if held[e.holder.engine_id] != e.holder.holding
+        if held[e.state.engine_id] != e.state.holding
     ]
 
 
@@ -212,14 +219,14 @@
     end = first
     while end < len(sums) and sums[end] == 0.0:
         end += 1
-    return Holding(first, end)
+    return LayerRange(first, end)
 
 
 def _best_extension(profile, movable, held, hole, least_room):
     """Return the extension by one layer that leaves the most room, or None."""
     best = None
     for engine in movable:
-        old = held[engine.holder.engine_id]
+        old = held[engine.state.engine_id]
         for new in _wider(old, hole):
             length = new.end - new.first
             if length > most_layers(profile, engine.kind, least_room):
@@ -232,9 +239,9 @@
 
 def _wider(old, hole):
     if old.first <= hole.first <= old.end:
-        yield Holding(old.first, max(old.end, hole.first + 1))
+        yield LayerRange(old.first, max(old.end, hole.first + 1))
     if old.first <= hole.end <= old.end:
-        yield Holding(min(old.first, hole.end - 1), old.end)
+        yield LayerRange(min(old.first, hole.end - 1), old.end)
 
 
 def _new_layers(old, new):
@@ -248,7 +255,7 @@
     while 0.0 in sums:
         best = None
         for engine in movable:
-            old = engine.holder.holding
+            old = engine.state.holding
             _add(profile, sums, engine, old, -1)
             holding = _best_range(profile, engine, sums, room)
             gain = _worth(sums, holding, room) - _worth(sums, old, room)
@@ -260,7 +267,7 @@
             break
         _, engine, holding = best
         movable = [e for e in movable if e is not engine]
-        _add(profile, sums, engine, engine.holder.holding, -1)
+        _add(profile, sums, engine, engine.state.holding, -1)
         _add(profile, sums, engine, holding, 1)
-        placements.append(Placement(engine.holder, holding))
+        placements.append(Placement(engine.state, holding))
     return placements
--- a/libs/layers/src/cherryrudder/layers/profile.py
+++ b/libs/layers/src/cherryrudder/layers/profile.py
@@ -37,14 +37,14 @@
     chunk_tokens: int = 512
 
 
-class Holding(NamedTuple):
+class LayerRange(NamedTuple):
     """The layers that an engine holds: `first` up to, without, `end`."""
 
     first: int
     end: int
 
 
-NOTHING = Holding(0, 0)
+NO_LAYERS = LayerRange(0, 0)
 
 
 def kind_of(profile: ModelProfile, name: str) -> KindProfile | None:
--- a/libs/layers/test/builders.py
+++ b/libs/layers/test/builders.py
@@ -1,8 +1,8 @@
 """Builders of test data for the tests of layers."""
 
 from cherryrudder.layers.chains import Candidate
-from cherryrudder.layers.layout import Holder
-from cherryrudder.layers.profile import NOTHING, Holding, KindProfile, ModelProfile
+from cherryrudder.layers.layout import EngineState
+from cherryrudder.layers.profile import NO_LAYERS, KindProfile, LayerRange, ModelProfile
 
 # The users' own kinds.
 KINDS = (
@@ -43,8 +43,8 @@
 
 def a_holder(name, kind="l4", zone="a", layers=None, **changes):
     """Return an engine, empty unless it is given a range."""
-    holding = Holding(*layers) if layers else NOTHING
-    return Holder(name, f"boot-{name}", zone, kind, holding)._replace(**changes)
+    holding = LayerRange(*layers) if layers else NO_LAYERS
+    return EngineState(name, f"boot-{name}", zone, kind, holding)._replace(**changes)
 
 
 def users_holders():
@@ -59,7 +59,7 @@
 
 def placed(holders, placements):
     """Return the holders after the placements were carried out."""
-    ranges = {p.holder.address: p.holding for p in placements}
+    ranges = {p.state.address: p.holding for p in placements}
     return [h._replace(holding=ranges.get(h.address, h.holding)) for h in holders]
 
 
@@ -68,5 +68,5 @@
     return [
         Candidate(h.address, h.engine_id, h.vm_zone, h.kind, *h.holding)
         for h in holders
-        if h.holding != NOTHING
+        if h.holding != NO_LAYERS
     ]
--- a/libs/layers/test/test_chains.py
+++ b/libs/layers/test/test_chains.py
@@ -82,8 +82,8 @@
     def test_a_whole_copy_without_room_is_a_lack_of_room(self):
         engines = [an_engine("e", 0, 8, tokens=1e12)]
         self.assertIsNone(chains.choose_chain(SMALL, engines, Need(100.0, "a")))
-        self.assertTrue(chains.is_whole(SMALL, engines))
-        self.assertFalse(chains.is_whole(SMALL, [an_engine("e", 0, 7)]))
+        self.assertTrue(chains.has_full_copy(SMALL, engines))
+        self.assertFalse(chains.has_full_copy(SMALL, [an_engine("e", 0, 7)]))
 
 
 class ReadingTest(unittest.TestCase):
--- a/libs/layers/test/test_layout.py
+++ b/libs/layers/test/test_layout.py
@@ -47,7 +47,7 @@
         sums = planner.rooms(PROFILE, engines_of(holders[:index]))
         starts = range(PROFILE.layers - length + 1)
         first = min(starts, key=lambda at: sum(sums[at : at + length]))
-        holding = layout.Holding(first, first + length)
+        holding = layout.LayerRange(first, first + length)
         holders[index] = holder._replace(holding=holding)
     return holders
 
@@ -120,7 +120,7 @@
         holders = laid_out()
         lost = [h for h in holders if h.address != "l4-3"]
         for placement in planner.plan(PROFILE, lost):
-            self.assertNotEqual(placement.holder.kind, "a100")
+            self.assertNotEqual(placement.state.kind, "a100")
 
     def test_too_few_engines_for_two_copies_hold_one(self):
         aim = layout.aim_of(PROFILE, engines_of(empty_holders({"l4": 9})))
--- a/libs/layers/test/test_pace.py
+++ b/libs/layers/test/test_pace.py
@@ -48,7 +48,7 @@
         chain = chains.choose_chain(profile, engines, NEED)
         expected_s = pace.expected_pause_s(profile, chain, engines)
         self.assertFalse(pace.is_slow(expected_s + pace.READING_S, expected_s))
-        self.assertFalse(pace.is_stuck(2 * expected_s, expected_s))
+        self.assertFalse(pace.is_stalled(2 * expected_s, expected_s))
 
 
 class SlowEnginesTest(unittest.TestCase):
--- a/libs/layers/test/test_pipes.py
+++ b/libs/layers/test/test_pipes.py
@@ -12,7 +12,7 @@
     budget = PipeBudget()
     cost_s = pipes.crossing_s(profile, 772, 2)
     asked = range(int(seconds * asked_per_s))
-    return sum(pipes.may_cross(budget, cost_s, entries, n / asked_per_s) for n in asked)
+    return sum(pipes.try_cross(budget, cost_s, entries, n / asked_per_s) for n in asked)
 
 
 class PipeTest(unittest.TestCase):
@@ -35,4 +35,4 @@
         self.assertLess(crossings_in(20, 7, 2_160.0), crossings_in(20, 7) / 3)
 
     def test_a_lone_request_crosses_at_once(self):
-        self.assertTrue(pipes.may_cross(PipeBudget(), 5.0, 32, 0.0))
+        self.assertTrue(pipes.try_cross(PipeBudget(), 5.0, 32, 0.0))
--- a/libs/layers/test/test_planner.py
+++ b/libs/layers/test/test_planner.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings, strategies as st
 
 from cherryrudder.layers import layout, planner
-from cherryrudder.layers.profile import NOTHING, kind_of, room_tokens
+from cherryrudder.layers.profile import NO_LAYERS, kind_of, room_tokens
 
 PROFILE = a_profile()
 # Layers in all over one copy: the last range rarely ends just at the last layer.
@@ -65,8 +65,8 @@
         holders = plan_until_done(users_holders())
         died = next(h for h in holders if h.address == "b-l4-3")
         rest = plan_until_done([h for h in holders if h is not died])
-        back = died._replace(engine_id="again", holding=NOTHING, is_fresh=True)
-        placed_now = {p.holder.address for p in planner.plan(PROFILE, [*rest, back])}
+        back = died._replace(engine_id="again", holding=NO_LAYERS, is_fresh=True)
+        placed_now = {p.state.address for p in planner.plan(PROFILE, [*rest, back])}
         self.assertIn("b-l4-3", placed_now)
 
     def test_one_that_comes_while_nothing_is_missing_waits(self):
@@ -77,7 +77,7 @@
         rest = [h for h in holders if h is not leaving]
         leaving = leaving._replace(is_leaving=True)
         placements = planner.plan(PROFILE, [*rest, leaving, new])
-        self.assertIn("b-new", {p.holder.address for p in placements})
+        self.assertIn("b-new", {p.state.address for p in placements})
 
     def test_fast_engines_keep_room_for_what_they_run_at_once(self):
         """Requests take little memory; there are engines for more than two copies.
@@ -188,7 +188,7 @@
         leaving = [holders[0]._replace(is_leaving=True), *holders[1:]]
         placements = planner.plan(PROFILE, leaving)
         self.assertTrue(placements)
-        self.assertNotIn(holders[0].address, [p.holder.address for p in placements])
+        self.assertNotIn(holders[0].address, [p.state.address for p in placements])
 
     def test_a_new_engine_waits_for_the_one_that_it_replaces(self):
         """Engines are replaced one by one: the new one comes, then the old one leaves.
@@ -203,7 +203,7 @@
         leaving = old._replace(is_leaving=True)
         placements = planner.plan(PROFILE, [*rest, leaving, new])
         self.assertEqual(
-            [(p.holder, p.holding) for p in placements], [(new, old.holding)]
+            [(p.state, p.holding) for p in placements], [(new, old.holding)]
         )
 
     def test_a_new_engine_goes_where_room_is_short(self):
@@ -213,7 +213,7 @@
         rooms = rooms_of(after, "b")
         new = a_holder("b-new", "l4", "b")
         placement = planner.plan(PROFILE, [*after, new])[0]
-        self.assertEqual(placement.holder, new)
+        self.assertEqual(placement.state, new)
         chosen = [rooms[layer] for layer in range(*placement.holding)]
         self.assertLess(max(chosen), sum(rooms) / len(rooms))
 
@@ -243,7 +243,7 @@
 
     def _check_cover(self, holders):
         """All empty at the start and none lost: each group with enough is whole."""
-        fresh = plan_until_done([h._replace(holding=NOTHING) for h in holders])
+        fresh = plan_until_done([h._replace(holding=NO_LAYERS) for h in holders])
         for zone in "ab":
             group = [h for h in fresh if h.vm_zone == zone]
             least = sum(
--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -33,7 +33,7 @@
         _note_leaving(job, engine_id, now_s)
     if asks_for_backoff(status, facts):
         _note_backoff(job, engine_id, facts, now_s)
-    elif backoffs.answered(state.backoffs, engine_id, job.sent_s):
+    elif backoffs.record_answer(state.backoffs, engine_id, job.sent_s):
         job.note("engine-backoff-over", engine_id=engine_id)
 
 
@@ -75,7 +75,7 @@
     It is asked for each engine at each choice; most ask for nothing.
     """
     if engine_id in state.backoffs.backoffs:
-        if not backoffs.may_begin(state.backoffs, engine_id, now_s):
+        if not backoffs.may_send(state.backoffs, engine_id, now_s):
             return False
     if engine_id in state.rates.book.limits:
         return ratekeeper.may_begin(state, engine_id, now_s)
@@ -84,7 +84,7 @@
 
 def begin(state: "EntryState", engine_id: str, now_s: float) -> None:
     """Take note of a request that is about to be sent."""
-    backoffs.note_sent(state.backoffs, engine_id, now_s)
+    backoffs.record_sent(state.backoffs, engine_id, now_s)
     ratekeeper.begin(state, engine_id, now_s)
 
 
--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -106,7 +106,7 @@
             address=heard.address,
             vm_zone=heard.vm_zone,
             kind=heard.kind,
-            is_leaving=endpoints.leaves(heard),
+            is_leaving=endpoints.has_leaving_notice(heard),
             layers=list(heard.holding),
             number=heard.number,
         )
@@ -135,7 +135,7 @@
             return 503, "the log is not open"
         if version < voter.state.version:
             # Applied here means committed: nothing lower can take effect any more.
-            return 200, configlog.Taken.SUPERSEDED
+            return 200, configlog.PutResult.SUPERSEDED
         try:
             payload = configlog.encode(configlog.Put(version, configlog.pack(text)))
             outcome = await voter.propose(payload, ANSWER_S)
--- a/libs/node/src/cherryrudder/node/crashdesk.py
+++ b/libs/node/src/cherryrudder/node/crashdesk.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from cherryrudder.routing import blame, crashbook
-from cherryrudder.routing.crashbook import Block, CrashBook, Record
+from cherryrudder.routing.crashbook import Block, CrashBook, RequestRecord
 
 from . import crashsync
 from .crashsync import Marks
@@ -33,7 +33,7 @@
         self._conclude(news, now_s)
         return news
 
-    def note(self, records: dict[str, Record], now_s: float) -> CrashNews:
+    def note(self, records: dict[str, RequestRecord], now_s: float) -> CrashNews:
         """Take what this process itself saw; return what others are to hear of it."""
         news = [one for one in records if crashbook.merge(self.book, one, records[one])]
         self._conclude(news, now_s)
@@ -87,7 +87,7 @@
     def review(self, present: set[str], now_s: float) -> None:
         """Forget what is old, and end the blocks that are over."""
         if self.book.records:
-            crashbook.sweep(self.book, now_s)
+            crashbook.prune(self.book, now_s)
             self._refresh(now_s)
         crashsync.forget(self.marks, present)
 
@@ -101,14 +101,14 @@
 
     def _refresh(self, now_s):
         known = dict(self.book.blocks)
-        begun, ended = blame.refresh(self.book, now_s)
+        begun, ended = blame.update_blocks(self.book, now_s)
         for fingerprint in begun:
             self._log("blocked", fingerprint, self.book.blocks[fingerprint], now_s)
         for fingerprint in ended:
             self._log("unblocked", fingerprint, known[fingerprint], now_s)
 
     def _log(self, event, fingerprint, block, now_s):
-        record = self.book.records.get(fingerprint, Record("", ""))
+        record = self.book.records.get(fingerprint, RequestRecord("", ""))
         self._metrics.crashes.labels(event).inc()
         self._sink.write(
             "crashes",
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -7,8 +7,8 @@
 
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import blame, crashbook
-from cherryrudder.routing.crashbook import Crash, Record
-from cherryrudder.routing.gatekeeping import Refused
+from cherryrudder.routing.authorization import Refused
+from cherryrudder.routing.crashbook import Crash, RequestRecord
 
 from . import brokenruns, entrystate
 from .brokenruns import BrokenRun
@@ -91,7 +91,7 @@
         crash = Crash(
             engine_id, engine.vm_zone, engine.version, run.last_event, run.broke_s
         )
-        records[run.fingerprint] = Record(run.account, run.service, (crash,))
+        records[run.fingerprint] = RequestRecord(run.account, run.service, (crash,))
         state.metrics.crashes.labels("engine-ended").inc()
         state.sink.write(
             "crashes",
@@ -110,9 +110,9 @@
     known = desk.book.records.get(job.fingerprint)
     if known is None or not desk.is_watched(job.fingerprint):
         return None
-    if event <= crashbook.place(known) + blame.SAME_PLACE_EVENTS:
+    if event <= crashbook.furthest_event(known) + blame.POSITION_TOLERANCE_EVENTS:
         return None
-    record = Record(known.account, known.service, passed=event)
+    record = RequestRecord(known.account, known.service, passed=event)
     return desk.note({job.fingerprint: record}, now_s)
 
 
--- a/libs/node/src/cherryrudder/node/crashsync.py
+++ b/libs/node/src/cherryrudder/node/crashsync.py
@@ -5,7 +5,7 @@
 """
 
 from cherryrudder.routing import crashbook
-from cherryrudder.routing.crashbook import Crash, CrashBook, Record
+from cherryrudder.routing.crashbook import Crash, CrashBook, RequestRecord
 
 from .gossip import CrashSync, TableMark, ToldCrash, ToldRecord
 
@@ -97,4 +97,6 @@
     crashes = (Crash(*crash[:-1], at_s=now_s - crash.age_s) for crash in told.crashes)
     age_s = told.lifted_age_s
     lifted_s = float("-inf") if age_s is None else now_s - age_s
-    return Record(told.account, told.service, tuple(crashes), told.passed, lifted_s)
+    return RequestRecord(
+        told.account, told.service, tuple(crashes), told.passed, lifted_s
+    )
--- a/libs/node/src/cherryrudder/node/entry.py
+++ b/libs/node/src/cherryrudder/node/entry.py
@@ -9,7 +9,7 @@
 from cherryrudder.relay import pool
 from cherryrudder.relay.server import Exchange, Limits
 from cherryrudder.replica.clock import now_s
-from cherryrudder.routing import endpoints, gatekeeping
+from cherryrudder.routing import authorization, endpoints
 from cherryrudder.routing.configuration import DEFAULT_LIMITS
 
 from . import httpserver, ratekeeper, surface
@@ -77,7 +77,7 @@
     if state.table is None:
         return False
     age_s = now_s() - state.confirmed_s
-    return age_s < gatekeeping.READY_SHARE * state.settings.bounds.revoke_s
+    return age_s < authorization.READY_SHARE * state.settings.bounds.revoke_s
 
 
 async def _tidy(state, server, door):
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -197,7 +197,7 @@
     return [
         announcement
         for announcement in endpoints.live(state.endpoints.table, now_s)
-        if announcement.service == service and endpoints.may_take_work(announcement)
+        if announcement.service == service and endpoints.accepts_requests(announcement)
     ]
 
 
@@ -221,7 +221,7 @@
     """Tell whether this entry has evidence against an endpoint."""
     entry = state.endpoints.table.entries.get(engine_id)
     heard_s = entry.heard_s if entry else now_s
-    return suspicion.is_resting(state.suspicions, engine_id, heard_s, now_s)
+    return suspicion.is_ejected(state.suspicions, engine_id, heard_s, now_s)
 
 
 def is_certainly_dead(state: EntryState, engine_id: str) -> bool:
@@ -247,7 +247,7 @@
     address = announcement.address
     own = _own(state, address)
     others = peerload.estimate(state.others, address, own, state.peers)
-    is_barred = hangs.is_resting(
+    is_barred = hangs.is_ejected(
         state.hangs, announcement.engine_id, now
     ) or not backpressure.may_begin(state, announcement.engine_id, now)
     is_full = now < state.full_until_s.get(address, 0.0) or backoffs.is_active(
--- a/libs/node/src/cherryrudder/node/frontdoor.py
+++ b/libs/node/src/cherryrudder/node/frontdoor.py
@@ -6,12 +6,12 @@
 from cherryrudder.policy import sharedbudget
 from cherryrudder.relay.server import Exchange
 from cherryrudder.replica.clock import now_s
-from cherryrudder.routing import gatekeeping
-from cherryrudder.routing.gatekeeping import (
+from cherryrudder.routing import authorization
+from cherryrudder.routing.authorization import (
+    NO_CONFIGURATION,
     UNCONFIRMED,
-    UNKNOWN,
+    AccessRequest,
     Admitted,
-    Asked,
     Refused,
 )
 from cherryrudder.routing.routetable import pick_service
@@ -80,7 +80,7 @@
         if facts.deadline_s is not None:
             wait_s = min(wait_s, HOLD_SHARE * facts.deadline_s)
         until_s = exchange.request.arrived_s + wait_s
-        while decision in (UNKNOWN, UNCONFIRMED) and now_s() < until_s:
+        while decision in (NO_CONFIGURATION, UNCONFIRMED) and now_s() < until_s:
             await anyio.sleep(HOLD_POLL_S)
             decision = self._decide_now(exchange.request, facts)
         return decision
@@ -88,9 +88,9 @@
     def _decide_now(self, request, facts):
         state, now = self.state, now_s()
         was_confirmed = state.confirmed_s > float("-inf")
-        return gatekeeping.decide(
+        return authorization.authorize(
             state.table,
-            Asked(facts.host, request.target.decode("latin-1"), facts.key),
+            AccessRequest(facts.host, request.target.decode("latin-1"), facts.key),
             now - state.confirmed_s,
             state.settings.bounds.revoke_s,
             is_cut_off=was_confirmed and not roster.present(state.controls, now),
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -8,9 +8,9 @@
 from cherryrudder.platform.messages import RequestFacts, Sending
 from cherryrudder.relay.server import Exchange
 from cherryrudder.replica.clock import now_s
+from cherryrudder.routing.authorization import CUT_OFF, Admitted, Refused
 from cherryrudder.routing.configuration import RouteKind, Service
 from cherryrudder.routing.fingerprint import fingerprint
-from cherryrudder.routing.gatekeeping import CUT_OFF, Admitted, Refused
 
 from . import crashes, entrystate
 from .entrystate import EntryState
--- a/libs/node/src/cherryrudder/node/layerkeeper.py
+++ b/libs/node/src/cherryrudder/node/layerkeeper.py
@@ -11,8 +11,8 @@
 from loguru import logger
 
 from cherryrudder.layers import planner
-from cherryrudder.layers.layout import Holder, Placement
-from cherryrudder.layers.profile import NOTHING, Holding, ModelProfile
+from cherryrudder.layers.layout import EngineState, Placement
+from cherryrudder.layers.profile import NO_LAYERS, LayerRange, ModelProfile
 from cherryrudder.platform import engines
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import endpoints
@@ -52,7 +52,7 @@
 class Ordered(NamedTuple):
     """An order whose end was not seen yet."""
 
-    holding: Holding
+    holding: LayerRange
     until_s: float
 
 
@@ -96,7 +96,7 @@
         placements = planner.plan(service.model, holders)
         async with anyio.create_task_group() as group:
             for placement in placements:
-                not_before_s = self._not_before_s.get(placement.holder.engine_id, 0.0)
+                not_before_s = self._not_before_s.get(placement.state.engine_id, 0.0)
                 if now >= not_before_s:
                     group.start_soon(self._order, service.model, placement)
 
@@ -125,7 +125,7 @@
                 del self._ordered[announcement.engine_id]
 
     def _is_settled(self, live, now):
-        is_first = all(a.holding == NOTHING for a in live) and not self._ordered
+        is_first = all(a.holding == NO_LAYERS for a in live) and not self._ordered
         if is_first:
             return bool(live) and now - self._changed_s > SETTLE_S
         return now - self._started_s > LISTEN_S
@@ -133,14 +133,14 @@
     def _holder(self, announcement: Announcement, now):
         ordered = self._ordered.get(announcement.engine_id)
         holding = ordered.holding if ordered else announcement.holding
-        return Holder(
+        return EngineState(
             address=announcement.address,
             engine_id=announcement.engine_id,
             vm_zone=announcement.vm_zone,
             kind=announcement.kind,
             holding=holding,
             is_busy=ordered is not None,
-            is_leaving=endpoints.leaves(announcement),
+            is_leaving=endpoints.has_leaving_notice(announcement),
             is_fresh=now - self._came_s[announcement.engine_id] < FRESH_S,
         )
 
@@ -174,7 +174,7 @@
             self._ordered[holder.engine_id] = ordered
             self.group.start_soon(self._follow, holder, ordered)
 
-    async def _follow(self, holder: Holder, ordered: Ordered):
+    async def _follow(self, holder: EngineState, ordered: Ordered):
         """Tell everybody what an engine holds as soon as a load has changed it.
 
         Its own word comes with the next heartbeat, up to 1.2 s later; until then
@@ -201,10 +201,10 @@
             self.beats.spread([engine_id])
 
 
-def _kept(old: Holding, new: Holding) -> Holding:
+def _kept(old: LayerRange, new: LayerRange) -> LayerRange:
     """Return the layers that an engine goes on serving while it loads others."""
     first, end = max(old.first, new.first), min(old.end, new.end)
-    return Holding(first, end) if first < end else NOTHING
+    return LayerRange(first, end) if first < end else NO_LAYERS
 
 
 async def _place(placement: Placement, fence: int) -> str:
--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from cherryrudder.replica.clock import now_s
-from cherryrudder.routing.slowness import LEAST_SLOWNESS
+from cherryrudder.routing.slowness import MIN_SLOWNESS
 
 from . import enginecalls, roster
 from .controlstate import ControlState
@@ -69,7 +69,7 @@
     async def _watch(self, engine_id):
         was_slow = False
         try:
-            while (slowness := await self._slowness(engine_id)) >= LEAST_SLOWNESS:
+            while (slowness := await self._slowness(engine_id)) >= MIN_SLOWNESS:
                 self._tell(engine_id, slowness, is_news=not was_slow)
                 was_slow = True
                 await anyio.sleep(AGAIN_S)
--- a/libs/node/src/cherryrudder/node/permitissuer.py
+++ b/libs/node/src/cherryrudder/node/permitissuer.py
@@ -68,7 +68,7 @@
 
     def _is_news(self, one, now_s):
         said = Limit(one.per_s, now_s - one.age_s)
-        if not ratelimits.hear(self.book, one.engine_id, said):
+        if not ratelimits.record_limit(self.book, one.engine_id, said):
             return False
         self.state.sink.write(
             "rates",
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -13,7 +13,7 @@
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import backoffs, picking, suspicion
 from cherryrudder.routing.crashbook import FINISHED
-from cherryrudder.routing.picking import Place
+from cherryrudder.routing.picking import EndpointLoad
 
 from . import attempts, backpressure, brokenruns, crashes, ratekeeper
 from .entrystate import ToldLoad, is_suspect, serving
@@ -90,7 +90,7 @@
 
 async def _takes_it(state, engine_id):
     """Tell whether an endpoint takes a request; ask for a permit if it needs one."""
-    if not backoffs.may_begin(state.backoffs, engine_id, now_s()):
+    if not backoffs.may_send(state.backoffs, engine_id, now_s()):
         return False
     await ratekeeper.acquire(state, [engine_id])
     return backpressure.may_begin(state, engine_id, now_s())
@@ -121,19 +121,19 @@
 def _place(state, announcement, now):
     engine_id = announcement.engine_id
     told = state.told.get(engine_id, ToldLoad(0.0, now))
-    return Place(
+    return EndpointLoad(
         engine_id=engine_id,
         address=announcement.address,
         vm_zone=announcement.vm_zone,
         slots=announcement.slots,
-        own_running=state.running.get(announcement.address, 0),
-        told_load=told.load,
-        told_age_s=now - told.told_s,
+        own_in_flight=state.running.get(announcement.address, 0),
+        reported_load=told.load,
+        report_age_s=now - told.told_s,
         is_suspect=is_suspect(state, engine_id, now),
     )
 
 
-async def _attempt(job: Job, place: Place) -> Whole | Failed:
+async def _attempt(job: Job, place: EndpointLoad) -> Whole | Failed:
     state = job.state
     state.running[place.address] = state.running.get(place.address, 0) + 1
     state.tokens.setdefault(place.address, 0)
@@ -212,7 +212,7 @@
         # It lives, and says nothing of how it serves.
         return
     if isinstance(result, Failed) and not result.is_sent:
-        suspicion.died(suspicions, engine_id, now)
+        suspicion.record_failure(suspicions, engine_id, now)
     else:
         is_good = isinstance(result, Whole) or result.is_not_run
-        suspicion.answered(suspicions, engine_id, is_good, now)
+        suspicion.record_answer(suspicions, engine_id, is_good, now)
--- a/libs/node/src/cherryrudder/node/ratekeeper.py
+++ b/libs/node/src/cherryrudder/node/ratekeeper.py
@@ -59,10 +59,10 @@
     if facts.has_bad_limit and facts.limit_per_s is None:
         return
     known = rates.book.limits.get(engine_id)
-    if facts.limit_per_s is None and (known is None or job.sent_s <= known.said_s):
+    if facts.limit_per_s is None and (known is None or job.sent_s <= known.stated_s):
         # The engine may have made this answer before it named the limit.
         return
-    if ratelimits.hear(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
+    if ratelimits.record_limit(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
         job.note("engine-limit-named", True, engine_id=engine_id)
         _note_change(job.state, engine_id, known)
         rates.spread(LimitNews((ToldLimit(engine_id, facts.limit_per_s, 0.0),)))
@@ -74,7 +74,7 @@
     for one in told:
         known = book.limits.get(one.engine_id)
         said = Limit(one.per_s, now_s - one.age_s)
-        if ratelimits.hear(book, one.engine_id, said):
+        if ratelimits.record_limit(book, one.engine_id, said):
             _note_change(state, one.engine_id, known)
 
 
@@ -93,7 +93,7 @@
 def told(book: LimitBook, now_s: float) -> tuple[ToldLimit, ...]:
     """Return the limits as other processes are told them."""
     return tuple(
-        ToldLimit(engine_id, limit.per_s, now_s - limit.said_s)
+        ToldLimit(engine_id, limit.per_s, now_s - limit.stated_s)
         for engine_id, limit in book.limits.items()
     )
 
@@ -128,7 +128,7 @@
             continue
         permits.record_request(holder, now_s)
         limit = rates.book.limits[engine_id]
-        named = ToldLimit(engine_id, limit.per_s, now_s - limit.said_s)
+        named = ToldLimit(engine_id, limit.per_s, now_s - limit.stated_s)
         rates.send_ask(PermitRequest(state.address, named, 1))
 
 
@@ -177,7 +177,7 @@
         LimitShown(
             engine_id,
             limit.per_s,
-            round(now_s - limit.said_s, 3),
+            round(now_s - limit.stated_s, 3),
             len(_holder(rates, engine_id).until_s),
             round(permits.wait_s(_holder(rates, engine_id), now_s), 3),
         )
--- a/libs/node/src/cherryrudder/node/stalls.py
+++ b/libs/node/src/cherryrudder/node/stalls.py
@@ -32,7 +32,7 @@
 ALIVE_AGE_S = 0.3
 # Time limits of an answer: at least some turns of the scheduler at either side, at most
 # half of a pause that clients notice. A lost packet is sent again after 0.2 s only.
-REPORT_BOUNDS = Bounds(least_s=0.015, first_s=0.03, most_s=0.12)
+REPORT_BOUNDS = Bounds(min_s=0.015, initial_s=0.03, max_s=0.12)
 RESENT_S = 0.2
 # Tries at a report, each in usual time limits and in seconds beyond them. An engine
 # that answers none is taken as dead; the second try is longer, for one that has just
@@ -110,12 +110,12 @@
             if resent_s and self._answered_s.get(zone, 0.0) > began_s:
                 break
             # Other engines may have answered meanwhile, and told what is usual.
-            limit_s = share * answertimes.limit_s(times, REPORT_BOUNDS) + resent_s
+            limit_s = share * answertimes.timeout_s(times, REPORT_BOUNDS) + resent_s
             limit_s += extra_s if is_first else 0.0
             report = await self._report(address, limit_s)
             if report is not None:
                 # Since the first try: an engine that needed another one is busy.
-                answertimes.note(times, now_s() - began_s)
+                answertimes.record_time(times, now_s() - began_s)
                 self._answered_s[zone] = now_s()
                 return report
         return None
@@ -148,7 +148,7 @@
         if engine is None or entrystate.is_suspect(state, engine.engine_id, now):
             return
         engine_id = engine.engine_id
-        suspicion.died(state.suspicions, engine_id, now, is_unreached)
+        suspicion.record_failure(state.suspicions, engine_id, now, is_unreached)
         state.engine_died.set()
         pool.drop(state.pool, address)
         self.uplink.accuse(engine_id, engine.vm_zone)
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -280,7 +280,7 @@
     ratekeeper.ask(job.state, limited, now)
     if _are_barred(stream, now):
         return LIMITED if limited else BACKING_OFF
-    is_whole = chains.is_whole(job.service.model, engines)
+    is_whole = chains.has_full_copy(job.service.model, engines)
     return NO_ROOM if is_whole else NO_CHAIN
 
 
@@ -296,7 +296,7 @@
         return None
     tokens = stream.job.facts.prompt_tokens
     least_s = pipes.crossing_s(model, tokens, 1)
-    if not pipes.is_open(state.pipes, least_s, state.entries, now):
+    if not pipes.has_budget(state.pipes, least_s, state.entries, now):
         # The search over all data centres is the dearest part of a choice, and those
         # that wait for room would make it again and again.
         return None
@@ -305,7 +305,7 @@
         return None
     count = chains.crossings(chain, engines)
     cost_s = pipes.crossing_s(model, tokens, count)
-    if not pipes.may_cross(state.pipes, cost_s, state.entries, now):
+    if not pipes.try_cross(state.pipes, cost_s, state.entries, now):
         return None
     stream.job.note("crossing", crossings=count, debt_s=round(state.pipes.debt_s, 3))
     return chain
@@ -315,7 +315,7 @@
     """Log what a stream lacked: which layer is held by too few, or too full."""
     job = stream.job
     engines = entrystate.candidates(job.state, job.service.name, now_s())
-    layer, free = chains.tightest(job.service.model, engines)
+    layer, free = chains.tightest_layer(job.service.model, engines)
     job.note(
         "no-chain",
         reason=stream.refusal,
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -10,8 +10,8 @@
 from cherryrudder.relay.errors import AnswerBroken, AnswerLate, ConnectFailed
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import hangs
+from cherryrudder.routing.authorization import Refused
 from cherryrudder.routing.crashbook import FINISHED
-from cherryrudder.routing.gatekeeping import Refused
 
 from . import attempts, brokenruns, crashes, entrystate, streamchains, supervision
 from .job import Failed, Job, Whole
@@ -170,7 +170,7 @@
     finally:
         stream.connection = None
         stream.note_read()
-        hangs.ended(job.state.hangs, first.engine_id, job.facts.request_id)
+        hangs.record_end(job.state.hangs, first.engine_id, job.facts.request_id)
         stream.watch.streams.discard(stream)
         if is_kept:
             pool.give_back(job.state.pool, connection, now_s())
@@ -181,7 +181,7 @@
 def _note_sent(stream):
     job, now = stream.job, now_s()
     stream.note_sent()
-    hangs.sent(
+    hangs.record_sent(
         job.state.hangs,
         stream.chain[0].engine_id,
         job.facts.request_id,
@@ -194,7 +194,7 @@
     """Take note that the first engine has begun the request, or refused it."""
     job, now = stream.job, now_s()
     engine_id, request_id = stream.chain[0].engine_id, job.facts.request_id
-    hangs.begun(job.state.hangs, engine_id, request_id, now)
+    hangs.record_start(job.state.hangs, engine_id, request_id, now)
     brokenruns.answered(job.state.broken, engine_id, now)
     stream.has_head = True
     stream.head_s = now
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -30,7 +30,7 @@
 REVIEW_S = 0.02
 # When a stream counts as silent, by its own pauses: engines read long prompts between
 # its events, and clients count a pause of some 200 ms as late.
-SILENCE_BOUNDS = Bounds(least_s=0.07, first_s=FIRST_SILENCE_S, most_s=1.0)
+SILENCE_BOUNDS = Bounds(min_s=0.07, initial_s=FIRST_SILENCE_S, max_s=1.0)
 # A chain with an engine that was found dead by another stream needs less proof.
 ACCUSED_SILENCE_S = 0.06
 # Weight of the newest pause in a stream's usual one.
@@ -101,10 +101,10 @@
     def _find_hung(self, now):
         """Return the engines that hang, and log those that were found now."""
         state = self.state
-        for engine_id in hangs.find(state.hangs, now):
+        for engine_id in hangs.find_hanging(state.hangs, now):
             state.metrics.beliefs.labels("engine-hung").inc()
             state.sink.write("streams", "engine-hung", True, engine_id=engine_id)
-        return {e for e in state.hangs.waiting if hangs.is_resting(state.hangs, e, now)}
+        return {e for e in state.hangs.waiting if hangs.is_ejected(state.hangs, e, now)}
 
     def _is_due(self, stream, now):
         if stream.is_looked_at or stream.connection is None:
@@ -188,7 +188,7 @@
             stream.is_looked_at = False
 
     async def _look(self, stream):
-        stream.silence_s = min(SILENCE_BOUNDS.most_s, stream.silence_s * BACK_OFF)
+        stream.silence_s = min(SILENCE_BOUNDS.max_s, stream.silence_s * BACK_OFF)
         lost = await self._find_lost(stream)
         if lost and stream.connection is not None:
             await reroute.go_on_without(stream, stream.connection, lost)
@@ -258,7 +258,7 @@
         return False
     silent_s = now - stream.progressed_s
     expected_s = stream.expected_pause_s
-    return pace.is_slow(stream.pause_s, expected_s) or pace.is_stuck(
+    return pace.is_slow(stream.pause_s, expected_s) or pace.is_stalled(
         silent_s, expected_s
     )
 
@@ -269,8 +269,8 @@
         pause_s = now - stream.progressed_s
         stream.pause_s += PAUSE_MEMORY * (pause_s - stream.pause_s)
         # An outage is no usual pause.
-        answertimes.note(stream.pauses, min(pause_s, stream.silence_s))
-        stream.silence_s = answertimes.limit_s(stream.pauses, SILENCE_BOUNDS)
+        answertimes.record_time(stream.pauses, min(pause_s, stream.silence_s))
+        stream.silence_s = answertimes.timeout_s(stream.pauses, SILENCE_BOUNDS)
     else:
         stream.silence_s = FIRST_SILENCE_S
     stream.progressed_s = now
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -4,9 +4,9 @@
 signs of life. The reader that missed some news thus gets them with the next beat.
 """
 
-from cherryrudder.layers.profile import Holding
+from cherryrudder.layers.profile import LayerRange
 from cherryrudder.routing import endpoints
-from cherryrudder.routing.endpoints import Announcement, EndpointTable, Entry
+from cherryrudder.routing.endpoints import Announcement, EndpointTable, TableEntry
 
 from .gossip import Alive, Heard, TableMark
 
@@ -39,15 +39,15 @@
 
 def hear(shared: SharedTable, heard: Announcement, now_s: float) -> bool:
     """Take a heartbeat; tell whether it is news."""
-    is_news = endpoints.hear(shared.table, heard, now_s)
+    is_news = endpoints.record_heartbeat(shared.table, heard, now_s)
     return _noted(shared, heard.engine_id, is_news)
 
 
 def observe(
-    shared: SharedTable, engine_id: str, holding: Holding, now_s: float
+    shared: SharedTable, engine_id: str, holding: LayerRange, now_s: float
 ) -> bool:
     """Take the layers that an endpoint was seen to hold; tell whether it is news."""
-    is_news = endpoints.observe(shared.table, engine_id, holding, now_s)
+    is_news = endpoints.record_holding(shared.table, engine_id, holding, now_s)
     return _noted(shared, engine_id, is_news)
 
 
@@ -59,13 +59,13 @@
 
 def tell_senders(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Take an endpoint's word in an answer that it leaves; tell whether it is news."""
-    is_news = endpoints.tell_senders(shared.table, engine_id, now_s)
+    is_news = endpoints.record_leaving(shared.table, engine_id, now_s)
     return _noted(shared, engine_id, is_news)
 
 
 def depart(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Take a departure; tell whether it is news."""
-    is_news = endpoints.depart(shared.table, engine_id, now_s)
+    is_news = endpoints.record_departure(shared.table, engine_id, now_s)
     return _noted(shared, engine_id, is_news)
 
 
@@ -74,7 +74,7 @@
     news = []
     for one in heard:
         engine_id = one.announcement.engine_id
-        entry = Entry(one.announcement, 0.0, one.is_gone)
+        entry = TableEntry(one.announcement, 0.0, one.is_gone)
         if endpoints.merge(shared.table, entry, one.age_s, now_s):
             note(shared, engine_id)
             news.append(engine_id)
@@ -114,7 +114,7 @@
     )
 
 
-def heard_of(entry: Entry, now_s: float) -> Heard:
+def heard_of(entry: TableEntry, now_s: float) -> Heard:
     """Return an entry of the table as it is told to others."""
     return Heard(entry.announcement, now_s - entry.heard_s, entry.is_gone)
 
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -119,7 +119,7 @@
     def report_pace(self, engine: Announcement, seen: float) -> None:
         """Take the pace that an engine told this entry, and pass on that it is slow."""
         news = PaceNews(engine.engine_id, seen)
-        if self._on_pace(news) and seen >= slowness.LEAST_SLOWNESS:
+        if self._on_pace(news) and seen >= slowness.MIN_SLOWNESS:
             address = self._teller_beside(engine)
             if address:
                 self.links.send(address, news)
@@ -170,10 +170,10 @@
                 state.sink.write("uplink", "endpoint-lost", True, engine_id=engine_id)
             slowness.sweep(state.slowness, now)
             known = set(state.endpoints.table.entries)
-            suspicion.forget(state.suspicions, known)
-            hangs.forget(state.hangs, known)
+            suspicion.prune(state.suspicions, known)
+            hangs.prune(state.hangs, known)
             ratekeeper.sweep(state.rates, known, now)
-            backoffs.forget(state.backoffs, known)
+            backoffs.prune(state.backoffs, known)
             for engine_id in set(state.leaving_s) - known:
                 del state.leaving_s[engine_id]
             brokenruns.sweep(state.broken, now)
@@ -294,7 +294,7 @@
                 self._log_endpoint(entry)
             if entry is not None and not entry.is_gone:
                 self._note_incarnation(entry.announcement)
-            if entry is not None and endpoints.leaves(entry.announcement):
+            if entry is not None and endpoints.has_leaving_notice(entry.announcement):
                 state.leaving_s.setdefault(engine_id, now)
 
     def _note_incarnation(self, announcement):
@@ -310,7 +310,7 @@
             pool.drop(state.pool, address)
             self.tell_crashes(crashes.engine_ended(state, before, now_s()))
 
-    def _log_endpoint(self, entry: endpoints.Entry):
+    def _log_endpoint(self, entry: endpoints.TableEntry):
         announcement = entry.announcement
         self.state.sink.write(
             "uplink",
@@ -318,14 +318,14 @@
             True,
             engine_id=announcement.engine_id,
             address=announcement.address,
-            is_leaving=endpoints.leaves(announcement),
+            is_leaving=endpoints.has_leaving_notice(announcement),
             is_gone=entry.is_gone,
             layers=list(announcement.holding),
         )
 
     def _on_death(self, notice):
         engine_id = notice.engine_id
-        if suspicion.told(self.state.suspicions, engine_id, now_s()):
+        if suspicion.record_report(self.state.suspicions, engine_id, now_s()):
             self.state.sink.write("uplink", "engine-accused", True, engine_id=engine_id)
             self.state.engine_died.set()
         self.tell_crashes(crashes.engine_ended(self.state, engine_id, now_s()))
@@ -333,7 +333,7 @@
     def _on_end(self, notice):
         state, engine_id = self.state, notice.engine_id
         is_news = not entrystate.is_certainly_dead(state, engine_id)
-        suspicion.verified(state.suspicions, engine_id, now_s())
+        suspicion.record_confirmed_death(state.suspicions, engine_id, now_s())
         if is_news:
             state.sink.write("uplink", "engine-ended", True, engine_id=engine_id)
         self.tell_crashes(crashes.engine_ended(state, engine_id, now_s()))
@@ -341,14 +341,14 @@
     def _on_acquittal(self, acquittal):
         engine_id = acquittal.engine_id
         brokenruns.lives(self.state.broken, engine_id)
-        if suspicion.acquitted(self.state.suspicions, engine_id):
+        if suspicion.reinstate(self.state.suspicions, engine_id):
             self.state.sink.write(
                 "uplink", "engine-acquitted", True, engine_id=engine_id
             )
 
     def _on_pace(self, news):
         book = self.state.slowness
-        is_news = slowness.believe(book, news.engine_id, news.slowness, now_s())
+        is_news = slowness.record_slowness(book, news.engine_id, news.slowness, now_s())
         if is_news:
             self.state.metrics.beliefs.labels("engine-pace").inc()
             self.state.sink.write(
--- a/libs/node/test/builders.py
+++ b/libs/node/test/builders.py
@@ -2,7 +2,7 @@
 
 import os
 
-from cherryrudder.layers.profile import NOTHING, Holding, KindProfile, ModelProfile
+from cherryrudder.layers.profile import NO_LAYERS, KindProfile, LayerRange, ModelProfile
 from cherryrudder.node.controlstate import ControlState
 from cherryrudder.node.entrystate import EntryState
 from cherryrudder.node.linesink import LineSink
@@ -23,7 +23,7 @@
         slots=96,
         number=number,
         kind="l4",
-        holding=Holding(*layers) if layers else NOTHING,
+        holding=LayerRange(*layers) if layers else NO_LAYERS,
     )
     return announcement._replace(**changes)
 
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -75,7 +75,7 @@
 
     def test_being_turned_away_is_no_proof_of_health(self):
         for _ in range(20):
-            suspicion.answered(self.state.suspicions, ENGINE, False, now_s())
+            suspicion.record_answer(self.state.suspicions, ENGINE, False, now_s())
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
         place = SimpleNamespace(engine_id=ENGINE)
         failed = Failed("503", is_not_run=True, is_turned_away=True)
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -31,7 +31,7 @@
 from cherryrudder.node.uplink import Uplink
 from cherryrudder.relay.errors import AnswerBroken
 from cherryrudder.replica.clock import now_s
-from cherryrudder.routing.crashbook import FINISHED, Crash, Record
+from cherryrudder.routing.crashbook import FINISHED, Crash, RequestRecord
 
 FIRST, SECOND, OTHER = "boot-1", "boot-2", "boot-3"
 ENGINES = (FIRST, SECOND, OTHER)
@@ -52,7 +52,7 @@
     """Return a record of engines that ended."""
     at_s = now_s() if at_s is None else at_s
     ended = tuple(Crash(engine_id, "a", "v1", 2, at_s) for engine_id in engine_ids)
-    return Record("acme", "llm", ended)._replace(**changes)
+    return RequestRecord("acme", "llm", ended)._replace(**changes)
 
 
 class EntryCase(unittest.TestCase):
@@ -67,7 +67,7 @@
 
     def known(self, fingerprint="bad"):
         """Return the engines that ended under a request, as far as is known."""
-        record = self.state.crashes.book.records.get(fingerprint, Record("", ""))
+        record = self.state.crashes.book.records.get(fingerprint, RequestRecord("", ""))
         return {crash.engine_id for crash in record.crashes}
 
 
--- a/libs/node/test/test_frontdoor.py
+++ b/libs/node/test/test_frontdoor.py
@@ -8,8 +8,8 @@
 from cherryrudder.node.roster import Roster
 from cherryrudder.platform.messages import read_request
 from cherryrudder.replica.clock import now_s
+from cherryrudder.routing.authorization import NO_CONFIGURATION
 from cherryrudder.routing.configuration import DEFAULT_LIMITS, Configuration
-from cherryrudder.routing.gatekeeping import UNKNOWN
 from cherryrudder.routing.routetable import RouteTable
 
 
@@ -59,7 +59,7 @@
 
     def test_it_does_not_wait_longer_than_its_client(self):
         decision, took_s = self.decide(60.0, b"200")
-        self.assertIs(decision, UNKNOWN)
+        self.assertIs(decision, NO_CONFIGURATION)
         self.assertLess(took_s, frontdoor.HOLD_S)
 
 
--- a/libs/node/test/test_pacewatch.py
+++ b/libs/node/test/test_pacewatch.py
@@ -30,7 +30,7 @@
         `paces` are an engine's next answers; None for no answer.
         """
         table = SharedTable("boot")
-        endpoints.hear(table.table, an_announcement("boot-1"), now_s())
+        endpoints.record_heartbeat(table.table, an_announcement("boot-1"), now_s())
         entries = Roster()
         roster.hear(entries, ENTRY, None, now_s())
         sink = SimpleNamespace(write=lambda *args, **fields: None)
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -214,13 +214,13 @@
 
     def test_an_engine_whose_answers_call_it_leaving_gets_no_new_work_anywhere(self):
         known = self.state.endpoints.table.entries[ENGINE].announcement
-        told = known._replace(has_told_senders=True)
+        told = known._replace(has_notified_senders=True)
         self.beats._take(EndpointNews((Heard(told, 0.0, False),)))
         self.assertEqual(
             [address for address, _ in self.sent], ["entry-a", "entry-b", "entry-c"]
         )
         told = self.state.endpoints.table.entries[ENGINE]
-        self.assertFalse(endpoints.may_take_work(told.announcement))
+        self.assertFalse(endpoints.accepts_requests(told.announcement))
         self.assertFalse(told.is_gone)
 
 
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -163,7 +163,7 @@
         self.stream.refusal = ""
 
     def suspect(self, name):
-        suspicion.died(self.state.suspicions, name, now_s())
+        suspicion.record_failure(self.state.suspicions, name, now_s())
 
     def chosen(self):
         """Return the first engines of many choices, and the other parts."""
@@ -193,11 +193,13 @@
     def test_an_engine_that_lives_counts_again(self):
         for name in ("first", "second"):
             self.suspect(name)
-            suspicion.acquitted(self.state.suspicions, name)
+            suspicion.reinstate(self.state.suspicions, name)
         self.assertEqual(self.chosen()[0], {"first", "second"})
 
     def test_a_confirmed_death_makes_room_for_another_engine(self):
-        suspicion.verified(self.state.suspicions, "first", now_s() + 0.001)
+        suspicion.record_confirmed_death(
+            self.state.suspicions, "first", now_s() + 0.001
+        )
         self.assertEqual(self.chosen()[0], {"second", "third"})
 
     def test_a_departure_makes_room_for_another_engine(self):
@@ -275,7 +277,7 @@
 
     def test_not_once_an_engine_of_it_is_thought_dead(self):
         stream, state = self.offered()
-        suspicion.died(state.suspicions, "boot-2", now_s())
+        suspicion.record_failure(state.suspicions, "boot-2", now_s())
         chain = streamchains._take_chain(stream)
         self.assertEqual([part.engine_id for part in chain], ["boot-1"])
 
--- a/libs/node/test/test_surface.py
+++ b/libs/node/test/test_surface.py
@@ -8,7 +8,7 @@
 from cherryrudder.node.gossip import ToldLimit
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.node.surface import Shown
-from cherryrudder.routing.crashbook import Crash, Record
+from cherryrudder.routing.crashbook import Crash, RequestRecord
 
 ENDED = tuple(Crash(f"e{n}", "a", "v1", 2, 10.0) for n in range(3))
 
@@ -20,7 +20,7 @@
         self.told = []
         metrics = Metrics()
         self.desk = CrashDesk("boot-1", piped.sink, metrics)
-        self.desk.note({"f1": Record("acme", "llm", ENDED)}, 11.0)
+        self.desk.note({"f1": RequestRecord("acme", "llm", ENDED)}, 11.0)
         self.shown = Shown(metrics, self.desk, self.told.append, self.limits)
 
     def limits(self, now_s):
--- a/libs/node/test/test_tablesync.py
+++ b/libs/node/test/test_tablesync.py
@@ -4,7 +4,7 @@
 from builders import an_announcement
 from hypothesis import given, settings, strategies as st
 
-from cherryrudder.layers.profile import Holding
+from cherryrudder.layers.profile import LayerRange
 from cherryrudder.node import tablesync
 from cherryrudder.node.gossip import Alive, TableMark
 from cherryrudder.node.tablesync import SharedTable
@@ -72,12 +72,12 @@
         late = []
         for _ in range(20):
             engine_id = f"boot-{rng.randrange(4)}"
-            numbers[engine_id] = numbers.get(engine_id, 0) + endpoints.WORD
+            numbers[engine_id] = numbers.get(engine_id, 0) + endpoints.NUMBER_STEP
             kind = rng.randrange(10)
             if kind == 0:
                 tablesync.depart(source, engine_id, 0.0)
             elif kind < 3:
-                layers = Holding(0, rng.randrange(1, 9))
+                layers = LayerRange(0, rng.randrange(1, 9))
                 tablesync.observe(source, engine_id, layers, 0.0)
             else:
                 layers = (0, rng.randrange(1, 9))
--- a/libs/node/test/test_verification.py
+++ b/libs/node/test/test_verification.py
@@ -41,7 +41,7 @@
         self.addCleanup(piped.close)
         state = ControlState(read_settings(SETTINGS).ok, piped.sink, Metrics())
         engine = an_announcement("boot-1", layers=(0, 8), started_ms=started_ms[0])
-        endpoints.hear(state.endpoints.table, engine, now_s())
+        endpoints.record_heartbeat(state.endpoints.table, engine, now_s())
         for address in (ACCUSER, OTHER):
             roster.hear(state.entries, address, None, now_s())
         sent, asked = [], []
--- a/libs/routing/src/cherryrudder/routing/answertimes.py
+++ b/libs/routing/src/cherryrudder/routing/answertimes.py
@@ -18,9 +18,9 @@
 class Bounds(NamedTuple):
     """The limits that what was seen can't exceed; `first_s` while nothing was seen."""
 
-    least_s: float
-    first_s: float
-    most_s: float
+    min_s: float
+    initial_s: float
+    max_s: float
 
 
 class AnswerTimes:
@@ -32,7 +32,7 @@
         self.answers = 0
 
 
-def note(times: AnswerTimes, took_s: float) -> None:
+def record_time(times: AnswerTimes, took_s: float) -> None:
     """Take the time of an answer that came."""
     times.answers += 1
     if times.answers == 1:
@@ -43,9 +43,9 @@
     times.mean_s += MEAN_WEIGHT * (took_s - times.mean_s)
 
 
-def limit_s(times: AnswerTimes, bounds: Bounds) -> float:
+def timeout_s(times: AnswerTimes, bounds: Bounds) -> float:
     """Return the time within which an answer is to be there."""
     if not times.answers:
-        return bounds.first_s
+        return bounds.initial_s
     usual_s = times.mean_s + DEVIATIONS * times.deviation_s
-    return min(bounds.most_s, max(bounds.least_s, usual_s))
+    return min(bounds.max_s, max(bounds.min_s, usual_s))
--- a/libs/routing/src/cherryrudder/routing/gatekeeping.py
+++ b/libs/routing/src/cherryrudder/routing/authorization.py
@@ -28,7 +28,7 @@
 RECONNECT_S = 1.5
 
 
-class Asked(NamedTuple):
+class AccessRequest(NamedTuple):
     """What a request asks for."""
 
     host: str
@@ -52,16 +52,16 @@
     retry_after_s: float | None = None
 
 
-UNKNOWN = Refused(503, "no configuration yet", FIRST_CONFIGURATION_S)
+NO_CONFIGURATION = Refused(503, "no configuration yet", FIRST_CONFIGURATION_S)
 UNCONFIRMED = Refused(503, "configuration unconfirmed", RECONNECT_S)
 # No control VM is heard here at all, so the fault is this entry's link, and others can
 # serve the client; a retry goes to another entry. The time is for it to get there.
 CUT_OFF = Refused(503, "cut off from the control VMs", 0.05)
 
 
-def decide(
+def authorize(
     table: RouteTable | None,
-    asked: Asked,
+    asked: AccessRequest,
     confirmed_age_s: float,
     revoke_s: float,
     is_cut_off: bool = False,
@@ -76,7 +76,7 @@
 
 def _decide(table, asked, confirmed_age_s, revoke_s):
     if table is None:
-        return UNKNOWN
+        return NO_CONFIGURATION
     is_trusted = confirmed_age_s < TRUSTED_SHARE * revoke_s
     is_certain = confirmed_age_s < CERTAIN_SHARE * revoke_s
     route = table.route(asked.host, asked.target)
--- a/libs/routing/src/cherryrudder/routing/backoffs.py
+++ b/libs/routing/src/cherryrudder/routing/backoffs.py
@@ -42,7 +42,7 @@
     return backoff is not None and now_s < backoff.until_s
 
 
-def may_begin(book: BackoffBook, engine_id: str, now_s: float) -> bool:
+def may_send(book: BackoffBook, engine_id: str, now_s: float) -> bool:
     """Tell whether an endpoint may be sent a request now."""
     return left_s(book, engine_id, now_s) <= 0
 
@@ -55,14 +55,14 @@
     return max(0.0, backoff.until_s - now_s, backoff.probe_s + PROBE_S - now_s)
 
 
-def note_sent(book: BackoffBook, engine_id: str, now_s: float) -> None:
+def record_sent(book: BackoffBook, engine_id: str, now_s: float) -> None:
     """Take note of a request that is about to be sent."""
     backoff = book.backoffs.get(engine_id)
     if backoff is not None:
         book.backoffs[engine_id] = backoff._replace(probe_s=now_s)
 
 
-def answered(book: BackoffBook, engine_id: str, sent_s: float) -> bool:
+def record_answer(book: BackoffBook, engine_id: str, sent_s: float) -> bool:
     """Take an answer that asks for nothing; tell whether it ends one.
 
     Only one to a request that was sent after the backoff: the others were on their way.
@@ -74,6 +74,6 @@
     return True
 
 
-def forget(book: BackoffBook, known: Container[str]) -> None:
+def prune(book: BackoffBook, known: Container[str]) -> None:
     """Drop the incarnations that are no longer known."""
     book.backoffs = {e: backoff for e, backoff in book.backoffs.items() if e in known}
--- a/libs/routing/src/cherryrudder/routing/blame.py
+++ b/libs/routing/src/cherryrudder/routing/blame.py
@@ -13,14 +13,14 @@
 
 import bisect
 
-from .crashbook import Block, CrashBook, Record, place
+from .crashbook import Block, CrashBook, RequestRecord, furthest_event
 
 # Ends of engines after which a request is refused.
 MOST_ENDS = 3.0
 # After so many, requests that ran side by side are sent at different moments.
 SUSPECT_ENDS = 2.0
 # Engines of a kind differ in how many events they have sent as they end.
-SAME_PLACE_EVENTS = 8
+POSITION_TOLERANCE_EVENTS = 8
 # Ends in one data centre so close together may have one cause, as a rack that fails.
 TOGETHER_S = 0.1
 FEWEST_TOGETHER = 3
@@ -34,7 +34,7 @@
 MOMENT_S = 0.25
 
 
-def refresh(book: CrashBook, now_s: float) -> tuple[set[str], set[str]]:
+def update_blocks(book: CrashBook, now_s: float) -> tuple[set[str], set[str]]:
     """Draw the conclusions from a book; return the blocks that begin and that end."""
     before = set(book.blocks)
     ends = _ends_by_request(book)
@@ -92,13 +92,13 @@
 
 
 def _counted(record, together):
-    furthest = place(record)
+    furthest = furthest_event(record)
     own = {crash.engine_id for crash in record.crashes}
     return {
         crash.engine_id: _weight(together[crash.engine_id], own)
         for crash in record.crashes
         if crash.at_s > record.lifted_s
-        and crash.last_event + SAME_PLACE_EVENTS >= furthest
+        and crash.last_event + POSITION_TOLERANCE_EVENTS >= furthest
     }
 
 
@@ -126,7 +126,7 @@
             del ends[fingerprint]
 
 
-def _block(record: Record, engine_ids: set[str]) -> Block:
+def _block(record: RequestRecord, engine_ids: set[str]) -> Block:
     crashes = [crash for crash in record.crashes if crash.engine_id in engine_ids]
     further = max(0, len(crashes) - int(MOST_ENDS))
     lasts_s = min(MOST_BLOCK_S, BLOCK_S * 2**further)
--- a/libs/routing/src/cherryrudder/routing/configlog.py
+++ b/libs/routing/src/cherryrudder/routing/configlog.py
@@ -18,7 +18,7 @@
 import msgspec
 
 
-class Taken(StrEnum):
+class PutResult(StrEnum):
     """What became of a configuration."""
 
     IN_FORCE = "in-force"
@@ -74,12 +74,12 @@
     if put.version > state.version:
         state.version = put.version
         state.packed = put.packed
-        return Taken.IN_FORCE
+        return PutResult.IN_FORCE
     if put.version < state.version:
-        return Taken.SUPERSEDED
+        return PutResult.SUPERSEDED
     # Another release of the compressor may have packed the same text otherwise.
     is_same = put.packed == state.packed or unpack(put.packed) == state.text
-    return Taken.IN_FORCE if is_same else Taken.CONFLICT
+    return PutResult.IN_FORCE if is_same else PutResult.CONFLICT
 
 
 def snapshot(state: ConfigState) -> str:
--- a/libs/routing/src/cherryrudder/routing/configuration.py
+++ b/libs/routing/src/cherryrudder/routing/configuration.py
@@ -19,7 +19,7 @@
     STREAM = "stream"
 
 
-class Share(NamedTuple):
+class WeightedService(NamedTuple):
     """A service's weight in a split route."""
 
     service: str
@@ -40,7 +40,7 @@
     gap_s: float
     # 0 is the most urgent.
     priority: int
-    split: tuple[Share, ...]
+    split: tuple[WeightedService, ...]
     max_attempts: int
     is_anonymous: bool
     is_resumable: bool
@@ -88,7 +88,7 @@
     limits: ClientLimits
 
 
-def check(configuration: Configuration) -> Result[Configuration, str]:
+def validate(configuration: Configuration) -> Result[Configuration, str]:
     """Return the configuration, or the first fault that makes it invalid."""
     for find_fault in (_route_fault, _account_fault):
         fault = find_fault(configuration)
--- a/libs/routing/src/cherryrudder/routing/crashbook.py
+++ b/libs/routing/src/cherryrudder/routing/crashbook.py
@@ -34,7 +34,7 @@
     at_s: float
 
 
-class Record(NamedTuple):
+class RequestRecord(NamedTuple):
     """What is known of one request."""
 
     account: str
@@ -60,7 +60,7 @@
     def __init__(self, boot: str):
         self.boot = boot
         self.version = 0
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, RequestRecord] = {}
         # The book's version at which each record last changed.
         self.changed: dict[str, int] = {}
         # What follows from the records; see `blame.refresh`.
@@ -68,7 +68,7 @@
         self.suspects: set[str] = set()
 
 
-def merge(book: CrashBook, fingerprint: str, heard: Record) -> bool:
+def merge(book: CrashBook, fingerprint: str, heard: RequestRecord) -> bool:
     """Take what another process knows of a request; tell whether it is news."""
     known = book.records.get(fingerprint)
     merged = _merged(known, heard) if known else heard
@@ -91,12 +91,12 @@
     )
 
 
-def place(record: Record) -> int:
+def furthest_event(record: RequestRecord) -> int:
     """Return the furthest event that any run of a request has reached."""
     return max(record.passed, *(crash.last_event for crash in record.crashes), -1)
 
 
-def sweep(book: CrashBook, now_s: float) -> None:
+def prune(book: CrashBook, now_s: float) -> None:
     """Forget requests that did no harm lately; the oldest first when there are many."""
     for fingerprint, record in list(book.records.items()):
         keep_s = REPEATED_KEEP_S if len(record.crashes) >= REPEATED else KEEP_S
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from cherryrudder.layers.profile import NOTHING, Holding
+from cherryrudder.layers.profile import NO_LAYERS, LayerRange
 
 # An endpoint reports every 1.2 s, to one control VM that it chose. When that one is cut
 # off from the others, they hear nothing of an endpoint that lives, until it has turned
@@ -23,7 +23,7 @@
 
 # Distance of an endpoint's own numbers. A leader looks a few times between two of its
 # heartbeats at most.
-WORD = 16
+NUMBER_STEP = 16
 
 
 class Announcement(NamedTuple):
@@ -43,7 +43,7 @@
     is_leaving: bool = False
     cold_s: float = 0.0
     kind: str = ""
-    holding: Holding = NOTHING
+    holding: LayerRange = NO_LAYERS
     # The endpoint's own name, which it may keep over a restart.
     name: str = ""
     # Orders the incarnations of one name; 0 where the endpoint doesn't tell.
@@ -52,10 +52,10 @@
     # what it has for as long as others do, and ends without another word.
     has_signed_off: bool = False
     # It told its senders that it leaves. Either notice may still follow.
-    has_told_senders: bool = False
+    has_notified_senders: bool = False
 
 
-class Entry(NamedTuple):
+class TableEntry(NamedTuple):
     """An announcement, and when this process heard of it, by its own clock."""
 
     announcement: Announcement
@@ -70,18 +70,18 @@
     """
 
     def __init__(self):
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, TableEntry] = {}
         self.version = 0
 
 
-def hear(table: EndpointTable, heard: Announcement, now_s: float) -> bool:
+def record_heartbeat(table: EndpointTable, heard: Announcement, now_s: float) -> bool:
     """Take a heartbeat; tell whether others should hear of it at once."""
     known = table.entries.get(heard.engine_id)
     if known is None:
         if _has_later_incarnation(table, heard):
             return False
         _end_earlier_incarnations(table, heard, now_s)
-        table.entries[heard.engine_id] = Entry(heard, now_s)
+        table.entries[heard.engine_id] = TableEntry(heard, now_s)
         table.version += 1
         return True
     if known.is_gone:
@@ -89,21 +89,21 @@
         _end_earlier_incarnations(table, heard, now_s)
         return False
     if heard.number <= known.announcement.number:
-        return leaves(heard) and _leave(table, known, heard, now_s)
+        return has_leaving_notice(heard) and _leave(table, known, heard, now_s)
     # Leaving is for good: a heartbeat that overtook the notice must not undo it.
     heard = _with_notices(heard, known.announcement)
-    table.entries[heard.engine_id] = Entry(heard, now_s, _has_ended(heard))
+    table.entries[heard.engine_id] = TableEntry(heard, now_s, _has_ended(heard))
     is_news = heard._replace(number=0) != known.announcement._replace(number=0)
     table.version += is_news
     return is_news
 
 
-def leaves(announcement: Announcement) -> bool:
+def has_leaving_notice(announcement: Announcement) -> bool:
     """Tell whether an endpoint said that it leaves, in whatever way."""
     return (
         announcement.is_leaving
         or announcement.has_signed_off
-        or announcement.has_told_senders
+        or announcement.has_notified_senders
     )
 
 
@@ -112,7 +112,8 @@
     return announcement._replace(
         is_leaving=announcement.is_leaving or other.is_leaving,
         has_signed_off=announcement.has_signed_off or other.has_signed_off,
-        has_told_senders=announcement.has_told_senders or other.has_told_senders,
+        has_notified_senders=announcement.has_notified_senders
+        or other.has_notified_senders,
     )
 
 
@@ -170,29 +171,29 @@
     leaving = _with_notices(known.announcement, heard)
     if leaving == known.announcement:
         return False
-    table.entries[leaving.engine_id] = Entry(leaving, now_s, _has_ended(leaving))
+    table.entries[leaving.engine_id] = TableEntry(leaving, now_s, _has_ended(leaving))
     table.version += 1
     return True
 
 
 def _gone(announcement, now_s):
-    return Entry(
+    return TableEntry(
         announcement._replace(is_leaving=True, has_signed_off=True), now_s, True
     )
 
 
-def observe(
-    table: EndpointTable, engine_id: str, holding: Holding, now_s: float
+def record_holding(
+    table: EndpointTable, engine_id: str, holding: LayerRange, now_s: float
 ) -> bool:
     """Take the layers that an endpoint was seen to hold between two heartbeats."""
     known = table.entries.get(engine_id)
     if known is None or known.is_gone:
         return False
     number = known.announcement.number + 1
-    if number % WORD == 0 or holding == known.announcement.holding:
+    if number % NUMBER_STEP == 0 or holding == known.announcement.holding:
         return False
     seen = known.announcement._replace(holding=holding, number=number)
-    table.entries[engine_id] = Entry(seen, now_s)
+    table.entries[engine_id] = TableEntry(seen, now_s)
     table.version += 1
     return True
 
@@ -201,23 +202,23 @@
     """Take an endpoint's word that it signs off; tell whether it is news."""
     known = table.entries.get(engine_id)
     if known is None:
-        return depart(table, engine_id, now_s)
+        return record_departure(table, engine_id, now_s)
     if known.is_gone:
         return False
     signed = known.announcement._replace(has_signed_off=True)
     return _leave(table, known, signed, known.heard_s)
 
 
-def tell_senders(table: EndpointTable, engine_id: str, now_s: float) -> bool:
+def record_leaving(table: EndpointTable, engine_id: str, now_s: float) -> bool:
     """Take an endpoint's word in an answer that it leaves; tell whether it is news."""
     known = table.entries.get(engine_id)
     if known is None or known.is_gone:
         return False
-    told = known.announcement._replace(has_told_senders=True)
+    told = known.announcement._replace(has_notified_senders=True)
     return _leave(table, known, told, now_s)
 
 
-def depart(table: EndpointTable, engine_id: str, now_s: float) -> bool:
+def record_departure(table: EndpointTable, engine_id: str, now_s: float) -> bool:
     """Take an endpoint as ended; tell whether it is news."""
     known = table.entries.get(engine_id)
     if known is not None and known.is_gone:
@@ -230,16 +231,16 @@
     return True
 
 
-def merge(table: EndpointTable, heard: Entry, age_s: float, now_s: float) -> bool:
+def merge(table: EndpointTable, heard: TableEntry, age_s: float, now_s: float) -> bool:
     """Take what another process knows, heard there `age_s` ago."""
     engine_id = heard.announcement.engine_id
     if heard.is_gone and not heard.announcement.address:
         # Its teller had never heard it, and can't know whether it drained before.
         return sign_off(table, engine_id, now_s)
     if heard.is_gone:
-        return depart(table, engine_id, now_s)
+        return record_departure(table, engine_id, now_s)
     known = table.entries.get(engine_id)
-    is_news = hear(table, heard.announcement, now_s - age_s)
+    is_news = record_heartbeat(table, heard.announcement, now_s - age_s)
     known_later = known is not None and known.heard_s > now_s - age_s
     if known_later and not table.entries[engine_id].is_gone:
         entry = table.entries[engine_id]
@@ -261,7 +262,7 @@
 
 def live(table: EndpointTable, now_s: float) -> list[Announcement]:
     """Return the endpoints that may be used, one for each address."""
-    newest: dict[str, Entry] = {}
+    newest: dict[str, TableEntry] = {}
     for entry in table.entries.values():
         if entry.is_gone or now_s - entry.heard_s > LOST_AFTER_S:
             continue
@@ -281,6 +282,6 @@
     return entry.heard_s > other.heard_s
 
 
-def may_take_work(announcement: Announcement) -> bool:
+def accepts_requests(announcement: Announcement) -> bool:
     """Tell whether an endpoint is to get new requests."""
-    return not leaves(announcement)
+    return not has_leaving_notice(announcement)
--- a/libs/routing/src/cherryrudder/routing/hangs.py
+++ b/libs/routing/src/cherryrudder/routing/hangs.py
@@ -36,7 +36,7 @@
         self.rests: dict[str, tuple[float, float]] = {}
 
 
-def sent(
+def record_sent(
     hangs: Hangs, engine_id: str, request_id: str, objective_s: float, now_s: float
 ) -> None:
     """Take note that a request went to an engine."""
@@ -44,14 +44,14 @@
     hangs.waiting.setdefault(engine_id, {})[request_id] = waiting
 
 
-def begun(hangs: Hangs, engine_id: str, request_id: str, now_s: float) -> None:
+def record_start(hangs: Hangs, engine_id: str, request_id: str, now_s: float) -> None:
     """Take note that an engine has begun a request or refused it: it is at work."""
-    ended(hangs, engine_id, request_id)
+    record_end(hangs, engine_id, request_id)
     hangs.begun_s[engine_id] = now_s
     hangs.rests.pop(engine_id, None)
 
 
-def ended(hangs: Hangs, engine_id: str, request_id: str) -> None:
+def record_end(hangs: Hangs, engine_id: str, request_id: str) -> None:
     """Take note that a request waits no longer at an engine."""
     waiting = hangs.waiting.get(engine_id, {})
     waiting.pop(request_id, None)
@@ -59,11 +59,11 @@
         hangs.waiting.pop(engine_id, None)
 
 
-def find(hangs: Hangs, now_s: float) -> list[str]:
+def find_hanging(hangs: Hangs, now_s: float) -> list[str]:
     """Return the engines that hang as of now and are not known to; they rest then."""
     found = []
     for engine_id, waiting in hangs.waiting.items():
-        if is_resting(hangs, engine_id, now_s):
+        if is_ejected(hangs, engine_id, now_s):
             continue
         if _is_hanging(hangs, engine_id, waiting, now_s):
             _, last_s = hangs.rests.get(engine_id, (0.0, FIRST_REST_S / 2))
@@ -81,13 +81,13 @@
     )
 
 
-def is_resting(hangs: Hangs, engine_id: str, now_s: float) -> bool:
+def is_ejected(hangs: Hangs, engine_id: str, now_s: float) -> bool:
     """Tell whether an engine is to get no requests for now."""
     until_s, _ = hangs.rests.get(engine_id, (0.0, 0.0))
     return now_s < until_s
 
 
-def forget(hangs: Hangs, known: set[str]) -> None:
+def prune(hangs: Hangs, known: set[str]) -> None:
     """Drop what is known of incarnations that are gone."""
     for kept in (hangs.begun_s, hangs.rests):
         for engine_id in set(kept) - known:
--- a/libs/routing/src/cherryrudder/routing/picking.py
+++ b/libs/routing/src/cherryrudder/routing/picking.py
@@ -18,7 +18,7 @@
 FAR_LOAD = 0.5
 
 
-class Place(NamedTuple):
+class EndpointLoad(NamedTuple):
     """An endpoint as one entry sees it."""
 
     engine_id: str
@@ -26,16 +26,19 @@
     vm_zone: str
     slots: int
     # Requests of this entry that are under way there.
-    own_running: int = 0
+    own_in_flight: int = 0
     # Running and waiting when it last answered, and how long ago that was.
-    told_load: float = 0.0
-    told_age_s: float = 0.0
+    reported_load: float = 0.0
+    report_age_s: float = 0.0
     is_suspect: bool = False
 
 
 def pick(
-    places: Iterable[Place], home_zone: str, exclude: set[str], rng: random.Random
-) -> Place | None:
+    places: Iterable[EndpointLoad],
+    home_zone: str,
+    exclude: set[str],
+    rng: random.Random,
+) -> EndpointLoad | None:
     """Return the endpoint that is likely to answer first, suspects only in need."""
     usable = [place for place in places if place.engine_id not in exclude]
     sound = [place for place in usable if not place.is_suspect]
@@ -46,7 +49,7 @@
 
 
 def _load(place, home_zone):
-    weight = 0.5 ** (place.told_age_s / TOLD_HALF_LIFE_S)
-    others = max(0.0, place.told_load - place.own_running) * weight
+    weight = 0.5 ** (place.report_age_s / TOLD_HALF_LIFE_S)
+    others = max(0.0, place.reported_load - place.own_in_flight) * weight
     far = FAR_LOAD if place.vm_zone != home_zone else 0.0
-    return (place.own_running + others + far) / max(1, place.slots)
+    return (place.own_in_flight + others + far) / max(1, place.slots)
--- a/libs/routing/src/cherryrudder/routing/ratelimits.py
+++ b/libs/routing/src/cherryrudder/routing/ratelimits.py
@@ -17,7 +17,7 @@
 
     # Requests a second from all senders together; None once it names none any more.
     per_s: float | None
-    said_s: float
+    stated_s: float
 
 
 class LimitBook:
@@ -27,12 +27,12 @@
         self.limits: dict[str, Limit] = {}
 
 
-def hear(book: LimitBook, engine_id: str, heard: Limit) -> bool:
+def record_limit(book: LimitBook, engine_id: str, heard: Limit) -> bool:
     """Take a statement; tell whether it changes the limit."""
     known = book.limits.get(engine_id)
     if known is None and heard.per_s is None:
         return False
-    if known is not None and heard.said_s <= known.said_s:
+    if known is not None and heard.stated_s <= known.stated_s:
         return False
     book.limits[engine_id] = heard
     return known is None or known.per_s != heard.per_s
@@ -50,5 +50,5 @@
         engine_id: limit
         for engine_id, limit in book.limits.items()
         if engine_id in known
-        and (limit.per_s is not None or now_s - limit.said_s < ENDED_S)
+        and (limit.per_s is not None or now_s - limit.stated_s < ENDED_S)
     }
--- a/libs/routing/src/cherryrudder/routing/slowness.py
+++ b/libs/routing/src/cherryrudder/routing/slowness.py
@@ -9,7 +9,7 @@
 # A slow endpoint is looked at again every half second; this is three such looks.
 BELIEVED_S = 1.6
 # Engines answer somewhat unevenly by themselves. What is less isn't worth a detour.
-LEAST_SLOWNESS = 1.3
+MIN_SLOWNESS = 1.3
 
 
 class Told(NamedTuple):
@@ -26,10 +26,12 @@
         self.told: dict[str, Told] = {}
 
 
-def believe(book: SlownessBook, engine_id: str, slowness: float, now_s: float) -> bool:
+def record_slowness(
+    book: SlownessBook, engine_id: str, slowness: float, now_s: float
+) -> bool:
     """Take how many times slower an endpoint is than its kind; tell whether news."""
     known = slowness_of(book, engine_id, now_s)
-    if slowness < LEAST_SLOWNESS:
+    if slowness < MIN_SLOWNESS:
         book.told.pop(engine_id, None)
         return known > 1.0
     book.told[engine_id] = Told(slowness, now_s + BELIEVED_S)
--- a/libs/routing/src/cherryrudder/routing/suspicion.py
+++ b/libs/routing/src/cherryrudder/routing/suspicion.py
@@ -46,7 +46,7 @@
         self.records: dict[str, Record] = {}
 
 
-def is_resting(
+def is_ejected(
     suspicions: Suspicions, engine_id: str, heard_s: float, now_s: float
 ) -> bool:
     """Tell whether an endpoint, last heard at a time, is to be left alone."""
@@ -56,7 +56,7 @@
     return now_s < record.rests_until_s or heard_s < record.died_s
 
 
-def died(
+def record_failure(
     suspicions: Suspicions, engine_id: str, now_s: float, is_unreached: bool = False
 ) -> None:
     """Take note of a sign of death: silence, a refused connection, a reset."""
@@ -73,18 +73,20 @@
     )
 
 
-def told(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
+def record_report(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
     """Take note that others had no answer from an endpoint; tell whether it is news."""
     record = suspicions.records.get(engine_id)
     is_news = record is None or now_s >= record.rests_until_s
     if is_news:
-        died(suspicions, engine_id, now_s)
+        record_failure(suspicions, engine_id, now_s)
     return is_news
 
 
-def verified(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
+def record_confirmed_death(
+    suspicions: Suspicions, engine_id: str, now_s: float
+) -> bool:
     """Take note that an endpoint has certainly ended; tell whether it is news."""
-    is_news = told(suspicions, engine_id, now_s)
+    is_news = record_report(suspicions, engine_id, now_s)
     record = suspicions.records[engine_id]
     suspicions.records[engine_id] = record._replace(is_verified=True)
     return is_news
@@ -96,7 +98,7 @@
     return record is not None and record.is_verified and heard_s < record.died_s
 
 
-def acquitted(suspicions: Suspicions, engine_id: str) -> bool:
+def reinstate(suspicions: Suspicions, engine_id: str) -> bool:
     """End a rest, as somebody near the endpoint had its answer; tell whether it did.
 
     An endpoint that this entry itself doesn't reach is tried again once. If it still
@@ -111,7 +113,7 @@
     return True
 
 
-def answered(
+def record_answer(
     suspicions: Suspicions, engine_id: str, is_good: bool, now_s: float
 ) -> bool:
     """Take note of an answer; tell whether the endpoint rests from now on."""
@@ -127,7 +129,7 @@
     return is_bad
 
 
-def forget(suspicions: Suspicions, known: set[str]) -> None:
+def prune(suspicions: Suspicions, known: set[str]) -> None:
     """Drop the records of incarnations that are gone."""
     for engine_id in set(suspicions.records) - known:
         del suspicions.records[engine_id]
--- a/libs/routing/test/builders.py
+++ b/libs/routing/test/builders.py
@@ -1,6 +1,6 @@
 """Builders of test data for the tests of routing."""
 
-from cherryrudder.layers.profile import NOTHING, Holding
+from cherryrudder.layers.profile import NO_LAYERS, LayerRange
 from cherryrudder.routing.configuration import (
     DEFAULT_LIMITS,
     Account,
@@ -8,7 +8,7 @@
     Route,
     RouteKind,
     Service,
-    Share,
+    WeightedService,
 )
 from cherryrudder.routing.endpoints import Announcement
 
@@ -24,7 +24,7 @@
         objective_s=0.125,
         gap_s=0.0,
         priority=2,
-        split=(Share("desk", 1.0),),
+        split=(WeightedService("desk", 1.0),),
         max_attempts=2,
         is_anonymous=False,
         is_resumable=False,
@@ -53,6 +53,6 @@
         version="v1",
         slots=6,
         number=number,
-        holding=Holding(*layers) if layers else NOTHING,
+        holding=LayerRange(*layers) if layers else NO_LAYERS,
     )
     return announcement._replace(**changes)
--- a/libs/routing/test/crashsim.py
+++ b/libs/routing/test/crashsim.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from cherryrudder.routing import blame, crashbook
-from cherryrudder.routing.crashbook import Crash, CrashBook, Record
+from cherryrudder.routing.crashbook import Crash, CrashBook, RequestRecord
 
 TICK_S = 0.01
 EVENT_S = 0.025
@@ -97,7 +97,9 @@
     def crashed(self, entry, request, engine, now_s):
         """Note an end where it was seen, and tell all others."""
         crash = Crash(engine, engine.partition("/")[0], "v1", request.event, now_s)
-        self._tell(entry, request.fingerprint, Record("a", "llm", (crash,)), now_s)
+        self._tell(
+            entry, request.fingerprint, RequestRecord("a", "llm", (crash,)), now_s
+        )
 
     def _tell(self, entry, fingerprint, record, now_s):
         for number in range(len(self.books)):
@@ -113,7 +115,7 @@
         for _, number, fingerprint, record in due:
             crashbook.merge(self.books[number], fingerprint, record)
         for number in {one[1] for one in due}:
-            blame.refresh(self.books[number], now_s)
+            blame.update_blocks(self.books[number], now_s)
 
     def is_blocked(self, entry, fingerprint):
         """Tell whether a request is refused."""
@@ -128,9 +130,13 @@
         book = self.books[entry]
         is_watched = request.fingerprint in book.suspects | set(book.blocks)
         known = book.records.get(request.fingerprint)
-        further = crashbook.place(known) + blame.SAME_PLACE_EVENTS if known else 0
+        further = (
+            crashbook.furthest_event(known) + blame.POSITION_TOLERANCE_EVENTS
+            if known
+            else 0
+        )
         if is_watched and request.event > further:
-            record = Record("a", "llm", passed=request.event)
+            record = RequestRecord("a", "llm", passed=request.event)
             self._tell(entry, request.fingerprint, record, self._now_s)
 
 
--- a/libs/routing/test/test_blame.py
+++ b/libs/routing/test/test_blame.py
@@ -3,7 +3,7 @@
 from crashsim import Plan, Play
 
 from cherryrudder.routing import blame, crashbook
-from cherryrudder.routing.crashbook import FINISHED, Crash, CrashBook, Record
+from cherryrudder.routing.crashbook import FINISHED, Crash, CrashBook, RequestRecord
 
 SEEDS = range(12)
 RACKS_S = (3.0, 4.0, 5.0, 8.0, 9.0, 12.0, 13.0)
@@ -19,13 +19,13 @@
     for fingerprint, ended in crashes.items():
         for engine_id, event, at_s in ended:
             crash = Crash(engine_id, "a", "v1", event, at_s)
-            crashbook.merge(book, fingerprint, Record("acme", "llm", (crash,)))
+            crashbook.merge(book, fingerprint, RequestRecord("acme", "llm", (crash,)))
     return book
 
 
 def blocked(book, now_s=10.0):
     """Return the fingerprints that are blocked."""
-    blame.refresh(book, now_s)
+    blame.update_blocks(book, now_s)
     return set(book.blocks)
 
 
@@ -93,7 +93,7 @@
 
     def test_one_that_ended_well_is_free(self):
         book = a_book(bad=[("e1", 2, 1.0), ("e2", 3, 2.0), ("e3", 2, 3.0)])
-        crashbook.merge(book, "bad", Record("acme", "llm", passed=FINISHED))
+        crashbook.merge(book, "bad", RequestRecord("acme", "llm", passed=FINISHED))
         self.assertEqual(blocked(book), set())
 
     def test_the_ends_of_a_blocked_one_count_for_nobody_else(self):
@@ -118,17 +118,17 @@
         self.assertEqual(blocked(book, over_s - 1.0), {"bad"})
         self.assertEqual(blocked(book, over_s), set())
         again = Crash("e4", "a", "v1", 2, over_s + 1.0)
-        crashbook.merge(book, "bad", Record("acme", "llm", (again,)))
+        crashbook.merge(book, "bad", RequestRecord("acme", "llm", (again,)))
         self.assertEqual(blocked(book, over_s + blame.BLOCK_S + 2.0), {"bad"})
 
     def test_what_an_operator_lifted_starts_anew(self):
         book = a_book(bad=[("e1", 2, 1.0), ("e2", 3, 2.0), ("e3", 2, 3.0)])
-        crashbook.merge(book, "bad", Record("acme", "llm", lifted_s=9.0))
+        crashbook.merge(book, "bad", RequestRecord("acme", "llm", lifted_s=9.0))
         self.assertEqual(blocked(book), set())
 
     def test_suspects_are_sent_at_different_moments(self):
         book = a_book(**{f"{n:08x}": [("e1", 2, 1.0), ("e2", 3, 2.0)] for n in (0, 1)})
-        blame.refresh(book, 10.0)
+        blame.update_blocks(book, 10.0)
         delays_s = {blame.send_delay_s(book, f"{n:08x}") for n in (0, 1)}
         self.assertEqual(delays_s, {0.0, blame.MOMENT_S})
         self.assertEqual(blame.send_delay_s(book, "another"), 0.0)
--- a/libs/routing/test/test_configlog.py
+++ b/libs/routing/test/test_configlog.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings, strategies as st
 
 from cherryrudder.routing import configlog
-from cherryrudder.routing.configlog import Put, Taken
+from cherryrudder.routing.configlog import Put, PutResult
 
 
 def a_put(version, text):
@@ -26,11 +26,13 @@
     def test_the_highest_version_wins(self):
         state, answers = play([a_put(3, "c"), a_put(2, "b"), a_put(7, "g")])
         self.assertEqual((state.version, state.text), (7, "g"))
-        self.assertEqual(answers, [Taken.IN_FORCE, Taken.SUPERSEDED, Taken.IN_FORCE])
+        self.assertEqual(
+            answers, [PutResult.IN_FORCE, PutResult.SUPERSEDED, PutResult.IN_FORCE]
+        )
 
     def test_a_resend_is_answered_as_the_first_time(self):
         _, answers = play([a_put(3, "c"), a_put(3, "c")])
-        self.assertEqual(answers, [Taken.IN_FORCE, Taken.IN_FORCE])
+        self.assertEqual(answers, [PutResult.IN_FORCE, PutResult.IN_FORCE])
 
     def test_other_content_under_the_version_held_changes_nothing(self):
         """Two operators send different configurations with one version number.
@@ -40,7 +42,7 @@
         """
         state, answers = play([a_put(3, "c"), a_put(3, "other")])
         self.assertEqual(state.text, "c")
-        self.assertEqual(answers[1], Taken.CONFLICT)
+        self.assertEqual(answers[1], PutResult.CONFLICT)
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.builds(a_put, st.integers(1, 9), st.text(max_size=3))))
--- a/libs/routing/test/test_crashbook.py
+++ b/libs/routing/test/test_crashbook.py
@@ -4,13 +4,13 @@
 from hypothesis import given, settings, strategies as st
 
 from cherryrudder.routing import blame, crashbook
-from cherryrudder.routing.crashbook import Crash, CrashBook, Record
+from cherryrudder.routing.crashbook import Crash, CrashBook, RequestRecord
 
 
 def a_record(engine_id="e1", event=2, at_s=1.0, **changes):
     """Return a record of one crash."""
     crash = Crash(engine_id, "a", "v1", event, at_s)
-    return Record("acme", "llm", (crash,))._replace(**changes)
+    return RequestRecord("acme", "llm", (crash,))._replace(**changes)
 
 
 class MergeTest(unittest.TestCase):
@@ -30,7 +30,7 @@
             book = CrashBook("boot-1")
             for fingerprint, record in [*heard, *heard[:4]]:
                 crashbook.merge(book, fingerprint, record)
-            blame.refresh(book, 5.0)
+            blame.update_blocks(book, 5.0)
             blocks.append(set(book.blocks))
         self.assertEqual(blocks, blocks[:1] * 3)
 
@@ -52,19 +52,19 @@
     def test_what_did_no_harm_lately_is_forgotten(self):
         book = CrashBook("boot-1")
         crashbook.merge(book, "f", a_record())
-        crashbook.sweep(book, 1.0 + crashbook.KEEP_S)
+        crashbook.prune(book, 1.0 + crashbook.KEEP_S)
         self.assertEqual(set(book.records), {"f"})
-        crashbook.sweep(book, 1.1 + crashbook.KEEP_S)
+        crashbook.prune(book, 1.1 + crashbook.KEEP_S)
         self.assertEqual((book.records, book.changed), ({}, {}))
 
     def test_the_oldest_go_first_and_the_blocked_last(self):
         book = CrashBook("boot-1")
         for engine_id in ("e1", "e2", "e3"):
             crashbook.merge(book, "bad", a_record(engine_id, at_s=0.0))
-        blame.refresh(book, 1.0)
+        blame.update_blocks(book, 1.0)
         for number in range(crashbook.MOST_RECORDS + 5):
             crashbook.merge(book, f"f{number}", a_record(at_s=1.0 + number / 1000))
-        crashbook.sweep(book, 3.0)
+        crashbook.prune(book, 3.0)
         self.assertEqual(len(book.records), crashbook.MOST_RECORDS)
         self.assertIn("bad", book.records)
         self.assertNotIn("f0", book.records)
--- a/libs/routing/test/test_endpoints.py
+++ b/libs/routing/test/test_endpoints.py
@@ -3,7 +3,7 @@
 from builders import an_announcement
 from hypothesis import given, settings, strategies as st
 
-from cherryrudder.layers.profile import Holding
+from cherryrudder.layers.profile import LayerRange
 from cherryrudder.routing import endpoints
 from cherryrudder.routing.endpoints import EndpointTable
 
@@ -16,21 +16,29 @@
 class HearTest(unittest.TestCase):
     def test_an_older_heartbeat_changes_nothing(self):
         table = EndpointTable()
-        endpoints.hear(table, an_announcement(number=4, layers=(0, 8)), 0.0)
-        self.assertFalse(endpoints.hear(table, an_announcement(number=2), 1.0))
+        endpoints.record_heartbeat(table, an_announcement(number=4, layers=(0, 8)), 0.0)
+        self.assertFalse(
+            endpoints.record_heartbeat(table, an_announcement(number=2), 1.0)
+        )
         self.assertEqual(endpoints.live(table, 1.0)[0].holding, (0, 8))
 
     def test_a_bare_sign_of_life_is_no_news(self):
         table = EndpointTable()
-        self.assertTrue(endpoints.hear(table, an_announcement(number=2), 0.0))
-        self.assertFalse(endpoints.hear(table, an_announcement(number=4), 1.0))
         self.assertTrue(
-            endpoints.hear(table, an_announcement(number=6, layers=(0, 8)), 2.0)
+            endpoints.record_heartbeat(table, an_announcement(number=2), 0.0)
+        )
+        self.assertFalse(
+            endpoints.record_heartbeat(table, an_announcement(number=4), 1.0)
+        )
+        self.assertTrue(
+            endpoints.record_heartbeat(
+                table, an_announcement(number=6, layers=(0, 8)), 2.0
+            )
         )
 
     def test_silence_ends_an_endpoint(self):
         table = EndpointTable()
-        endpoints.hear(table, an_announcement(), 0.0)
+        endpoints.record_heartbeat(table, an_announcement(), 0.0)
         self.assertEqual(known(table, endpoints.LOST_AFTER_S), {"boot-1"})
         self.assertEqual(known(table, endpoints.LOST_AFTER_S + 0.1), set())
 
@@ -44,14 +52,18 @@
 
     def test_a_late_heartbeat_does_not_take_leaving_back(self):
         table = EndpointTable()
-        endpoints.hear(table, an_announcement(number=4, is_leaving=True), 0.0)
-        endpoints.hear(table, an_announcement(number=6), 0.5)
-        self.assertFalse(endpoints.may_take_work(endpoints.live(table, 0.5)[0]))
+        endpoints.record_heartbeat(
+            table, an_announcement(number=4, is_leaving=True), 0.0
+        )
+        endpoints.record_heartbeat(table, an_announcement(number=6), 0.5)
+        self.assertFalse(endpoints.accepts_requests(endpoints.live(table, 0.5)[0]))
 
     def test_a_departure_that_overtook_the_first_heartbeat_counts(self):
         table = EndpointTable()
-        endpoints.depart(table, "boot-1", 0.0)
-        self.assertFalse(endpoints.hear(table, an_announcement(number=2), 0.5))
+        endpoints.record_departure(table, "boot-1", 0.0)
+        self.assertFalse(
+            endpoints.record_heartbeat(table, an_announcement(number=2), 0.5)
+        )
         self.assertEqual(known(table, 0.5), set())
 
 
@@ -68,34 +80,36 @@
 
     def test_it_is_there_without_new_work(self):
         table = EndpointTable()
-        endpoints.hear(table, an_announcement(number=2), 0.0)
+        endpoints.record_heartbeat(table, an_announcement(number=2), 0.0)
         self.sign_off(table)
         self.assertEqual(known(table, 1.0), {"boot-1"})
-        self.assertFalse(endpoints.may_take_work(endpoints.live(table, 1.0)[0]))
+        self.assertFalse(endpoints.accepts_requests(endpoints.live(table, 1.0)[0]))
 
     def test_a_word_that_it_drains_makes_it_the_end_in_either_order(self):
         draining = an_announcement(number=2, is_leaving=True)
         for number in (1, 2, 3):
             with self.subTest(number=number):
                 table = EndpointTable()
-                endpoints.hear(table, an_announcement(number=2), 0.0)
+                endpoints.record_heartbeat(table, an_announcement(number=2), 0.0)
                 self.sign_off(table)
-                endpoints.hear(table, draining._replace(number=number), 1.1)
+                endpoints.record_heartbeat(table, draining._replace(number=number), 1.1)
                 self.assertEqual(known(table, 1.1), set())
 
     def test_a_process_that_never_heard_it_does_not_end_it_for_others(self):
         """A control VM has just started; the notice comes to it, of all."""
         new, other = EndpointTable(), EndpointTable()
-        endpoints.hear(other, an_announcement(number=2), 0.0)
+        endpoints.record_heartbeat(other, an_announcement(number=2), 0.0)
         self.sign_off(new)
         endpoints.merge(other, new.entries["boot-1"], 0.0, 1.0)
         self.assertEqual(known(other, 1.0), {"boot-1"})
-        self.assertFalse(endpoints.may_take_work(endpoints.live(other, 1.0)[0]))
+        self.assertFalse(endpoints.accepts_requests(endpoints.live(other, 1.0)[0]))
 
     def test_the_word_reaches_tables_that_heard_the_drain(self):
         first, second = EndpointTable(), EndpointTable()
-        endpoints.hear(first, an_announcement(number=2), 0.0)
-        endpoints.hear(second, an_announcement(number=2, is_leaving=True), 0.0)
+        endpoints.record_heartbeat(first, an_announcement(number=2), 0.0)
+        endpoints.record_heartbeat(
+            second, an_announcement(number=2, is_leaving=True), 0.0
+        )
         self.sign_off(first)
         endpoints.merge(second, first.entries["boot-1"], 0.0, 1.0)
         self.assertEqual(known(second, 1.0), set())
@@ -108,21 +122,21 @@
 
     def setUp(self):
         self.table = EndpointTable()
-        endpoints.hear(self.table, an_announcement(number=2), 0.0)
-        self.is_news = endpoints.tell_senders(self.table, "boot-1", 0.5)
+        endpoints.record_heartbeat(self.table, an_announcement(number=2), 0.0)
+        self.is_news = endpoints.record_leaving(self.table, "boot-1", 0.5)
 
     def takes_work(self):
         announcement = self.table.entries["boot-1"].announcement
-        return endpoints.may_take_work(announcement)
+        return endpoints.accepts_requests(announcement)
 
     def test_it_is_there_without_new_work(self):
         self.assertTrue(self.is_news)
-        self.assertFalse(endpoints.tell_senders(self.table, "boot-1", 0.6))
+        self.assertFalse(endpoints.record_leaving(self.table, "boot-1", 0.6))
         self.assertEqual(known(self.table, 1.0), {"boot-1"})
         self.assertFalse(self.takes_work())
 
     def test_a_heartbeat_that_calls_it_ready_changes_nothing(self):
-        endpoints.hear(self.table, an_announcement(number=4), 1.0)
+        endpoints.record_heartbeat(self.table, an_announcement(number=4), 1.0)
         self.assertFalse(self.takes_work())
 
     def test_the_first_notice_after_it_is_not_its_end(self):
@@ -131,13 +145,15 @@
 
     def test_others_hear_of_it(self):
         other = EndpointTable()
-        endpoints.hear(other, an_announcement(number=6), 1.0)
+        endpoints.record_heartbeat(other, an_announcement(number=6), 1.0)
         entry = self.table.entries["boot-1"]
         self.assertTrue(endpoints.merge(other, entry, 0.5, 1.0))
-        self.assertFalse(endpoints.may_take_work(other.entries["boot-1"].announcement))
+        self.assertFalse(
+            endpoints.accepts_requests(other.entries["boot-1"].announcement)
+        )
 
     def test_one_that_was_never_heard_is_left_out(self):
-        self.assertFalse(endpoints.tell_senders(self.table, "boot-9", 0.5))
+        self.assertFalse(endpoints.record_leaving(self.table, "boot-9", 0.5))
 
 
 class AddressTest(unittest.TestCase):
@@ -149,11 +165,11 @@
 
     def test_the_boot_heard_last_has_the_address(self):
         table = EndpointTable()
-        endpoints.hear(table, an_announcement("old", number=2), 0.0)
-        endpoints.hear(table, an_announcement("new", number=2), 1.0)
+        endpoints.record_heartbeat(table, an_announcement("old", number=2), 0.0)
+        endpoints.record_heartbeat(table, an_announcement("new", number=2), 1.0)
         self.assertEqual(known(table, 1.0), {"new"})
-        endpoints.hear(table, an_announcement("old", number=4), 1.5)
-        endpoints.hear(table, an_announcement("new", number=4), 2.2)
+        endpoints.record_heartbeat(table, an_announcement("old", number=4), 1.5)
+        endpoints.record_heartbeat(table, an_announcement("new", number=4), 2.2)
         self.assertEqual(known(table, 2.2), {"new"})
 
 
@@ -172,23 +188,25 @@
 
     def test_the_new_boot_counts_although_its_numbers_are_lower(self):
         table = EndpointTable()
-        endpoints.hear(table, self.boot(100, 90, (0, 8)), 0.0)
-        self.assertTrue(endpoints.hear(table, self.boot(200, 1), 1.0))
+        endpoints.record_heartbeat(table, self.boot(100, 90, (0, 8)), 0.0)
+        self.assertTrue(endpoints.record_heartbeat(table, self.boot(200, 1), 1.0))
         (live,) = endpoints.live(table, 1.0)
         self.assertEqual((live.engine_id, tuple(live.holding)), ("e@200", (0, 0)))
 
     def test_a_late_heartbeat_of_the_boot_before_counts_for_nothing(self):
         table = EndpointTable()
-        endpoints.hear(table, self.boot(200, 1), 1.0)
-        self.assertFalse(endpoints.hear(table, self.boot(100, 91, (0, 8)), 1.5))
-        endpoints.hear(table, self.boot(100, 92, (0, 8)), 1.6)
+        endpoints.record_heartbeat(table, self.boot(200, 1), 1.0)
+        self.assertFalse(
+            endpoints.record_heartbeat(table, self.boot(100, 91, (0, 8)), 1.5)
+        )
+        endpoints.record_heartbeat(table, self.boot(100, 92, (0, 8)), 1.6)
         self.assertEqual(known(table, 1.6), {"e@200"})
 
     def test_the_departure_of_the_boot_before_leaves_the_new_one(self):
         table = EndpointTable()
-        endpoints.hear(table, self.boot(100, 9), 0.0)
-        endpoints.hear(table, self.boot(200, 1), 1.0)
-        endpoints.depart(table, "e@100", 1.5)
+        endpoints.record_heartbeat(table, self.boot(100, 9), 0.0)
+        endpoints.record_heartbeat(table, self.boot(200, 1), 1.0)
+        endpoints.record_departure(table, "e@100", 1.5)
         self.assertEqual(known(table, 1.5), {"e@200"})
         self.assertEqual(endpoints.newest_incarnation(table, "e"), "e@200")
 
@@ -204,9 +222,9 @@
         table = EndpointTable()
         for started_ms, number, kind in events:
             if kind == "d":
-                endpoints.depart(table, f"e@{started_ms}", 0.0)
+                endpoints.record_departure(table, f"e@{started_ms}", 0.0)
             else:
-                endpoints.hear(table, self.boot(started_ms, number), 0.0)
+                endpoints.record_heartbeat(table, self.boot(started_ms, number), 0.0)
         heard = [e[0] for e in events if e[2] != "d"]
         departed = {e[0] for e in events if e[2] == "d"}
         newest = max(heard, default=None)
@@ -221,19 +239,25 @@
         A reader that took the first look must take the second one, too.
         """
         table, reader = EndpointTable(), EndpointTable()
-        endpoints.hear(table, an_announcement(number=16, layers=(0, 8)), 0.0)
-        for holding in (Holding(0, 0), Holding(8, 16)):
-            endpoints.observe(table, "boot-1", holding, 0.3)
+        endpoints.record_heartbeat(
+            table, an_announcement(number=16, layers=(0, 8)), 0.0
+        )
+        for holding in (LayerRange(0, 0), LayerRange(8, 16)):
+            endpoints.record_holding(table, "boot-1", holding, 0.3)
             endpoints.merge(reader, table.entries["boot-1"], 0.0, 0.3)
         self.assertEqual(endpoints.live(reader, 0.3)[0].holding, (8, 16))
 
     def test_what_a_leader_saw_stands_until_the_next_word(self):
         table = EndpointTable()
-        endpoints.hear(table, an_announcement(number=16), 0.0)
-        self.assertTrue(endpoints.observe(table, "boot-1", Holding(0, 8), 0.3))
-        endpoints.hear(table, an_announcement(number=16), 0.4)
+        endpoints.record_heartbeat(table, an_announcement(number=16), 0.0)
+        self.assertTrue(
+            endpoints.record_holding(table, "boot-1", LayerRange(0, 8), 0.3)
+        )
+        endpoints.record_heartbeat(table, an_announcement(number=16), 0.4)
         self.assertEqual(endpoints.live(table, 0.4)[0].holding, (0, 8))
-        endpoints.hear(table, an_announcement(number=32, layers=(8, 16)), 1.2)
+        endpoints.record_heartbeat(
+            table, an_announcement(number=32, layers=(8, 16)), 1.2
+        )
         self.assertEqual(endpoints.live(table, 1.2)[0].holding, (8, 16))
 
 
@@ -252,7 +276,7 @@
     table = EndpointTable()
     for engine_id, number, kind in events:
         if kind == "depart":
-            endpoints.depart(table, engine_id, 0.0)
+            endpoints.record_departure(table, engine_id, 0.0)
         else:
             layers = (0, number)
             heard = an_announcement(
@@ -262,14 +286,14 @@
                 address=engine_id,
                 is_leaving=kind == "leave",
             )
-            endpoints.hear(table, heard, 0.0)
+            endpoints.record_heartbeat(table, heard, 0.0)
     return table
 
 
 def usable(table):
     """Return the endpoints that may get work, with what they hold."""
     live = endpoints.live(table, 0.0)
-    return {(a.engine_id, a.holding) for a in live if endpoints.may_take_work(a)}
+    return {(a.engine_id, a.holding) for a in live if endpoints.accepts_requests(a)}
 
 
 class AnyOrderTest(unittest.TestCase):
--- a/libs/routing/test/test_gatekeeping.py
+++ b/libs/routing/test/test_gatekeeping.py
@@ -2,8 +2,8 @@
 
 from builders import a_configuration, a_route
 
-from cherryrudder.routing import gatekeeping
-from cherryrudder.routing.gatekeeping import Admitted, Asked
+from cherryrudder.routing import authorization
+from cherryrudder.routing.authorization import AccessRequest, Admitted
 from cherryrudder.routing.routetable import RouteTable
 
 REVOKE_S = 5.0
@@ -12,8 +12,8 @@
 def decide(key="key-1", target="/a/x", age_s=0.0, is_cut_off=False, **changes):
     """Decide about a request with a configuration of one route."""
     table = RouteTable(a_configuration(a_route(**changes)))
-    return gatekeeping.decide(
-        table, Asked("desk.example", target, key), age_s, REVOKE_S, is_cut_off
+    return authorization.authorize(
+        table, AccessRequest("desk.example", target, key), age_s, REVOKE_S, is_cut_off
     )
 
 
@@ -27,8 +27,8 @@
         self.assertEqual(decide(target="/b/").status, 404)
 
     def test_nothing_is_said_for_sure_before_the_first_configuration(self):
-        asked = Asked("desk.example", "/a/x", "key-1")
-        refused = gatekeeping.decide(None, asked, 0.0, REVOKE_S)
+        asked = AccessRequest("desk.example", "/a/x", "key-1")
+        refused = authorization.authorize(None, asked, 0.0, REVOKE_S)
         self.assertEqual(refused.status, 503)
 
     def test_an_anonymous_route_needs_no_key(self):
--- a/libs/routing/test/test_hangs.py
+++ b/libs/routing/test/test_hangs.py
@@ -10,7 +10,7 @@
 def send(found, engine_id, *requests, at_s=0.0):
     """Let requests go to an engine."""
     for request_id in requests:
-        hangs.sent(found, engine_id, request_id, OBJECTIVE_S, at_s)
+        hangs.record_sent(found, engine_id, request_id, OBJECTIVE_S, at_s)
 
 
 class HangTest(unittest.TestCase):
@@ -23,31 +23,31 @@
     def test_an_engine_that_begins_nothing_is_found(self):
         found = Hangs()
         send(found, "e", "1", "2")
-        self.assertEqual(hangs.find(found, PATIENCE_S - 0.1), [])
-        self.assertEqual(hangs.find(found, PATIENCE_S + 0.1), ["e"])
-        self.assertTrue(hangs.is_resting(found, "e", PATIENCE_S + 0.1))
+        self.assertEqual(hangs.find_hanging(found, PATIENCE_S - 0.1), [])
+        self.assertEqual(hangs.find_hanging(found, PATIENCE_S + 0.1), ["e"])
+        self.assertTrue(hangs.is_ejected(found, "e", PATIENCE_S + 0.1))
         # It is told once.
-        self.assertEqual(hangs.find(found, PATIENCE_S + 0.2), [])
+        self.assertEqual(hangs.find_hanging(found, PATIENCE_S + 0.2), [])
 
     def test_a_busy_engine_that_begins_later_requests_is_none(self):
         found = Hangs()
         send(found, "e", "1")
         send(found, "e", "2", at_s=0.1)
-        hangs.begun(found, "e", "2", 0.5)
-        self.assertEqual(hangs.find(found, 2.0), [])
+        hangs.record_start(found, "e", "2", 0.5)
+        self.assertEqual(hangs.find_hanging(found, 2.0), [])
 
     def test_what_it_began_before_says_nothing(self):
         found = Hangs()
         send(found, "e", "1")
-        hangs.begun(found, "e", "1", 0.1)
+        hangs.record_start(found, "e", "1", 0.1)
         send(found, "e", "2", at_s=0.2)
-        self.assertEqual(hangs.find(found, 0.2 + PATIENCE_S + 0.1), ["e"])
+        self.assertEqual(hangs.find_hanging(found, 0.2 + PATIENCE_S + 0.1), ["e"])
 
     def test_a_client_that_left_shows_nothing(self):
         found = Hangs()
         send(found, "e", "1")
-        hangs.ended(found, "e", "1")
-        self.assertEqual(hangs.find(found, 5.0), [])
+        hangs.record_end(found, "e", "1")
+        self.assertEqual(hangs.find_hanging(found, 5.0), [])
         self.assertEqual(found.waiting, {})
 
     def test_each_further_time_it_rests_longer_until_it_begins_one(self):
@@ -55,19 +55,19 @@
         for number in range(4):
             send(found, "e", str(number), at_s=now_s)
             now_s += PATIENCE_S + 0.1
-            hangs.find(found, now_s)
+            hangs.find_hanging(found, now_s)
             rests.append(found.rests["e"][1])
             now_s += rests[-1]
         self.assertEqual(rests, [2.0, 4.0, 8.0, 8.0])
-        hangs.begun(found, "e", "0", now_s)
-        self.assertFalse(hangs.is_resting(found, "e", now_s))
+        hangs.record_start(found, "e", "0", now_s)
+        self.assertFalse(hangs.is_ejected(found, "e", now_s))
 
     def test_boots_that_are_gone_are_forgotten(self):
         found = Hangs()
         send(found, "e", "1")
-        hangs.find(found, 5.0)
-        hangs.begun(found, "f", "2", 5.0)
-        hangs.forget(found, {"g"})
+        hangs.find_hanging(found, 5.0)
+        hangs.record_start(found, "f", "2", 5.0)
+        hangs.prune(found, {"g"})
         self.assertEqual((found.begun_s, found.rests), ({}, {}))
 
 
--- a/libs/routing/test/test_picking.py
+++ b/libs/routing/test/test_picking.py
@@ -2,12 +2,12 @@
 import unittest
 
 from cherryrudder.routing import picking
-from cherryrudder.routing.picking import Place
+from cherryrudder.routing.picking import EndpointLoad
 
 
 def a_place(name, **changes):
     """Return an idle endpoint with six places."""
-    return Place(name, f"{name}:80", "a", 6)._replace(**changes)
+    return EndpointLoad(name, f"{name}:80", "a", 6)._replace(**changes)
 
 
 class PickTest(unittest.TestCase):
@@ -16,17 +16,17 @@
         return place and place.engine_id
 
     def test_the_least_loaded_is_picked(self):
-        self.assertEqual(self.pick(a_place("e", own_running=2), a_place("f")), "f")
+        self.assertEqual(self.pick(a_place("e", own_in_flight=2), a_place("f")), "f")
 
     def test_what_was_told_fades(self):
-        busy = a_place("e", told_load=6.0)
-        own = a_place("f", own_running=1)
+        busy = a_place("e", reported_load=6.0)
+        own = a_place("f", own_in_flight=1)
         self.assertEqual(self.pick(busy, own), "f")
-        self.assertEqual(self.pick(busy._replace(told_age_s=1.0), own), "e")
+        self.assertEqual(self.pick(busy._replace(report_age_s=1.0), own), "e")
 
     def test_a_suspect_is_picked_only_in_need(self):
         suspect = a_place("e", is_suspect=True)
-        self.assertEqual(self.pick(suspect, a_place("f", own_running=5)), "f")
+        self.assertEqual(self.pick(suspect, a_place("f", own_in_flight=5)), "f")
         self.assertEqual(self.pick(suspect), "e")
 
     def test_nobody_is_met_twice(self):
@@ -60,7 +60,7 @@
 
     def test_fewer_callers_wait_than_with_a_random_choice(self):
         def by_load(running, rng):
-            places = [a_place(n, own_running=r) for n, r in running.items()]
+            places = [a_place(n, own_in_flight=r) for n, r in running.items()]
             return picking.pick(places, "a", set(), rng).engine_id
 
         def at_random(running, rng):
--- a/libs/routing/test/test_routetable.py
+++ b/libs/routing/test/test_routetable.py
@@ -3,7 +3,7 @@
 from builders import a_configuration, a_route
 from hypothesis import given, settings, strategies as st
 
-from cherryrudder.routing.configuration import Share
+from cherryrudder.routing.configuration import WeightedService
 from cherryrudder.routing.routetable import RouteTable, pick_service
 
 SEGMENT = st.sampled_from(["a", "b", "ab", ""])
@@ -44,10 +44,16 @@
 
 class SplitTest(unittest.TestCase):
     def test_a_split_follows_its_weights(self):
-        route = a_route(split=(Share("a", 90.0), Share("b", 10.0), Share("c", 0.0)))
+        route = a_route(
+            split=(
+                WeightedService("a", 90.0),
+                WeightedService("b", 10.0),
+                WeightedService("c", 0.0),
+            )
+        )
         drawn = [pick_service(route, n / 1000) for n in range(1000)]
         self.assertEqual((drawn.count("a"), drawn.count("b")), (900, 100))
 
     def test_the_end_of_the_range_never_falls_to_a_weight_of_nothing(self):
-        route = a_route(split=(Share("a", 1.0), Share("b", 0.0)))
+        route = a_route(split=(WeightedService("a", 1.0), WeightedService("b", 0.0)))
         self.assertEqual(pick_service(route, 1.0), "a")
--- a/libs/routing/test/test_suspicion.py
+++ b/libs/routing/test/test_suspicion.py
@@ -13,10 +13,10 @@
 
     def setUp(self):
         self.suspicions = Suspicions()
-        suspicion.died(self.suspicions, "boot", 10.0)
+        suspicion.record_failure(self.suspicions, "boot", 10.0)
 
     def resting(self, heard_s, now_s):
-        return suspicion.is_resting(self.suspicions, "boot", heard_s, now_s)
+        return suspicion.is_ejected(self.suspicions, "boot", heard_s, now_s)
 
     def test_it_rests_until_it_is_heard_again(self):
         self.assertTrue(self.resting(9.0, 10.0))
@@ -27,17 +27,17 @@
         self.assertTrue(self.resting(10.1, 10.2))
 
     def test_each_further_death_rests_longer(self):
-        suspicion.died(self.suspicions, "boot", 13.0)
+        suspicion.record_failure(self.suspicions, "boot", 13.0)
         self.assertTrue(self.resting(13.5, 13.0 + 1.5 * suspicion.FIRST_REST_S))
 
     def test_a_death_long_ago_makes_no_longer_rest(self):
         later_s = 10.0 + suspicion.REMEMBERED_S + 1.0
-        suspicion.died(self.suspicions, "boot", later_s)
+        suspicion.record_failure(self.suspicions, "boot", later_s)
         end_s = later_s + suspicion.FIRST_REST_S
         self.assertFalse(self.resting(end_s, end_s + 0.1))
 
     def test_others_are_not_touched(self):
-        self.assertFalse(suspicion.is_resting(self.suspicions, "other", 0.0, 10.0))
+        self.assertFalse(suspicion.is_ejected(self.suspicions, "other", 0.0, 10.0))
 
 
 class AcquittalTest(unittest.TestCase):
@@ -50,9 +50,9 @@
     def is_resting_after(self, deaths, is_unreached):
         suspicions = Suspicions()
         for _ in range(deaths):
-            suspicion.died(suspicions, "boot", 10.0, is_unreached)
-            suspicion.acquitted(suspicions, "boot")
-        return suspicion.is_resting(suspicions, "boot", 9.0, 10.1)
+            suspicion.record_failure(suspicions, "boot", 10.0, is_unreached)
+            suspicion.reinstate(suspicions, "boot")
+        return suspicion.is_ejected(suspicions, "boot", 9.0, 10.1)
 
     def test_a_part_inside_a_chain_is_used_again(self):
         self.assertFalse(self.is_resting_after(1, is_unreached=False))
@@ -64,19 +64,19 @@
 
     def test_a_death_is_certain_once_others_found_it_and_until_it_is_heard(self):
         suspicions = Suspicions()
-        suspicion.died(suspicions, "boot", 10.0)
+        suspicion.record_failure(suspicions, "boot", 10.0)
         self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
-        self.assertFalse(suspicion.verified(suspicions, "boot", 10.1))
+        self.assertFalse(suspicion.record_confirmed_death(suspicions, "boot", 10.1))
         self.assertTrue(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
         self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 10.2))
 
     def test_a_death_that_others_found_is_news_to_who_did_not(self):
         suspicions = Suspicions()
-        self.assertTrue(suspicion.verified(suspicions, "boot", 10.0))
-        self.assertTrue(suspicion.is_resting(suspicions, "boot", 9.0, 10.1))
+        self.assertTrue(suspicion.record_confirmed_death(suspicions, "boot", 10.0))
+        self.assertTrue(suspicion.is_ejected(suspicions, "boot", 9.0, 10.1))
 
     def test_nobody_is_acquitted_of_nothing(self):
-        self.assertFalse(suspicion.acquitted(Suspicions(), "boot"))
+        self.assertFalse(suspicion.reinstate(Suspicions(), "boot"))
 
 
 class FailureTest(unittest.TestCase):
@@ -86,7 +86,7 @@
         suspicions = Suspicions()
         for number in range(40):
             is_good = number % 10 >= failed_of_ten
-            if suspicion.answered(suspicions, "boot", is_good, 0.0):
+            if suspicion.record_answer(suspicions, "boot", is_good, 0.0):
                 return True
         return False
 
@@ -98,8 +98,8 @@
 
     def test_records_of_gone_boots_are_dropped(self):
         suspicions = Suspicions()
-        suspicion.died(suspicions, "boot", 0.0)
-        suspicion.forget(suspicions, set())
+        suspicion.record_failure(suspicions, "boot", 0.0)
+        suspicion.prune(suspicions, set())
         self.assertEqual(suspicions.records, {})
 
 
@@ -113,15 +113,15 @@
     def test_a_death_that_was_refuted_is_none(self):
         found = Suspicions()
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
-        suspicion.died(found, "e", 1.0)
-        suspicion.verified(found, "e", 1.0)
+        suspicion.record_failure(found, "e", 1.0)
+        suspicion.record_confirmed_death(found, "e", 1.0)
         self.assertTrue(suspicion.is_certainly_dead(found, "e", 0.5))
-        suspicion.acquitted(found, "e")
+        suspicion.reinstate(found, "e")
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
 
     def test_what_others_missed_is_left_alone_and_has_not_ended(self):
         """All who looked may have been behind the same full links."""
         found = Suspicions()
-        self.assertTrue(suspicion.told(found, "e", 1.0))
-        self.assertTrue(suspicion.is_resting(found, "e", 0.5, 1.1))
+        self.assertTrue(suspicion.record_report(found, "e", 1.0))
+        self.assertTrue(suspicion.is_ejected(found, "e", 0.5, 1.1))
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
