--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -30,7 +30,7 @@
 PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
 
 
-async def open_for(job: Job, address: str) -> EngineConnection:
+async def open_connection(job: Job, address: str) -> EngineConnection:
     """Return a connection for one attempt; raises ConnectFailed.
 
     A request that may not be repeated never goes out on a kept connection: the engine
@@ -109,7 +109,7 @@
         deadline_s=job.end_s,
         max_attempts=most_runs,
     )
-    budget, service = job.state.budget, job.service.name
+    budget, service = job.state.retry_budget, job.service.name
     until_s = job.leaves_s() if has_begun else now_s() + BUDGET_WAIT_S
     verdict = sharedbudget.may_retry(budget, service, attempt, now_s(), has_begun)
     while verdict is Verdict.NO_BUDGET and now_s() < until_s:
--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -46,7 +46,7 @@
     """Give an engine that says that it leaves no new work, here and elsewhere."""
     state = job.state
     if tablesync.tell_senders(state.endpoints, engine_id, now_s):
-        state.leaving_s.setdefault(engine_id, now_s)
+        state.leaving_since_s.setdefault(engine_id, now_s)
         state.metrics.beliefs.labels("engine-leaving").inc()
         job.note("engine-leaving", True, engine_id=engine_id)
         state.spread_endpoints([engine_id])
@@ -82,7 +82,7 @@
     return True
 
 
-def begin(state: "EntryState", engine_id: str, now_s: float) -> None:
+def record_request(state: "EntryState", engine_id: str, now_s: float) -> None:
     """Take note of a request that is about to be sent."""
     backoffs.record_sent(state.backoffs, engine_id, now_s)
     ratekeeper.begin(state, engine_id, now_s)
--- a/libs/node/src/cherryrudder/node/brokenruns.py
+++ b/libs/node/src/cherryrudder/node/brokenruns.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 # An engine that nobody asks for is missed when it is back at its address.
-PENDING_S = 10.0
+RETENTION_S = 10.0
 MOST_ENGINES = 64
 MOST_RUNS = 256
 # What an engine had sent before it ended is read within this time.
@@ -35,25 +35,25 @@
         self.ended_s: dict[str, float] = {}
 
 
-def broke(runs: BrokenRuns, engine_id: str, run: BrokenRun) -> None:
+def add(runs: BrokenRuns, engine_id: str, run: BrokenRun) -> None:
     """Keep a run."""
     kept = runs.runs.setdefault(engine_id, [])
     kept.append(run)
     del kept[:-MOST_RUNS]
 
 
-def ended(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
+def record_end(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
     """Take note that an engine has ended."""
     runs.ended_s.setdefault(engine_id, now_s)
 
 
-def lives(runs: BrokenRuns, engine_id: str) -> None:
+def record_alive(runs: BrokenRuns, engine_id: str) -> None:
     """Take note that an engine lives: its runs broke for another reason."""
     runs.runs.pop(engine_id, None)
     runs.ended_s.pop(engine_id, None)
 
 
-def answered(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
+def record_answer(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
     """Drop the runs after which their engine has answered another request."""
     broken = runs.runs.get(engine_id)
     if broken:
@@ -63,7 +63,7 @@
             del runs.runs[engine_id]
 
 
-def take(runs: BrokenRuns, engine_id: str, leaving_s: float) -> list[BrokenRun]:
+def take_crashed(runs: BrokenRuns, engine_id: str, leaving_s: float) -> list[BrokenRun]:
     """Return the runs that an engine ended under, once, if it is known to have.
 
     Not those that broke after it had said that it leaves: that end was planned.
@@ -77,12 +77,12 @@
 def sweep(runs: BrokenRuns, now_s: float) -> None:
     """Forget runs and ends that are old, and the oldest when there are many."""
     for engine_id, broken in list(runs.runs.items()):
-        young = [run for run in broken if now_s - run.broke_s <= PENDING_S]
+        young = [run for run in broken if now_s - run.broke_s <= RETENTION_S]
         runs.runs[engine_id] = young
         if not young:
             del runs.runs[engine_id]
     for engine_id, ended_s in list(runs.ended_s.items()):
-        if now_s - ended_s > PENDING_S:
+        if now_s - ended_s > RETENTION_S:
             del runs.ended_s[engine_id]
     for kept in (runs.runs, runs.ended_s):
         for engine_id in list(kept)[: max(0, len(kept) - MOST_ENGINES)]:
--- a/libs/node/src/cherryrudder/node/controlbeats.py
+++ b/libs/node/src/cherryrudder/node/controlbeats.py
@@ -137,19 +137,19 @@
             case EndpointNews():
                 self._take_endpoints(message.endpoints)
             case Accusation():
-                self.verifier.hear(message)
+                self.verifier.handle_suspicion(message)
             case Question():
-                self.verifier.hear_question(message)
+                self.verifier.handle_probe_request(message)
             case Finding():
-                self.verifier.hear_finding(message)
+                self.verifier.handle_probe_result(message)
             case CrashNews():
                 self._pass_on(self.state.crashes.take_records(message.records, now_s()))
             case Complaint():
-                self.pace.hear(message)
+                self.pace.handle_slowness_report(message)
             case PaceNews():
-                self.pace.hear_seen(message)
+                self.pace.handle_pace_update(message)
             case DeathNotice():
-                self.verifier.condemn(message.engine_id)
+                self.verifier.mark_dead(message.engine_id)
             case LimitNews():
                 self.rates.hear(message.limits, now_s())
             case PermitRequest():
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -35,7 +35,7 @@
     block = state.crashes.block_of(job.fingerprint, now_s)
     if block is None:
         return False
-    serving = entrystate.serving(state, job.service.name, now_s)
+    serving = entrystate.serving_endpoints(state, job.service.name, now_s)
     return not serving or any(one.version in block.versions for one in serving)
 
 
@@ -63,7 +63,7 @@
         last_event=event,
         broke_s=now_s,
     )
-    brokenruns.broke(job.state.broken, engine_id, run)
+    brokenruns.add(job.state.broken, engine_id, run)
     return _blame(job.state, engine_id, now_s)
 
 
@@ -72,19 +72,19 @@
     entry = state.endpoints.table.entries.get(engine_id)
     ended_s = state.broken.ended_s.get(engine_id, math.inf)
     if entry is not None and entry.heard_s > ended_s:
-        brokenruns.lives(state.broken, engine_id)
+        brokenruns.record_alive(state.broken, engine_id)
 
 
 def engine_ended(state: EntryState, engine_id: str, now_s: float) -> CrashNews:
     """Take note that an engine has ended; return what others are to hear."""
-    brokenruns.ended(state.broken, engine_id, now_s)
+    brokenruns.record_end(state.broken, engine_id, now_s)
     return _blame(state, engine_id, now_s)
 
 
 def _blame(state, engine_id, now):
-    leaving_s = state.leaving_s.get(engine_id, math.inf)
+    leaving_s = state.leaving_since_s.get(engine_id, math.inf)
     entry = state.endpoints.table.entries.get(engine_id)
-    runs = brokenruns.take(state.broken, engine_id, leaving_s) if entry else []
+    runs = brokenruns.take_crashed(state.broken, engine_id, leaving_s) if entry else []
     records = {}
     for run in runs:
         engine = entry.announcement
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -85,7 +85,7 @@
         self.confirmed_s = float("-inf")
         self.pool = Pool()
         bounds = settings.bounds
-        self.budget = SharedBudget(
+        self.retry_budget = SharedBudget(
             bounds.retry_share,
             bounds.retry_slack,
             bounds.retry_window_s,
@@ -104,7 +104,7 @@
         self.started_s = now_s()
         self.told: dict[str, ToldLoad] = {}
         # When this entry heard that an incarnation of an engine is about to leave.
-        self.leaving_s: dict[str, float] = {}
+        self.leaving_since_s: dict[str, float] = {}
         # The incarnation that was last heard of, by address.
         self.incarnations: dict[str, str] = {}
         # Until when engines are taken as full, by address.
@@ -165,13 +165,13 @@
     return tuple(Usage(address, *_own(state, address)) for address in state.running)
 
 
-def note_beat(state: EntryState) -> None:
+def record_report_sent(state: EntryState) -> None:
     """Take note of what this entry has running as it tells the others."""
     own = {address: _own(state, address) for address in state.running}
     peerload.record_report_sent(state.others, own)
 
 
-def hear_others(
+def update_peer_load(
     state: EntryState, usages: tuple[Usage, ...], data_centres: int, now_s: float
 ) -> None:
     """Take what the other entries had running."""
@@ -192,7 +192,9 @@
     )
 
 
-def serving(state: EntryState, service: str, now_s: float) -> list[Announcement]:
+def serving_endpoints(
+    state: EntryState, service: str, now_s: float
+) -> list[Announcement]:
     """Return the endpoints of a service that may get new work."""
     return [
         announcement
@@ -210,7 +212,7 @@
     """
     return [
         _candidate(state, announcement, now_s)
-        for announcement in serving(state, service, now_s)
+        for announcement in serving_endpoints(state, service, now_s)
         if announcement.holding.end
         and vm_zone in ("", announcement.vm_zone)
         and not is_suspect(state, announcement.engine_id, now_s)
@@ -224,7 +226,7 @@
     return suspicion.is_ejected(state.suspicions, engine_id, heard_s, now_s)
 
 
-def is_certainly_dead(state: EntryState, engine_id: str) -> bool:
+def is_confirmed_dead(state: EntryState, engine_id: str) -> bool:
     """Tell whether an engine's end is known from others as well."""
     entry = state.endpoints.table.entries.get(engine_id)
     if entry is None or entry.is_gone:
--- a/libs/node/src/cherryrudder/node/frontdoor.py
+++ b/libs/node/src/cherryrudder/node/frontdoor.py
@@ -104,7 +104,7 @@
         if self._may_outlast(job):
             await job.refuse(LEAVING)
             return
-        sharedbudget.record_request(state.budget, name, now_s())
+        sharedbudget.record_request(state.retry_budget, name, now_s())
         job.note(
             "admitted",
             route=admitted.route.name,
--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -46,7 +46,7 @@
         self._watched: set[str] = set()
         self._rests: dict[str, tuple[float, float]] = {}
 
-    def hear(self, complaint: Complaint) -> None:
+    def handle_slowness_report(self, complaint: Complaint) -> None:
         """Look at the engines of a slow chain that were not looked at lately."""
         now = now_s()
         for engine_id in complaint.engine_ids:
@@ -57,7 +57,7 @@
                 self._watched.add(engine_id)
                 self.group.start_soon(self._watch, engine_id)
 
-    def hear_seen(self, news: PaceNews) -> None:
+    def handle_pace_update(self, news: PaceNews) -> None:
         """Take over from an entry that has seen in a report that an engine is slow."""
         engine_id = news.engine_id
         is_known = engine_id in self.state.endpoints.table.entries
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -16,7 +16,7 @@
 from cherryrudder.routing.picking import EndpointLoad
 
 from . import attempts, backpressure, brokenruns, crashes, ratekeeper
-from .entrystate import ToldLoad, is_suspect, serving
+from .entrystate import ToldLoad, is_suspect, serving_endpoints
 from .gossip import CrashNews
 from .job import ANSWER_MARGIN_S, Failed, Job, Whole
 
@@ -45,7 +45,7 @@
             break
         result = await _attempt(job, place)
         if isinstance(result, Whole):
-            brokenruns.answered(job.state.broken, place.engine_id, now_s())
+            brokenruns.record_answer(job.state.broken, place.engine_id, now_s())
             tell(crashes.reached(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
@@ -75,7 +75,7 @@
         barred: set[str] = set()
         while (place := _pick(job, excluded | barred)) is not None:
             if await _takes_it(state, place.engine_id):
-                backpressure.begin(state, place.engine_id, now_s())
+                backpressure.record_request(state, place.engine_id, now_s())
                 return place
             barred.add(place.engine_id)
         if not barred:
@@ -114,7 +114,7 @@
     state, now = job.state, now_s()
     return [
         _place(state, announcement, now)
-        for announcement in serving(state, job.service.name, now)
+        for announcement in serving_endpoints(state, job.service.name, now)
     ]
 
 
@@ -149,7 +149,7 @@
 
 async def _exchange(job, place):
     try:
-        connection = await attempts.open_for(job, place.address)
+        connection = await attempts.open_connection(job, place.address)
     except ConnectFailed as error:
         return Failed(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
--- a/libs/node/src/cherryrudder/node/reroute.py
+++ b/libs/node/src/cherryrudder/node/reroute.py
@@ -28,7 +28,7 @@
 PART_POLL_S = 0.08
 
 
-async def go_on_without(
+async def replace_lost(
     stream: "Stream", connection: EngineConnection, lost: set[str]
 ) -> None:
     """Replace the lost parts of the chain; break the attempt off when none can be.
@@ -71,7 +71,7 @@
     """
     since_s = stream.progressed_s
     while stream.connection is connection and stream.progressed_s <= since_s:
-        chain = without(stream, lost)
+        chain = find_replacement(stream, lost)
         is_first_lost = stream.chain[0].address in lost
         if chain is not None or is_first_lost or not stream.has_begun:
             return chain
@@ -105,7 +105,7 @@
     return status, missing
 
 
-def without(stream: "Stream", lost: set[str]) -> Chain | None:
+def find_replacement(stream: "Stream", lost: set[str]) -> Chain | None:
     """Return a stream's chain with other parts in place of the lost ones, if any."""
     job = stream.job
     if stream.chain[0].address in lost:
--- a/libs/node/src/cherryrudder/node/stalls.py
+++ b/libs/node/src/cherryrudder/node/stalls.py
@@ -47,7 +47,7 @@
 FIRST_EXTRA_S = (0.045, 0.2, 0.0)
 # A time limit that is noticed this late says that this process stood still; what the
 # engine answered meanwhile is yet to be read.
-OWN_DELAY_S = 0.03
+PROCESS_STALL_S = 0.03
 
 log = logger.bind(part="stalls")
 
@@ -132,7 +132,7 @@
                 return await enginecalls.get_report(address, timeout_s, self.state.pool)
             except EngineCallFailed as error:
                 log.info("No report: {}.", error)
-            if now_s() - asked_s < timeout_s + OWN_DELAY_S:
+            if now_s() - asked_s < timeout_s + PROCESS_STALL_S:
                 return None
 
     def forget(self, known: set[str]) -> None:
--- a/libs/node/src/cherryrudder/node/stream.py
+++ b/libs/node/src/cherryrudder/node/stream.py
@@ -47,7 +47,7 @@
         self.last_event: int | None = None
         self.has_begun = False
         # First engines of the attempts that may have run.
-        self.ran_at: list[str] = []
+        self.ran_engine_ids: list[str] = []
         # The chain that has yet to read the prompt, for all that is known.
         self.unread_chain: Chain = ()
         # The connection of the present attempt.
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -49,7 +49,7 @@
         chain = await desk.find(
             _waiting(stream),
             lambda: _take_chain(stream),
-            is_picky=bool(stream.excluded(began_s) or bounding_firsts(stream)),
+            is_picky=bool(stream.excluded(began_s) or allowed_first_engines(stream)),
         )
     except BaseException:
         # A client may leave at the moment at which its stream's turn has come. The
@@ -95,10 +95,10 @@
 def _firsts(stream, now):
     """Return the engines at which a stream could begin if they took requests."""
     state, avoided = stream.job.state, stream.excluded(now)
-    only_at = bounding_firsts(stream)
+    only_at = allowed_first_engines(stream)
     return [
         one
-        for one in entrystate.serving(state, stream.job.service.name, now)
+        for one in entrystate.serving_endpoints(state, stream.job.service.name, now)
         if one.holding.first == 0 < one.holding.end
         and one.address not in avoided
         and (not only_at or one.engine_id in only_at)
@@ -156,7 +156,7 @@
     )
 
 
-def bounding_firsts(stream: "Stream", is_running: bool = False) -> set[str]:
+def allowed_first_engines(stream: "Stream", is_running: bool = False) -> set[str]:
     """Return the only engines at which a stream may begin again, nothing for any.
 
     Failure: parts of two chains die one after the other under one answer. The route
@@ -168,12 +168,12 @@
     enough, also of an engine that leaves: it may still be at work, and a request that
     is taken from living engines again and again is work for all of them.
     """
-    state, ran = stream.job.state, set(stream.ran_at)
+    state, ran = stream.job.state, set(stream.ran_engine_ids)
     if is_running:
         ran.add(stream.chain[0].engine_id)
     if len(ran) < stream.job.route.max_attempts:
         return set()
-    counted = {e for e in ran if not entrystate.is_certainly_dead(state, e)}
+    counted = {e for e in ran if not entrystate.is_confirmed_dead(state, e)}
     return counted if len(counted) >= stream.job.route.max_attempts else set()
 
 
@@ -211,7 +211,7 @@
     candidates = entrystate.candidates(job.state, job.service.name, now, vm_zone)
     avoided = stream.excluded(now) | lost
     left = [e for e in candidates if e.address not in avoided]
-    firsts = bounding_firsts(stream, is_running)
+    firsts = allowed_first_engines(stream, is_running)
     if not firsts:
         return left
     return [e if e.engine_id in firsts else e._replace(firsts=math.inf) for e in left]
@@ -223,7 +223,7 @@
     if chain is not None:
         stream.chain = chain
         stream.is_counted = True
-        backpressure.begin(stream.job.state, chain[0].engine_id, now_s())
+        backpressure.record_request(stream.job.state, chain[0].engine_id, now_s())
         entrystate.began(stream.job.state, chain, stream.tokens)
     return chain
 
@@ -324,6 +324,6 @@
         tightest_layer=layer,
         free_tokens=round(free),
         own_streams=len(stream.watch.streams),
-        only_at=sorted(bounding_firsts(stream)),
+        only_at=sorted(allowed_first_engines(stream)),
         limited=_limited_firsts(stream, now_s()),
     )
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -73,7 +73,7 @@
             await _refuse_for_good(stream)
             return
         if not result.is_not_run:
-            stream.ran_at.append(chain[0].engine_id)
+            stream.ran_engine_ids.append(chain[0].engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(is_not_run=not has_run)
         if not await _may_retry(stream, result):
@@ -129,7 +129,7 @@
 async def _exchange(stream):
     job, first = stream.job, stream.chain[0]
     try:
-        connection = await attempts.open_for(job, first.address)
+        connection = await attempts.open_connection(job, first.address)
     except ConnectFailed as error:
         supervision.lose_first(stream, str(error))
         return Failed(str(error), is_not_run=True, is_sent=False)
@@ -195,7 +195,7 @@
     job, now = stream.job, now_s()
     engine_id, request_id = stream.chain[0].engine_id, job.facts.request_id
     hangs.record_start(job.state.hangs, engine_id, request_id, now)
-    brokenruns.answered(job.state.broken, engine_id, now)
+    brokenruns.record_answer(job.state.broken, engine_id, now)
     stream.has_head = True
     stream.head_s = now
 
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -135,7 +135,7 @@
 
     def _leaving(self, stream, now):
         """Return the parts behind the first whose engines leave soon, by address."""
-        leaving_s = self.state.leaving_s
+        leaving_s = self.state.leaving_since_s
         return {
             part.address
             for part in stream.chain[1:]
@@ -149,7 +149,7 @@
             stream.moves_s = now + self.state.rng.random() * MOVE_SPREAD_S
             return
         stream.moves_s = now + MOVE_AGAIN_S
-        chain = reroute.without(stream, self._leaving(stream, now))
+        chain = reroute.find_replacement(stream, self._leaving(stream, now))
         if chain is None or connection is None:
             return
         status, _ = await reroute.order(stream, chain, is_move=True)
@@ -191,7 +191,7 @@
         stream.silence_s = min(SILENCE_BOUNDS.max_s, stream.silence_s * BACK_OFF)
         lost = await self._find_lost(stream)
         if lost and stream.connection is not None:
-            await reroute.go_on_without(stream, stream.connection, lost)
+            await reroute.replace_lost(stream, stream.connection, lost)
 
     async def _find_lost(self, stream):
         """Return the addresses of the chain's engines that are dead or cut off."""
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -158,7 +158,7 @@
         while True:
             now = now_s()
             tellers = tellers_of(roster.beats(state.controls, now))
-            entrystate.note_beat(state)
+            entrystate.record_report_sent(state)
             for address in roster.targets(state.controls, now):
                 if self._is_due(address, now):
                     self._beaten_s[address] = now
@@ -174,8 +174,8 @@
             hangs.prune(state.hangs, known)
             ratekeeper.sweep(state.rates, known, now)
             backoffs.prune(state.backoffs, known)
-            for engine_id in set(state.leaving_s) - known:
-                del state.leaving_s[engine_id]
+            for engine_id in set(state.leaving_since_s) - known:
+                del state.leaving_since_s[engine_id]
             brokenruns.sweep(state.broken, now)
             state.crashes.review(set(roster.targets(state.controls, now)), now)
             await anyio.sleep(BEAT_S if state.table else FIRST_BEAT_S)
@@ -203,7 +203,9 @@
             version=state.version,
             seen=self._seen.get(address, TableMark("", 0)),
             usage=entrystate.usage(state) if is_teller else (),
-            spent=sharedbudget.count_usage(state.budget, now) if is_teller else (),
+            spent=sharedbudget.count_usage(state.retry_budget, now)
+            if is_teller
+            else (),
             wants_all=wants_all,
             crashes=state.crashes.message(address, now) if wants_crashes else None,
             limits=ratekeeper.told(state.rates.book, now),
@@ -250,9 +252,13 @@
         state.entries = answer.entries
         if answer.usage is not None:
             data_centres = len(tellers_of(roster.beats(state.controls, now)))
-            entrystate.hear_others(state, answer.usage, data_centres, now)
+            entrystate.update_peer_load(state, answer.usage, data_centres, now)
             sharedbudget.update_share(
-                state.budget, answer.spent, answer.entries, now, answer.spent_age_s
+                state.retry_budget,
+                answer.spent,
+                answer.entries,
+                now,
+                answer.spent_age_s,
             )
         if answer.crashes is not None:
             state.crashes.take(answer.address, answer.crashes, now)
@@ -295,7 +301,7 @@
             if entry is not None and not entry.is_gone:
                 self._note_incarnation(entry.announcement)
             if entry is not None and endpoints.has_leaving_notice(entry.announcement):
-                state.leaving_s.setdefault(engine_id, now)
+                state.leaving_since_s.setdefault(engine_id, now)
 
     def _note_incarnation(self, announcement):
         """Drop the connections to what was at an address before this incarnation.
@@ -332,7 +338,7 @@
 
     def _on_end(self, notice):
         state, engine_id = self.state, notice.engine_id
-        is_news = not entrystate.is_certainly_dead(state, engine_id)
+        is_news = not entrystate.is_confirmed_dead(state, engine_id)
         suspicion.record_confirmed_death(state.suspicions, engine_id, now_s())
         if is_news:
             state.sink.write("uplink", "engine-ended", True, engine_id=engine_id)
@@ -340,7 +346,7 @@
 
     def _on_acquittal(self, acquittal):
         engine_id = acquittal.engine_id
-        brokenruns.lives(self.state.broken, engine_id)
+        brokenruns.record_alive(self.state.broken, engine_id)
         if suspicion.reinstate(self.state.suspicions, engine_id):
             self.state.sink.write(
                 "uplink", "engine-acquitted", True, engine_id=engine_id
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -36,19 +36,19 @@
 # asked for again, but not for ever.
 MOST_STANDSTILLS = 3
 # Other control VMs that are asked what they see.
-MOST_WITNESSES = 2
+MAX_PEERS_ASKED = 2
 # Both of a witness's reports, and the way there and back.
-OPINION_S = 0.6
+PEER_ANSWER_TIMEOUT_S = 0.6
 # Heartbeats that an engine misses at the end. One that lives was heard by then, whoever
 # else misses it.
-MISSED_BEATS = 2
+MISSED_HEARTBEATS = 2
 # How often entries are told that an engine has ended: each notice may be lost.
 END_NOTICES = 3
 
 log = logger.bind(part="verification")
 
 
-class Seen(StrEnum):
+class Observation(StrEnum):
     """What one look at an engine shows."""
 
     LIVES = "lives"
@@ -67,26 +67,28 @@
     UNCLEAR = "unclear"
 
 
-def judge(own: Seen, others: Iterable[Seen], asked: int) -> Verdict:
+def decide_verdict(
+    own: Observation, others: Iterable[Observation], asked: int
+) -> Verdict:
     """Return what follows from an own look and from the answers of those asked.
 
     Silence is believed when another one met it too, or when there is nobody to ask. A
     VM that nobody answers may be the one that is cut off.
     """
     seen = {own, *others}
-    if Seen.ENDED in seen:
+    if Observation.ENDED in seen:
         return Verdict.DEAD
-    if Seen.LIVES in seen:
+    if Observation.LIVES in seen:
         return Verdict.LIVES
-    is_shared = Seen.SILENT in set(others) or not asked
-    return Verdict.DEAD if own is Seen.SILENT and is_shared else Verdict.UNCLEAR
+    is_shared = Observation.SILENT in set(others) or not asked
+    return Verdict.DEAD if own is Observation.SILENT and is_shared else Verdict.UNCLEAR
 
 
 class _Look:
     """A look under way, for all who ask meanwhile."""
 
     def __init__(self):
-        self.seen = Seen.UNKNOWN
+        self.seen = Observation.UNKNOWN
         self.is_over = anyio.Event()
 
 
@@ -94,7 +96,7 @@
     """The control VMs that were asked about an engine, and what they have answered."""
 
     asked: tuple[str, ...]
-    heard: dict[str, Seen]
+    heard: dict[str, Observation]
     is_over: anyio.Event
 
 
@@ -112,7 +114,7 @@
         # How often entries were told that an engine has ended.
         self._told: dict[str, int] = {}
 
-    def hear(self, accusation: Accusation) -> None:
+    def handle_suspicion(self, accusation: Accusation) -> None:
         """Look into an accusation; one look serves all who accuse at that time."""
         engine_id = accusation.engine_id
         senders = self._waiting.get(engine_id)
@@ -122,17 +124,17 @@
         self._waiting[engine_id] = {accusation.sender}
         self.group.start_soon(self._investigate, engine_id)
 
-    def hear_question(self, question: Question) -> None:
+    def handle_probe_request(self, question: Question) -> None:
         """Look at an engine for another control VM; the verdict is that one's."""
         self.group.start_soon(self._answer, question)
 
-    def hear_finding(self, finding: Finding) -> None:
+    def handle_probe_result(self, finding: Finding) -> None:
         """Take what another control VM saw."""
         opinions = self._opinions.get(finding.engine_id)
         if opinions is None or finding.sender not in opinions.asked:
             return
-        opinions.heard[finding.sender] = Seen(finding.seen)
-        is_clear = finding.seen in (Seen.LIVES, Seen.ENDED)
+        opinions.heard[finding.sender] = Observation(finding.seen)
+        is_clear = finding.seen in (Observation.LIVES, Observation.ENDED)
         if is_clear or len(opinions.heard) == len(opinions.asked):
             opinions.is_over.set()
 
@@ -143,21 +145,21 @@
 
     async def _investigate(self, engine_id):
         own = await self._see(engine_id)
-        opinions = self._ask(engine_id) if own is Seen.SILENT else None
+        opinions = self._ask(engine_id) if own is Observation.SILENT else None
         if opinions is not None and opinions.asked:
-            with anyio.move_on_after(OPINION_S):
+            with anyio.move_on_after(PEER_ANSWER_TIMEOUT_S):
                 await opinions.is_over.wait()
         self._opinions.pop(engine_id, None)
         senders = self._waiting.pop(engine_id)
         heard = opinions.heard if opinions else {}
         asked = len(opinions.asked) if opinions else 0
-        verdict = judge(own, heard.values(), asked)
+        verdict = decide_verdict(own, heard.values(), asked)
         self._log(engine_id, senders, own, heard, verdict)
         if verdict is Verdict.LIVES:
             for address in senders:
                 self.links.send(address, Acquittal(engine_id))
         elif verdict is Verdict.DEAD:
-            self.condemn(engine_id)
+            self.mark_dead(engine_id)
             self._tell(DeathNotice(engine_id), self.state.roster, self.state.entries)
 
     def _log(self, engine_id, senders, own, heard, verdict):
@@ -178,7 +180,7 @@
             for address in roster.present(listeners, now):
                 self.links.send(address, notice)
 
-    def condemn(self, engine_id: str) -> None:
+    def mark_dead(self, engine_id: str) -> None:
         """Take an engine as dead until it is heard again."""
         self.state.accused[engine_id] = now_s()
 
@@ -188,7 +190,7 @@
         Nobody's silence alone ends the runs at an engine: it has to miss its heartbeats
         as well. Only the log's leader tells, as one that others don't hear can't lead.
         """
-        unheard_s = MISSED_BEATS * self.state.settings.heartbeat_s
+        unheard_s = MISSED_HEARTBEATS * self.state.settings.heartbeat_s
         for engine_id, accused_s in list(self.state.accused.items()):
             known = self.state.endpoints.table.entries.get(engine_id)
             if known is None or known.is_gone or known.heard_s > accused_s:
@@ -202,7 +204,7 @@
 
     async def _confirm_end(self, engine_id):
         seen = await self._see(engine_id)
-        if seen is Seen.LIVES:
+        if seen is Observation.LIVES:
             self.state.accused.pop(engine_id, None)
             self._tell(Acquittal(engine_id), self.state.entries)
         else:
@@ -220,7 +222,7 @@
         entry = self.state.endpoints.table.entries.get(engine_id)
         vm_zone = entry.announcement.vm_zone if entry else ""
         present.sort(key=lambda beat: (beat.vm_zone != vm_zone, beat.address))
-        asked = tuple(beat.address for beat in present[:MOST_WITNESSES])
+        asked = tuple(beat.address for beat in present[:MAX_PEERS_ASKED])
         opinions = _Opinions(asked, {}, anyio.Event())
         self._opinions[engine_id] = opinions
         for address in asked:
@@ -244,9 +246,9 @@
     async def _look(self, engine_id):
         known = self.state.endpoints.table.entries.get(engine_id)
         if known is None or not known.announcement.address:
-            return Seen.UNKNOWN
+            return Observation.UNKNOWN
         if known.is_gone:
-            return Seen.ENDED
+            return Observation.ENDED
         address = known.announcement.address
         for timeout_s in (REPORT_S, SECOND_REPORT_S):
             report = await self._report(address, timeout_s)
@@ -254,11 +256,11 @@
                 # Another incarnation at the same address would answer as well.
                 is_same = stalls.is_of_incarnation(report, known.announcement)
                 is_there = is_same and self._is_newest_there(engine_id, address)
-                return Seen.LIVES if is_there else Seen.ENDED
+                return Observation.LIVES if is_there else Observation.ENDED
             if engine_id in self._waiting:
                 # The others look while this one tries once more.
                 self._ask(engine_id)
-        return Seen.SILENT
+        return Observation.SILENT
 
     async def _report(self, address, timeout_s):
         """Return an engine's report, or None; asks again after an own standstill."""
@@ -268,7 +270,7 @@
                 return await enginecalls.get_report(address, timeout_s)
             except EngineCallFailed as error:
                 log.info("No report: {}.", error)
-            if now_s() - asked_s < timeout_s + stalls.OWN_DELAY_S:
+            if now_s() - asked_s < timeout_s + stalls.PROCESS_STALL_S:
                 return None
         return None
 
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -47,7 +47,7 @@
         self.shed(ENGINE, backoff_s=0.01)
         anyio.run(anyio.sleep, 0.02)
         self.assertTrue(self.may_begin())
-        backpressure.begin(self.state, ENGINE, now_s())
+        backpressure.record_request(self.state, ENGINE, now_s())
         self.assertFalse(self.may_begin())
         self.hear(status=200)
         self.assertTrue(self.may_begin())
@@ -98,7 +98,7 @@
         return SimpleNamespace(
             job=job,
             tokens=900,
-            ran_at=[],
+            ran_engine_ids=[],
             has_begun=has_begun,
             excluded=lambda _: set(),
         )
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -112,20 +112,20 @@
 
     def test_not_when_the_engine_has_answered_another_request_since(self):
         self.break_run()
-        brokenruns.answered(self.state.broken, FIRST, now_s() + 0.1)
-        brokenruns.answered(self.state.broken, FIRST, now_s() + 0.5)
+        brokenruns.record_answer(self.state.broken, FIRST, now_s() + 0.1)
+        brokenruns.record_answer(self.state.broken, FIRST, now_s() + 0.5)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
 
     def test_it_counts_although_an_answer_was_still_in_flight(self):
         self.break_run()
-        brokenruns.answered(self.state.broken, FIRST, now_s() + 0.1)
+        brokenruns.record_answer(self.state.broken, FIRST, now_s() + 0.1)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
     def test_old_ones_are_forgotten(self):
         self.break_run()
-        brokenruns.sweep(self.state.broken, now_s() + brokenruns.PENDING_S + 0.1)
+        brokenruns.sweep(self.state.broken, now_s() + brokenruns.RETENTION_S + 0.1)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual((self.known(), self.state.broken.runs), (set(), {}))
 
@@ -142,7 +142,7 @@
         self.assertEqual(self.known(), set())
 
     def test_not_when_the_engine_had_said_that_it_leaves(self):
-        self.state.leaving_s[FIRST] = now_s() - 2.0
+        self.state.leaving_since_s[FIRST] = now_s() - 2.0
         self.break_run()
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
@@ -183,15 +183,15 @@
 
         async def relay(stream, connection):
             streamrelay._note_head(stream)
-            await reroute.go_on_without(stream, connection, {lost})
+            await reroute.replace_lost(stream, connection, {lost})
             raise AnswerBroken("the connection was closed")
 
         opened = mock.AsyncMock(return_value=SimpleNamespace(close=lambda: None))
         with (
-            mock.patch.object(streamrelay.attempts, "open_for", opened),
+            mock.patch.object(streamrelay.attempts, "open_connection", opened),
             mock.patch.object(streamrelay.attempts, "send", mock.AsyncMock()),
             mock.patch.object(streamrelay, "_relay", relay),
-            mock.patch.object(reroute, "without", lambda *_: None),
+            mock.patch.object(reroute, "find_replacement", lambda *_: None),
         ):
             return anyio.run(streamrelay._exchange, stream)
 
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -17,14 +17,14 @@
 from cherryrudder.node.errors import EngineCallFailed
 from cherryrudder.node.gossip import Accusation, Acquittal, DeathNotice, EndNotice
 from cherryrudder.node.uplink import Uplink
-from cherryrudder.node.verification import Seen, Verdict, judge
+from cherryrudder.node.verification import Observation, Verdict, decide_verdict
 from cherryrudder.platform.engines import Report
 from cherryrudder.replica.clock import now_s
 
 REPORT = Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
 ENGINE = "boot-1"
 # Past the heartbeats that one which has ended misses.
-UNHEARD_S = verification.MISSED_BEATS * some_settings().heartbeat_s
+UNHEARD_S = verification.MISSED_HEARTBEATS * some_settings().heartbeat_s
 # Control VMs by the last number of their address, and their data centres.
 NEAR, ALSO_NEAR, FAR = "10.0.0.1", "10.0.0.2", "10.0.1.1"
 ZONES = {NEAR: "a", ALSO_NEAR: "a", FAR: "b"}
@@ -67,7 +67,7 @@
                     verifier.group = group
                 after()
 
-        with mock.patch.object(verification, "OPINION_S", 0.05):
+        with mock.patch.object(verification, "PEER_ANSWER_TIMEOUT_S", 0.05):
             anyio.run(play)
         return [message for _, message in self.sent]
 
@@ -102,12 +102,12 @@
     def counts(self):
         """Return whether a stream that ran at the engine may use another in place."""
         stream = SimpleNamespace(
-            ran_at=[ENGINE, "boot-2"],
+            ran_engine_ids=[ENGINE, "boot-2"],
             job=SimpleNamespace(
                 state=self.entry, route=SimpleNamespace(max_attempts=2)
             ),
         )
-        return ENGINE in streamchains.bounding_firsts(stream)
+        return ENGINE in streamchains.allowed_first_engines(stream)
 
 
 class DisagreementTest(unittest.TestCase):
@@ -137,7 +137,7 @@
 
     def test_those_near_the_engine_are_asked_first(self):
         play = Play(self, {NEAR: False, FAR: True, ALSO_NEAR: False})
-        with mock.patch.object(verification, "MOST_WITNESSES", 1):
+        with mock.patch.object(verification, "MAX_PEERS_ASKED", 1):
             play.run()
         self.assertNotIn(FAR, play.asked)
 
@@ -230,7 +230,7 @@
         async def get_report(address, timeout_s):
             calls.append(address)
             if len(calls) == 1:
-                stand_still(timeout_s + 2 * stalls.OWN_DELAY_S)
+                stand_still(timeout_s + 2 * stalls.PROCESS_STALL_S)
                 raise EngineCallFailed(address)
             return REPORT
 
@@ -244,22 +244,22 @@
     def test_every_pair_of_looks(self):
         dead, lives, unclear = Verdict.DEAD, Verdict.LIVES, Verdict.UNCLEAR
         cases = {
-            (Seen.SILENT, ()): unclear,
-            (Seen.SILENT, (Seen.UNKNOWN,)): unclear,
-            (Seen.SILENT, (Seen.SILENT,)): dead,
-            (Seen.SILENT, (Seen.SILENT, Seen.UNKNOWN)): dead,
-            (Seen.SILENT, (Seen.SILENT, Seen.LIVES)): lives,
-            (Seen.SILENT, (Seen.ENDED,)): dead,
-            (Seen.ENDED, (Seen.LIVES,)): dead,
-            (Seen.LIVES, ()): lives,
-            (Seen.UNKNOWN, ()): unclear,
+            (Observation.SILENT, ()): unclear,
+            (Observation.SILENT, (Observation.UNKNOWN,)): unclear,
+            (Observation.SILENT, (Observation.SILENT,)): dead,
+            (Observation.SILENT, (Observation.SILENT, Observation.UNKNOWN)): dead,
+            (Observation.SILENT, (Observation.SILENT, Observation.LIVES)): lives,
+            (Observation.SILENT, (Observation.ENDED,)): dead,
+            (Observation.ENDED, (Observation.LIVES,)): dead,
+            (Observation.LIVES, ()): lives,
+            (Observation.UNKNOWN, ()): unclear,
         }
         for (own, others), verdict in cases.items():
             with self.subTest(own=own, others=others):
-                self.assertIs(judge(own, others, asked=2), verdict)
+                self.assertIs(decide_verdict(own, others, asked=2), verdict)
 
     def test_without_anybody_to_ask_the_own_look_counts(self):
-        self.assertIs(judge(Seen.SILENT, (), asked=0), Verdict.DEAD)
+        self.assertIs(decide_verdict(Observation.SILENT, (), asked=0), Verdict.DEAD)
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -32,13 +32,13 @@
 
     def test_an_early_word_of_few_entries_is_not_believed(self):
         self.state.entries = 2
-        entrystate.hear_others(self.state, (), 3, self.state.started_s + 0.5)
+        entrystate.update_peer_load(self.state, (), 3, self.state.started_s + 0.5)
         self.assertGreaterEqual(self.others_seen().firsts, 50)
 
     def test_later_the_word_counts(self):
         self.state.entries = 6
         later_s = self.state.started_s + entrystate.FIRST_S
-        entrystate.hear_others(self.state, (), 3, later_s)
+        entrystate.update_peer_load(self.state, (), 3, later_s)
         self.assertEqual(self.others_seen().firsts, 10)
 
 
--- a/libs/node/test/test_pacewatch.py
+++ b/libs/node/test/test_pacewatch.py
@@ -58,7 +58,7 @@
         return sent, asked
 
     async def complain(self, watch):
-        watch.hear(Complaint(("boot-1", "unknown")))
+        watch.handle_slowness_report(Complaint(("boot-1", "unknown")))
 
     def test_a_slow_engine_is_told_until_it_is_sound(self):
         sent, _ = self.play([5.0, 5.0, 1.0], self.complain)
@@ -67,7 +67,7 @@
     def test_a_sound_engine_is_no_news_and_rests(self):
         async def scenario(watch):
             for _ in range(5):
-                watch.hear(Complaint(("boot-1",)))
+                watch.handle_slowness_report(Complaint(("boot-1",)))
                 await anyio.sleep(0.01)
 
         sent, asked = self.play([], scenario)
@@ -81,9 +81,9 @@
         """An engine that was found sound rests, and an entry sees it slow then."""
 
         async def scenario(watch):
-            watch.hear(Complaint(("boot-1",)))
+            watch.handle_slowness_report(Complaint(("boot-1",)))
             await anyio.sleep(0.02)
-            watch.hear_seen(PaceNews("boot-1", 7.0))
+            watch.handle_pace_update(PaceNews("boot-1", 7.0))
 
         sent, _ = self.play([1.0, 7.0, 1.0], scenario)
         self.assertEqual([news.slowness for news in sent], [7.0, 7.0, 1.0])
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -86,7 +86,7 @@
 
     def test_a_permit_is_for_one_request(self):
         self.grant()
-        backpressure.begin(self.state, ENGINE, now_s())
+        backpressure.record_request(self.state, ENGINE, now_s())
         self.assertFalse(self.may_begin())
 
     def test_the_control_vm_beside_it_is_asked(self):
--- a/libs/node/test/test_reroute.py
+++ b/libs/node/test/test_reroute.py
@@ -47,12 +47,12 @@
 
         async def play():
             with anyio.fail_after(10):
-                await reroute.go_on_without(
+                await reroute.replace_lost(
                     stream, stream.connection, {CHAIN[1].address}
                 )
 
         with (
-            mock.patch.object(reroute, "without", lambda *_: parts()),
+            mock.patch.object(reroute, "find_replacement", lambda *_: parts()),
             mock.patch.object(reroute, "order", order),
             mock.patch.object(reroute, "take"),
             mock.patch.object(reroute, "PART_POLL_S", 0.001),
--- a/libs/node/test/test_stalls.py
+++ b/libs/node/test/test_stalls.py
@@ -77,7 +77,7 @@
         async def get_report(address, timeout_s, kept):
             calls.append(address)
             if len(calls) == 1:
-                stand_still(timeout_s + 2 * stalls.OWN_DELAY_S)
+                stand_still(timeout_s + 2 * stalls.PROCESS_STALL_S)
                 raise EngineCallFailed(address)
             return Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
 
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -46,7 +46,7 @@
         has_begun=True,
         is_counted=False,
         chain=(),
-        ran_at=[],
+        ran_engine_ids=[],
         refusal="",
         offer=None,
     )
@@ -159,7 +159,7 @@
         self.stream = a_stream(self.state, None)
         self.stream.job.service = SimpleNamespace(name="llm", model=a_model(layers=16))
         self.stream.job.facts.prompt_tokens = 800
-        self.stream.ran_at = ["first", "second"]
+        self.stream.ran_engine_ids = ["first", "second"]
         self.stream.refusal = ""
 
     def suspect(self, name):
@@ -207,12 +207,12 @@
         self.assertEqual(self.chosen()[0], {"first", "third"})
 
     def test_two_runs_at_one_engine_count_once(self):
-        self.stream.ran_at = ["first", "first"]
+        self.stream.ran_engine_ids = ["first", "first"]
         self.assertEqual(self.chosen()[0], {"first", "second", "third"})
 
     def test_a_run_under_way_counts_when_it_is_to_be_left(self):
         """Left for a third engine that it may not use, the stream would only wait."""
-        self.stream.ran_at = ["first"]
+        self.stream.ran_engine_ids = ["first"]
         self.stream.chain = (Part("second:80", "second", 0, 8),)
         self.assertTrue(streamchains.has_other_chain(self.stream, {"second:80"}))
         self.assertFalse(
--- a/libs/node/test/test_streamrelay.py
+++ b/libs/node/test/test_streamrelay.py
@@ -73,7 +73,7 @@
         state = a_state(piped.sink)
         tablesync.hear(state.endpoints, an_announcement("boot-1"), now_s())
         for _ in range(200):
-            sharedbudget.record_request(state.budget, "llm", now_s())
+            sharedbudget.record_request(state.retry_budget, "llm", now_s())
         job = SimpleNamespace(
             state=state,
             service=SimpleNamespace(name="llm", model=None),
