--- a/libs/node/src/cherryrudder/node/surface.py
+++ b/libs/node/src/cherryrudder/node/adminapi.py
@@ -10,8 +10,8 @@
 from cherryrudder.replica.clock import now_s
 
 from . import httpserver
-from .crashdesk import CrashDesk
-from .gossip import CrashNews
+from .crashtracker import CrashTracker
+from .gossip import CrashUpdate
 from .httpserver import HttpServer
 from .metrics import Metrics
 
@@ -28,17 +28,17 @@
 log = logger.bind(part="surface")
 
 
-class Shown(NamedTuple):
+class AdminContext(NamedTuple):
     """What a process shows, and where it tells others that a block was lifted."""
 
     metrics: Metrics
-    desk: CrashDesk
-    tell: Callable[[CrashNews], None]
+    desk: CrashTracker
+    tell: Callable[[CrashUpdate], None]
     # Returns the requests a second that engines ask for.
     limits: Callable[[float], list]
 
 
-async def serve(address: str, shown: Shown) -> None:
+async def serve(address: str, shown: AdminContext) -> None:
     """Answer until cancelled."""
 
     async def answer(exchange: Exchange):
@@ -49,7 +49,7 @@
     await httpserver.serve(HttpServer(answer), address)
 
 
-def respond(shown: Shown, method: str, path: str, now_s: float):
+def respond(shown: AdminContext, method: str, path: str, now_s: float):
     """Return status, headers and body of the answer to one call."""
     if (method, path) == ("GET", METRICS_PATH):
         return 200, TEXT, shown.metrics.render()
--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -10,7 +10,7 @@
 from cherryrudder.platform.messages import AnswerFacts
 from cherryrudder.routing import backoffs
 
-from . import entrystate, ratekeeper, tablesync
+from . import entrystate, ratelimiter, tablesync
 
 if TYPE_CHECKING:
     from .entrystate import EntryState
@@ -27,7 +27,7 @@
     job: "Job", engine_id: str, status: int, facts: AnswerFacts, now_s: float
 ) -> None:
     """Take what an engine's answer asks for."""
-    ratekeeper.note_answer(job, engine_id, facts, now_s)
+    ratelimiter.note_answer(job, engine_id, facts, now_s)
     state = job.state
     if facts.is_leaving:
         _note_leaving(job, engine_id, now_s)
@@ -45,7 +45,7 @@
 def _note_leaving(job, engine_id, now_s):
     """Give an engine that says that it leaves no new work, here and elsewhere."""
     state = job.state
-    if tablesync.tell_senders(state.endpoints, engine_id, now_s):
+    if tablesync.record_leaving(state.endpoints, engine_id, now_s):
         state.leaving_since_s.setdefault(engine_id, now_s)
         state.metrics.beliefs.labels("engine-leaving").inc()
         job.note("engine-leaving", True, engine_id=engine_id)
@@ -78,14 +78,14 @@
         if not backoffs.may_send(state.backoffs, engine_id, now_s):
             return False
     if engine_id in state.rates.book.limits:
-        return ratekeeper.may_begin(state, engine_id, now_s)
+        return ratelimiter.may_begin(state, engine_id, now_s)
     return True
 
 
 def record_request(state: "EntryState", engine_id: str, now_s: float) -> None:
     """Take note of a request that is about to be sent."""
     backoffs.record_sent(state.backoffs, engine_id, now_s)
-    ratekeeper.begin(state, engine_id, now_s)
+    ratelimiter.use_permit(state, engine_id, now_s)
 
 
 def wait_s(state: "EntryState", engine_ids: Collection[str], now_s: float) -> float:
@@ -94,7 +94,7 @@
         (
             max(
                 backoffs.left_s(state.backoffs, engine_id, now_s),
-                ratekeeper.wait_s(state, engine_id, now_s),
+                ratelimiter.wait_s(state, engine_id, now_s),
             )
             for engine_id in engine_ids
         ),
--- a/libs/node/src/cherryrudder/node/roomdesk.py
+++ b/libs/node/src/cherryrudder/node/chainscheduler.py
@@ -32,7 +32,7 @@
         self.is_over = anyio.Event()
 
 
-class RoomDesk:
+class ChainScheduler:
     """The streams of one entry that wait for chains of one service."""
 
     def __init__(self):
@@ -45,8 +45,8 @@
         waiting = self.queue.waiting.values()
         return capacityqueue.expected_wait_s(self.queue, sum(r.tokens for r in waiting))
 
-    async def find(
-        self, request: WaitingStream, find_chain: FindChain, is_picky: bool
+    async def find_chain(
+        self, request: WaitingStream, find_chain: FindChain, is_restricted: bool
     ) -> Chain | None:
         """Return a chain, once there is one with room; None when it takes too long.
 
@@ -60,7 +60,7 @@
                 return chain
         if capacityqueue.push(self.queue, request, now_s()) is not None:
             return None
-        turn = self._turns[request.request_id] = _Turn(find_chain, is_picky)
+        turn = self._turns[request.request_id] = _Turn(find_chain, is_restricted)
         self._wake.set()
         try:
             await turn.is_over.wait()
@@ -99,17 +99,17 @@
                 return
 
 
-class RoomDesks:
+class ChainSchedulers:
     """The desks of all services of one entry."""
 
     def __init__(self, group: TaskGroup):
         self._group = group
-        self._desks: dict[str, RoomDesk] = {}
+        self._desks: dict[str, ChainScheduler] = {}
 
-    def of(self, service: str) -> RoomDesk:
+    def get(self, service: str) -> ChainScheduler:
         """Return a service's desk."""
         desk = self._desks.get(service)
         if desk is None:
-            desk = self._desks[service] = RoomDesk()
+            desk = self._desks[service] = ChainScheduler()
             self._group.start_soon(desk.run)
         return desk
--- a/libs/node/src/cherryrudder/node/control.py
+++ b/libs/node/src/cherryrudder/node/control.py
@@ -4,15 +4,15 @@
 
 from cherryrudder.platform.settings import NodeSettings
 
-from . import httpserver, seatkeeper, surface
+from . import adminapi, httpserver, seatkeeper
+from .adminapi import AdminContext
 from .controlapi import ControlApi
-from .controlbeats import ControlBeats
+from .controlgossip import ControlGossip
 from .controlstate import ControlState
 from .httpserver import HttpServer
 from .layerkeeper import LayerKeeper
 from .linesink import LineSink
 from .metrics import Metrics
-from .surface import Shown
 
 # How long a process that is to stop waits for its leadership to be taken over and for
 # the calls that it has begun; the platform gives eight seconds.
@@ -26,12 +26,14 @@
     """Serve as a control VM until `leaving` is set."""
     state = ControlState(settings, sink, metrics)
     async with anyio.create_task_group() as group:
-        beats = ControlBeats(state, group)
+        beats = ControlGossip(state, group)
         beats.start()
         group.start_soon(
-            surface.serve,
-            f"{settings.ip}:{surface.PORTS['control']}",
-            Shown(metrics, state.crashes, beats.tell_crashes, beats.rates.told),
+            adminapi.serve,
+            f"{settings.ip}:{adminapi.PORTS['control']}",
+            AdminContext(
+                metrics, state.crashes, beats.publish_crashes, beats.rates.told
+            ),
         )
         group.start_soon(seatkeeper.run, state, beats.on_applied)
         group.start_soon(LayerKeeper(state, beats, group).run)
--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -11,7 +11,7 @@
 from cherryrudder.routing import configlog, endpoints
 
 from . import tablesync
-from .controlbeats import ControlBeats
+from .controlgossip import ControlGossip
 from .controlstate import ControlState
 
 # Callers turn to another VM after a second without an answer; this leaves them time
@@ -28,7 +28,7 @@
 class ControlApi:
     """Answers calls with what one control process knows."""
 
-    def __init__(self, state: ControlState, beats: ControlBeats):
+    def __init__(self, state: ControlState, beats: ControlGossip):
         self.state = state
         self.beats = beats
 
@@ -62,9 +62,9 @@
             # A service that is yet to be configured is heard with the next heartbeat.
             await self._refuse_malformed(exchange, name, 503, "no such service")
             return
-        if tablesync.hear(self.state.endpoints, heard, now_s()):
+        if tablesync.record_heartbeat(self.state.endpoints, heard, now_s()):
             self._log_endpoint("endpoint", heard)
-            self.beats.spread([heard.engine_id])
+            self.beats.publish_endpoints([heard.engine_id])
         if self._is_cut_off():
             # Heard all the same; but the others should hear it, too. Were it content
             # here, they would take it for lost, and its layers for a hole.
@@ -90,7 +90,7 @@
             is_gone = self.state.endpoints.table.entries[engine_id].is_gone
             event = "endpoint-gone" if is_gone else "endpoint-signed-off"
             self.state.sink.write("control", event, True, engine_id=engine_id)
-            self.beats.spread([engine_id])
+            self.beats.publish_endpoints([engine_id])
         if self._is_cut_off():
             await _fail(exchange, 503, "cut off from the other control VMs")
             return
--- a/libs/node/src/cherryrudder/node/controlbeats.py
+++ b/libs/node/src/cherryrudder/node/controlgossip.py
@@ -12,20 +12,20 @@
 from . import gossip, roster, tablesync
 from .controlstate import ControlState
 from .gossip import (
-    Accusation,
-    Complaint,
     ConfigurationNews,
     ControlAnswer,
     ControlBeat,
-    CrashNews,
+    CrashUpdate,
     DeathNotice,
     EndpointNews,
     EntryBeat,
-    Finding,
     LimitNews,
-    PaceNews,
+    PaceUpdate,
     PermitRequest,
-    Question,
+    ProbeRequest,
+    ProbeResult,
+    SlownessReport,
+    SuspicionReport,
     TableMark,
     Usage,
 )
@@ -56,7 +56,7 @@
 log = logger.bind(part="control")
 
 
-class ControlBeats:
+class ControlGossip:
     """The frame links of one control process."""
 
     def __init__(self, state: ControlState, group):
@@ -97,11 +97,11 @@
             return
         self._changed_s = now_s()
         news = ConfigurationNews(version, self.state.voter.state.packed)
-        for beat in roster.beats(self.state.entries, now_s()):
+        for beat in roster.live_messages(self.state.entries, now_s()):
             if beat.vm_zone == self.state.settings.vm_zone and beat.version < version:
                 self.links.send(beat.address, news)
 
-    def spread(self, engine_ids) -> None:
+    def publish_endpoints(self, engine_ids) -> None:
         """Tell everybody of endpoints that changed just now."""
         told = tablesync.news_of(self.state.endpoints, engine_ids, now_s())
         news = EndpointNews(told)
@@ -110,7 +110,7 @@
         for address in self._everybody():
             self.links.send(address, news)
 
-    def tell_crashes(self, news: CrashNews) -> None:
+    def publish_crashes(self, news: CrashUpdate) -> None:
         """Tell everybody of requests that end engines, or do so no more."""
         for address in self._everybody():
             self.links.send(address, news)
@@ -118,8 +118,8 @@
     def _everybody(self):
         state, now = self.state, now_s()
         return [
-            *roster.present(state.roster, now),
-            *roster.present(state.entries, now),
+            *roster.live_addresses(state.roster, now),
+            *roster.live_addresses(state.entries, now),
         ]
 
     def _on_down(self, address):
@@ -136,17 +136,17 @@
                 self._on_control(message)
             case EndpointNews():
                 self._take_endpoints(message.endpoints)
-            case Accusation():
+            case SuspicionReport():
                 self.verifier.handle_suspicion(message)
-            case Question():
+            case ProbeRequest():
                 self.verifier.handle_probe_request(message)
-            case Finding():
+            case ProbeResult():
                 self.verifier.handle_probe_result(message)
-            case CrashNews():
+            case CrashUpdate():
                 self._pass_on(self.state.crashes.take_records(message.records, now_s()))
-            case Complaint():
+            case SlownessReport():
                 self.pace.handle_slowness_report(message)
-            case PaceNews():
+            case PaceUpdate():
                 self.pace.handle_pace_update(message)
             case DeathNotice():
                 self.verifier.mark_dead(message.engine_id)
@@ -157,7 +157,7 @@
 
     def _on_entry(self, beat):
         state, now = self.state, now_s()
-        if roster.hear(state.entries, beat.address, beat, now):
+        if roster.record(state.entries, beat.address, beat, now):
             state.sink.write(
                 "control", "entry-found", peer=beat.vm, address=beat.address
             )
@@ -171,7 +171,7 @@
 
     def _on_control(self, beat):
         state, now = self.state, now_s()
-        if roster.hear(state.roster, beat.address, beat, now):
+        if roster.record(state.roster, beat.address, beat, now):
             state.sink.write(
                 "control", "control-found", True, peer=beat.vm, address=beat.address
             )
@@ -192,7 +192,7 @@
         if not urgent:
             return
         news = state.crashes.news_of(urgent, now)
-        for beat in roster.beats(state.entries, now):
+        for beat in roster.live_messages(state.entries, now):
             if beat.vm_zone == state.settings.vm_zone:
                 self.links.send(beat.address, news)
 
@@ -200,7 +200,7 @@
         now = now_s()
         news = tablesync.take(self.state.endpoints, endpoints, now)
         # An entry that the sender doesn't reach hears it from here.
-        for address in roster.present(self.state.entries, now) if news else ():
+        for address in roster.live_addresses(self.state.entries, now) if news else ():
             told = tablesync.news_of(self.state.endpoints, news, now)
             self.links.send(address, EndpointNews(told))
 
@@ -217,13 +217,13 @@
             tablesync.sweep(state.endpoints, now)
             self.verifier.review(now)
             self.rates.sweep(now)
-            present = {*roster.targets(state.roster, now), *state.entries.heard}
+            present = {*roster.targets(state.roster, now), *state.entries.peers}
             state.crashes.review(present, now)
             await anyio.sleep(BEAT_S)
 
     def _own_beat(self, address, now):
         state = self.state
-        known = state.roster.heard.get(address)
+        known = state.roster.peers.get(address)
         seen = known.beat.seen if known else TableMark("", 0)
         return ControlBeat(
             boot=state.boot,
@@ -234,7 +234,7 @@
             has_disk=bool(state.settings.data_folder),
             vm_zone=state.settings.vm_zone,
             is_founding=state.settings.is_founding,
-            controls=tuple(roster.present(state.roster, now)),
+            controls=tuple(roster.live_addresses(state.roster, now)),
             seen=self._seen.get(address, TableMark("", 0)),
             table_version=state.endpoints.table.version,
             endpoints=tablesync.news_since(state.endpoints, seen, now),
@@ -286,7 +286,7 @@
             address=state.address,
             sent_s=beat.sent_s,
             version=version,
-            controls=(state.address, *roster.present(state.roster, now)),
+            controls=(state.address, *roster.live_addresses(state.roster, now)),
             table_version=state.endpoints.table.version,
             endpoints=tablesync.news_since(state.endpoints, beat.seen, now),
             alive=tablesync.signs(state.endpoints, now) if beat.wants_all else (),
@@ -294,7 +294,7 @@
             usage=None if others is None else _sum_usage(others),
             spent=None if others is None else _sum_spent(others),
             spent_age_s=roster.mean_age_s(state.entries, beat.address, now),
-            entries=len(roster.present(state.entries, now)),
+            entries=len(roster.live_addresses(state.entries, now)),
             crashes=(
                 state.crashes.message(beat.address, now)
                 if beat.crashes is not None
@@ -308,7 +308,7 @@
         """Return the beats of the other entries, None when they weren't asked for."""
         if not beat.wants_all:
             return None
-        beats = roster.beats(self.state.entries, now)
+        beats = roster.live_messages(self.state.entries, now)
         return [other for other in beats if other.address != beat.address]
 
 
--- a/libs/node/src/cherryrudder/node/controlstate.py
+++ b/libs/node/src/cherryrudder/node/controlstate.py
@@ -14,7 +14,7 @@
 
 from . import gossip
 from .council import Member
-from .crashdesk import CrashDesk
+from .crashtracker import CrashTracker
 from .linesink import LineSink
 from .metrics import Metrics
 from .roster import Roster
@@ -42,9 +42,9 @@
         self.roster = Roster(self.address, self.seed_addresses)
         self.entries = Roster()
         self.endpoints = SharedTable(self.boot)
-        self.crashes = CrashDesk(self.boot, sink, metrics)
+        self.crashes = CrashTracker(self.boot, sink, metrics)
         # When entries last found an engine dead, by its incarnation.
-        self.accused: dict[str, float] = {}
+        self.suspected_s: dict[str, float] = {}
         self.voter: Voter | None = None
         self.disk_id = ""
         # Set once the process is to end.
@@ -89,7 +89,7 @@
         """Return the control processes that tell of themselves, this one included."""
         own = VoterName(self.settings.vm, self.disk_id, self.log_address)
         found = [Member(own, bool(self.settings.data_folder), now_s)]
-        for present in self.roster.heard.values():
+        for present in self.roster.peers.values():
             beat = present.beat
             if beat.disk_id:
                 name = VoterName(beat.vm, beat.disk_id, beat.log_address)
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -13,13 +13,13 @@
 from . import brokenruns, entrystate
 from .brokenruns import BrokenRun
 from .entrystate import EntryState
-from .gossip import CrashNews
+from .gossip import CrashUpdate
 
 if TYPE_CHECKING:
     from .job import Job
 
 # Final for every client: it names the request itself, and promises nothing of its runs.
-ENDS_ENGINES = Refused(400, "it ends the engines that run it")
+REFUSED_AS_CRASHING = Refused(400, "it ends the engines that run it")
 # How long a request that engines ended under before waits to hear whether this one has
 # ended, too: control VMs find it out in some milliseconds, and two ask for 0.4 s.
 FATE_S = 0.5
@@ -39,7 +39,7 @@
     return not serving or any(one.version in block.versions for one in serving)
 
 
-def note_refused(job: "Job", now_s: float) -> None:
+def log_refused(job: "Job", now_s: float) -> None:
     """Log that a request is refused for its block."""
     state = job.state
     block = state.crashes.block_of(job.fingerprint, now_s)
@@ -52,7 +52,9 @@
     )
 
 
-def broke(job: "Job", engine_id: str, event: int, now_s: float) -> CrashNews:
+def record_broken_run(
+    job: "Job", engine_id: str, event: int, now_s: float
+) -> CrashUpdate:
     """Keep a run that broke off; return what others are to hear of it."""
     _forget_refuted_end(job.state, engine_id)
     run = BrokenRun(
@@ -75,7 +77,7 @@
         brokenruns.record_alive(state.broken, engine_id)
 
 
-def engine_ended(state: EntryState, engine_id: str, now_s: float) -> CrashNews:
+def record_engine_end(state: EntryState, engine_id: str, now_s: float) -> CrashUpdate:
     """Take note that an engine has ended; return what others are to hear."""
     brokenruns.record_end(state.broken, engine_id, now_s)
     return _blame(state, engine_id, now_s)
@@ -104,7 +106,7 @@
     return state.crashes.note(records, now)
 
 
-def reached(job: "Job", event: int, now_s: float) -> CrashNews | None:
+def record_progress(job: "Job", event: int, now_s: float) -> CrashUpdate | None:
     """Take note how far a run got on an engine that lives; return what is news."""
     desk = job.state.crashes
     known = desk.book.records.get(job.fingerprint)
@@ -116,7 +118,7 @@
     return desk.note({job.fingerprint: record}, now_s)
 
 
-async def wait_for_fate(job: "Job", engine_id: str) -> None:
+async def wait_for_engine_verdict(job: "Job", engine_id: str) -> None:
     """Wait until it is known whether an engine has ended under a request.
 
     Only where others have before; else each further attempt would end one more.
@@ -128,7 +130,7 @@
         await anyio.sleep(FATE_POLL_S)
 
 
-async def wait_apart(job: "Job") -> None:
+async def delay_suspect(job: "Job") -> None:
     """Hold a suspect back for a moment of its own."""
     delay_s = blame.send_delay_s(job.state.crashes.book, job.fingerprint)
     if delay_s:
--- a/libs/node/src/cherryrudder/node/crashdesk.py
+++ b/libs/node/src/cherryrudder/node/crashtracker.py
@@ -7,12 +7,12 @@
 
 from . import crashsync
 from .crashsync import Marks
-from .gossip import CrashNews, CrashSync, ToldRecord
+from .gossip import CrashSync, CrashUpdate, ToldRecord
 from .linesink import LineSink
 from .metrics import Metrics
 
 
-class CrashDesk:
+class CrashTracker:
     """The book of one process, and where its changes are told."""
 
     def __init__(self, boot: str, sink: LineSink, metrics: Metrics):
@@ -33,15 +33,15 @@
         self._conclude(news, now_s)
         return news
 
-    def note(self, records: dict[str, RequestRecord], now_s: float) -> CrashNews:
+    def note(self, records: dict[str, RequestRecord], now_s: float) -> CrashUpdate:
         """Take what this process itself saw; return what others are to hear of it."""
         news = [one for one in records if crashbook.merge(self.book, one, records[one])]
         self._conclude(news, now_s)
         return self.news_of(news, now_s)
 
-    def news_of(self, fingerprints: Iterable[str], now_s: float) -> CrashNews:
+    def news_of(self, fingerprints: Iterable[str], now_s: float) -> CrashUpdate:
         """Return what others are to hear of some requests."""
-        return CrashNews(crashsync.records_of(self.book, fingerprints, now_s))
+        return CrashUpdate(crashsync.records_of(self.book, fingerprints, now_s))
 
     def message(self, address: str, now_s: float) -> CrashSync:
         """Return what the process at an address is to hear with the next beat."""
@@ -60,11 +60,11 @@
         block = self.book.blocks.get(fingerprint)
         return block if block is not None and now_s < block.until_s else None
 
-    def lift(self, fingerprint: str, now_s: float) -> CrashNews:
+    def lift(self, fingerprint: str, now_s: float) -> CrashUpdate:
         """End a block by an operator's word; return what others are to hear."""
         known = self.book.records.get(fingerprint)
         if known is None or fingerprint not in self.book.blocks:
-            return CrashNews(())
+            return CrashUpdate(())
         return self.note({fingerprint: known._replace(lifted_s=now_s)}, now_s)
 
     def dump(self, now_s: float) -> dict:
--- a/libs/node/src/cherryrudder/node/entry.py
+++ b/libs/node/src/cherryrudder/node/entry.py
@@ -12,13 +12,13 @@
 from cherryrudder.routing import authorization, endpoints
 from cherryrudder.routing.configuration import DEFAULT_LIMITS
 
-from . import httpserver, ratekeeper, surface
+from . import adminapi, httpserver, ratelimiter
+from .adminapi import AdminContext
 from .entrystate import EntryState
 from .frontdoor import FrontDoor
 from .httpserver import HttpServer
 from .linesink import LineSink
 from .metrics import Metrics
-from .surface import Shown
 from .uplink import Uplink
 
 # The platform asks once a second and needs two misses to send nobody here any more;
@@ -44,13 +44,13 @@
         group.start_soon(httpserver.serve, server, settings.client_address)
         group.start_soon(_answer_readiness, state, leaving)
         group.start_soon(
-            surface.serve,
-            f"{settings.ip}:{surface.PORTS['entry']}",
-            Shown(
+            adminapi.serve,
+            f"{settings.ip}:{adminapi.PORTS['entry']}",
+            AdminContext(
                 metrics,
                 state.crashes,
-                uplink.tell_crashes,
-                partial(ratekeeper.dump, state.rates),
+                uplink.publish_crashes,
+                partial(ratelimiter.dump, state.rates),
             ),
         )
         group.start_soon(_tidy, state, server, door)
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -25,11 +25,11 @@
 
 from . import backpressure, gossip
 from .brokenruns import BrokenRuns
-from .crashdesk import CrashDesk
+from .crashtracker import CrashTracker
 from .gossip import Usage
 from .linesink import LineSink
 from .metrics import Metrics
-from .ratekeeper import RateKeeper
+from .ratelimiter import RateLimiter
 from .roster import Roster
 from .tablesync import SharedTable
 
@@ -74,11 +74,11 @@
         self.suspicions = Suspicions()
         self.slowness = SlownessBook()
         self.hangs = Hangs()
-        self.rates = RateKeeper()
+        self.rates = RateLimiter()
         self.backoffs = BackoffBook()
         # Replaced by the uplink: tells all of engines that said that they leave.
         self.spread_endpoints: Callable[[list[str]], None] = lambda engine_ids: None
-        self.crashes = CrashDesk(self.boot, sink, metrics)
+        self.crashes = CrashTracker(self.boot, sink, metrics)
         self.broken = BrokenRuns()
         self.table: RouteTable | None = None
         # When the question was asked whose answer last confirmed the configuration.
--- a/libs/node/src/cherryrudder/node/frontdoor.py
+++ b/libs/node/src/cherryrudder/node/frontdoor.py
@@ -17,9 +17,9 @@
 from cherryrudder.routing.routetable import pick_service
 
 from . import crashes, plainrelay, roster, streamrelay
+from .chainscheduler import ChainSchedulers
 from .entrystate import EntryState
 from .job import Job, refuse
-from .roomdesk import RoomDesks
 from .stalls import StallDesk
 from .supervision import Watch
 from .uplink import Uplink
@@ -51,8 +51,8 @@
         self.is_closed = False
         # When the process ends, once that is known.
         self.ends_s: float | None = None
-        desks = RoomDesks(uplink.group)
-        self._tell_crashes = uplink.tell_crashes
+        desks = ChainSchedulers(uplink.group)
+        self._tell_crashes = uplink.publish_crashes
         self.watch = Watch(state, StallDesk(state, uplink), desks)
 
     async def handle(self, exchange: Exchange) -> None:
@@ -93,7 +93,7 @@
             AccessRequest(facts.host, request.target.decode("latin-1"), facts.key),
             now - state.confirmed_s,
             state.settings.bounds.revoke_s,
-            is_cut_off=was_confirmed and not roster.present(state.controls, now),
+            is_cut_off=was_confirmed and not roster.live_addresses(state.controls, now),
         )
 
     async def _serve(self, exchange, facts, admitted: Admitted):
--- a/libs/node/src/cherryrudder/node/gossip.py
+++ b/libs/node/src/cherryrudder/node/gossip.py
@@ -177,32 +177,32 @@
     packed: str
 
 
-class Accusation(NamedTuple):
+class SuspicionReport(NamedTuple):
     """An entry had no answer from an engine and takes it as dead."""
 
     engine_id: str
     sender: str
 
 
-class Acquittal(NamedTuple):
+class Refutation(NamedTuple):
     """A control VM had the answer that the accuser missed; the engine lives."""
 
     engine_id: str
 
 
-class Question(NamedTuple):
+class ProbeRequest(NamedTuple):
     """A control VM had no answer from an engine and asks another one to look."""
 
     engine_id: str
     sender: str
 
 
-class Finding(NamedTuple):
+class ProbeResult(NamedTuple):
     """What a control VM that was asked saw of an engine; see `verification.Seen`."""
 
     engine_id: str
     sender: str
-    seen: str
+    observation: str
 
 
 class DeathNotice(NamedTuple):
@@ -211,13 +211,13 @@
     engine_id: str
 
 
-class EndNotice(NamedTuple):
+class DeathConfirmation(NamedTuple):
     """An engine that was found dead has missed its heartbeats, too: its runs ended."""
 
     engine_id: str
 
 
-class CrashNews(NamedTuple):
+class CrashUpdate(NamedTuple):
     """Requests under which an engine has ended just now, or that got further."""
 
     records: tuple[ToldRecord, ...]
@@ -245,13 +245,13 @@
     grant: Grant
 
 
-class Complaint(NamedTuple):
+class SlownessReport(NamedTuple):
     """A stream goes slower than its chain should; one of these engines is slow."""
 
     engine_ids: tuple[str, ...]
 
 
-class PaceNews(NamedTuple):
+class PaceUpdate(NamedTuple):
     """How many times slower than its kind an engine says that it is."""
 
     engine_id: str
@@ -264,15 +264,15 @@
     ControlBeat,
     EndpointNews,
     ConfigurationNews,
-    Accusation,
-    Acquittal,
-    Question,
-    Finding,
+    SuspicionReport,
+    Refutation,
+    ProbeRequest,
+    ProbeResult,
     DeathNotice,
-    EndNotice,
-    CrashNews,
-    Complaint,
-    PaceNews,
+    DeathConfirmation,
+    CrashUpdate,
+    SlownessReport,
+    PaceUpdate,
     LimitNews,
     PermitRequest,
     PermitGrant,
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -167,8 +167,8 @@
 
     async def refuse_for_good(self) -> None:
         """Answer a request that ends its engines."""
-        crashes.note_refused(self, now_s())
-        await self.refuse(crashes.ENDS_ENGINES)
+        crashes.log_refused(self, now_s())
+        await self.refuse(crashes.REFUSED_AS_CRASHING)
 
     async def fail(self, failed: Failed) -> None:
         """Send the final answer after attempts that brought none.
@@ -217,7 +217,7 @@
     )
     headers = messages.own_headers(facts.request_id, refused.retry_after_s)
     body = b""
-    if refused is crashes.ENDS_ENGINES:
+    if refused is crashes.REFUSED_AS_CRASHING:
         headers.append((b"content-type", b"application/json"))
         body = msgspec.json.encode({"error": refused.reason})
     if refused is CUT_OFF:
--- a/libs/node/src/cherryrudder/node/layerkeeper.py
+++ b/libs/node/src/cherryrudder/node/layerkeeper.py
@@ -19,7 +19,7 @@
 from cherryrudder.routing.endpoints import Announcement
 
 from . import enginecalls, tablesync
-from .controlbeats import ControlBeats
+from .controlgossip import ControlGossip
 from .controlstate import ControlState
 from .errors import EngineCallFailed
 
@@ -59,7 +59,7 @@
 class LayerKeeper:
     """The orders of one control process while it leads."""
 
-    def __init__(self, state: ControlState, beats: ControlBeats, group):
+    def __init__(self, state: ControlState, beats: ControlGossip, group):
         self.state = state
         self.beats = beats
         self.group = group
@@ -102,11 +102,11 @@
 
     def _is_dead(self, engine_id, now):
         """Tell whether an engine that entries found dead has not been heard since."""
-        accused_s = self.state.accused.get(engine_id)
+        accused_s = self.state.suspected_s.get(engine_id)
         if accused_s is None:
             return False
         if self.state.endpoints.table.entries[engine_id].heard_s > accused_s:
-            del self.state.accused[engine_id]
+            del self.state.suspected_s[engine_id]
             return False
         return now - accused_s > TOGETHER_S
 
@@ -198,7 +198,7 @@
             self.state.sink.write(
                 "layers", "seen", True, engine_id=engine_id, layers=list(holding)
             )
-            self.beats.spread([engine_id])
+            self.beats.publish_endpoints([engine_id])
 
 
 def _kept(old: LayerRange, new: LayerRange) -> LayerRange:
--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -18,7 +18,7 @@
 from . import enginecalls, roster
 from .controlstate import ControlState
 from .errors import EngineCallFailed
-from .gossip import Complaint, PaceNews
+from .gossip import PaceUpdate, SlownessReport
 
 # Between looks at a slow engine; its report is some 0.2 s old by itself.
 AGAIN_S = 0.5
@@ -46,7 +46,7 @@
         self._watched: set[str] = set()
         self._rests: dict[str, tuple[float, float]] = {}
 
-    def handle_slowness_report(self, complaint: Complaint) -> None:
+    def handle_slowness_report(self, complaint: SlownessReport) -> None:
         """Look at the engines of a slow chain that were not looked at lately."""
         now = now_s()
         for engine_id in complaint.engine_ids:
@@ -57,7 +57,7 @@
                 self._watched.add(engine_id)
                 self.group.start_soon(self._watch, engine_id)
 
-    def handle_pace_update(self, news: PaceNews) -> None:
+    def handle_pace_update(self, news: PaceUpdate) -> None:
         """Take over from an entry that has seen in a report that an engine is slow."""
         engine_id = news.engine_id
         is_known = engine_id in self.state.endpoints.table.entries
@@ -92,8 +92,8 @@
             return 1.0
 
     def _tell(self, engine_id, slowness, is_news):
-        news = PaceNews(engine_id, slowness)
-        for address in roster.present(self.state.entries, now_s()):
+        news = PaceUpdate(engine_id, slowness)
+        for address in roster.live_addresses(self.state.entries, now_s()):
             self.links.send(address, news)
         if is_news:
             self.state.sink.write(
--- a/libs/node/src/cherryrudder/node/permitissuer.py
+++ b/libs/node/src/cherryrudder/node/permitissuer.py
@@ -11,7 +11,7 @@
 from cherryrudder.routing import ratelimits
 from cherryrudder.routing.ratelimits import Limit, LimitBook
 
-from . import ratekeeper, roster
+from . import ratelimiter, roster
 from .controlstate import ControlState
 from .gossip import LimitNews, PermitGrant, PermitRequest, ToldLimit
 
@@ -30,7 +30,7 @@
         news = [one for one in told if self._is_news(one, now_s)]
         if not news:
             return
-        for beat in roster.beats(self.state.entries, now_s):
+        for beat in roster.live_messages(self.state.entries, now_s):
             if self._passes_on_to(beat.vm_zone, now_s):
                 self.links.send(beat.address, LimitNews(tuple(news)))
 
@@ -57,7 +57,7 @@
 
     def told(self, now_s: float) -> tuple[ToldLimit, ...]:
         """Return the limits as other processes are told them."""
-        return ratekeeper.told(self.book, now_s)
+        return ratelimiter.told(self.book, now_s)
 
     def sweep(self, now_s: float) -> None:
         """Forget engines that are gone, and limits that ended long ago."""
@@ -85,7 +85,9 @@
         Each passes on only to one before it, so that no ask goes round in circles.
         """
         state = self.state
-        zones = {b.address: b.vm_zone for b in roster.beats(state.roster, now_s)}
+        zones = {
+            b.address: b.vm_zone for b in roster.live_messages(state.roster, now_s)
+        }
         zones[state.address] = state.settings.vm_zone
         known = state.endpoints.table.entries.get(engine_id)
         vm_zone = known.announcement.vm_zone if known is not None else ""
@@ -99,5 +101,5 @@
         """
         if vm_zone == self.state.settings.vm_zone:
             return True
-        beats = roster.beats(self.state.roster, now_s)
+        beats = roster.live_messages(self.state.roster, now_s)
         return vm_zone not in {beat.vm_zone for beat in beats}
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -15,9 +15,9 @@
 from cherryrudder.routing.crashbook import FINISHED
 from cherryrudder.routing.picking import EndpointLoad
 
-from . import attempts, backpressure, brokenruns, crashes, ratekeeper
+from . import attempts, backpressure, brokenruns, crashes, ratelimiter
 from .entrystate import ToldLoad, is_suspect, serving_endpoints
-from .gossip import CrashNews
+from .gossip import CrashUpdate
 from .job import ANSWER_MARGIN_S, Failed, Job, Whole
 
 # Part of the time left that an idempotent request waits for one endpoint while another
@@ -32,7 +32,7 @@
 BARRED = Failed("endpoints take no more requests", is_not_run=True, is_sent=False)
 
 
-async def serve(job: Job, tell: Callable[[CrashNews | None], None]) -> None:
+async def serve(job: Job, tell: Callable[[CrashUpdate | None], None]) -> None:
     """See a request to its answer; `tell` spreads what it shows of engines' ends."""
     excluded: set[str] = set()
     failed = NO_ENDPOINT
@@ -46,12 +46,12 @@
         result = await _attempt(job, place)
         if isinstance(result, Whole):
             brokenruns.record_answer(job.state.broken, place.engine_id, now_s())
-            tell(crashes.reached(job, FINISHED, now_s()))
+            tell(crashes.record_progress(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
         if result.is_broken:
-            tell(crashes.broke(job, place.engine_id, 0, now_s()))
-            await crashes.wait_for_fate(job, place.engine_id)
+            tell(crashes.record_broken_run(job, place.engine_id, 0, now_s()))
+            await crashes.wait_for_engine_verdict(job, place.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
             is_not_run=not has_run, whole=result.whole or failed.whole
@@ -61,7 +61,7 @@
             job, result, job.attempts, job.route.max_attempts, EXPECTED_S
         ):
             break
-        await crashes.wait_apart(job)
+        await crashes.delay_suspect(job)
         if crashes.is_blocked(job, now_s()):
             await job.refuse_for_good()
             return
@@ -92,7 +92,7 @@
     """Tell whether an endpoint takes a request; ask for a permit if it needs one."""
     if not backoffs.may_send(state.backoffs, engine_id, now_s()):
         return False
-    await ratekeeper.acquire(state, [engine_id])
+    await ratelimiter.acquire(state, [engine_id])
     return backpressure.may_begin(state, engine_id, now_s())
 
 
--- a/libs/node/src/cherryrudder/node/ratekeeper.py
+++ b/libs/node/src/cherryrudder/node/ratelimiter.py
@@ -38,14 +38,14 @@
     wait_s: float
 
 
-class RateKeeper:
+class RateLimiter:
     """What one entry knows of engines' limits, and its permits."""
 
     def __init__(self):
         self.book = LimitBook()
         self.holders: dict[str, Holder] = {}
         # Replaced by the uplink: send an ask to an engine's issuer, and a limit to all.
-        self.send_ask: Callable[[PermitRequest], None] = lambda ask: None
+        self.send_ask: Callable[[PermitRequest], None] = lambda request_permits: None
         self.spread: Callable[[LimitNews], None] = lambda news: None
         # Set when an issuer has answered, and replaced by whoever waits for it.
         self.answered = anyio.Event()
@@ -98,7 +98,7 @@
     )
 
 
-def sweep(rates: RateKeeper, known: Collection[str], now_s: float) -> None:
+def sweep(rates: RateLimiter, known: Collection[str], now_s: float) -> None:
     """Forget engines that are gone, and limits that ended long ago."""
     ratelimits.sweep(rates.book, known, now_s)
     rates.holders = {e: h for e, h in rates.holders.items() if e in rates.book.limits}
@@ -113,13 +113,15 @@
     return permits.has_permit(holder, limit_per_s, state.entries, now_s)
 
 
-def begin(state: "EntryState", engine_id: str, now_s: float) -> None:
+def use_permit(state: "EntryState", engine_id: str, now_s: float) -> None:
     """Take the permit of a request that is about to be sent."""
     if ratelimits.limit_of(state.rates.book, engine_id) is not None:
         permits.use_permit(_holder(state.rates, engine_id), now_s)
 
 
-def ask(state: "EntryState", engine_ids: Collection[str], now_s: float) -> None:
+def request_permits(
+    state: "EntryState", engine_ids: Collection[str], now_s: float
+) -> None:
     """Ask for a permit at each engine whose issuer may have one."""
     rates = state.rates
     for engine_id in engine_ids:
@@ -138,7 +140,7 @@
     needed = [e for e in engine_ids if not may_begin(state, e, asked_s)]
     if not needed:
         return
-    ask(state, needed, asked_s)
+    request_permits(state, needed, asked_s)
 
     def is_open(engine_id):
         if may_begin(state, engine_id, now_s()):
@@ -171,7 +173,7 @@
     return permits.wait_s(_holder(state.rates, engine_id), now_s)
 
 
-def dump(rates: RateKeeper, now_s: float) -> list[LimitShown]:
+def dump(rates: RateLimiter, now_s: float) -> list[LimitShown]:
     """Return the limits for the operators."""
     return [
         LimitShown(
--- a/libs/node/src/cherryrudder/node/roster.py
+++ b/libs/node/src/cherryrudder/node/roster.py
@@ -28,15 +28,15 @@
     def __init__(self, own_address: str = "", seeds: tuple[str, ...] = ()):
         self.own_address = own_address
         self.seeds = tuple(seed for seed in seeds if seed != own_address)
-        self.heard: dict[str, Present] = {}
+        self.peers: dict[str, Present] = {}
         # Told of by others, and when they last did.
         self.told: dict[str, float] = {}
 
 
-def hear(roster: Roster, address: str, beat, now_s: float) -> bool:
+def record(roster: Roster, address: str, message, now_s: float) -> bool:
     """Take a beat; tell whether its sender was not there before."""
-    known = roster.heard.get(address)
-    roster.heard[address] = Present(beat, now_s)
+    known = roster.peers.get(address)
+    roster.peers[address] = Present(message, now_s)
     return known is None or now_s - known.heard_s > PRESENT_S
 
 
@@ -47,27 +47,27 @@
             roster.told[address] = now_s
 
 
-def present(roster: Roster, now_s: float) -> list[str]:
+def live_addresses(roster: Roster, now_s: float) -> list[str]:
     """Return the addresses that were heard lately."""
     return [
         address
-        for address, known in roster.heard.items()
+        for address, known in roster.peers.items()
         if now_s - known.heard_s < PRESENT_S
     ]
 
 
 def targets(roster: Roster, now_s: float) -> list[str]:
     """Return all addresses that are worth a beat."""
-    heard = [a for a, k in roster.heard.items() if now_s - k.heard_s < FORGET_S]
+    heard = [a for a, k in roster.peers.items() if now_s - k.heard_s < FORGET_S]
     told = [a for a, told_s in roster.told.items() if now_s - told_s < PRESENT_S]
     return list(dict.fromkeys([*heard, *told, *roster.seeds]))
 
 
-def beats(roster: Roster, now_s: float) -> list:
+def live_messages(roster: Roster, now_s: float) -> list:
     """Return the newest beats of those that were heard lately."""
     return [
         known.beat
-        for known in roster.heard.values()
+        for known in roster.peers.values()
         if now_s - known.heard_s < PRESENT_S
     ]
 
@@ -76,7 +76,7 @@
     """Return how old the newest beats of the others are on the average."""
     ages_s = [
         now_s - known.heard_s
-        for address, known in roster.heard.items()
+        for address, known in roster.peers.items()
         if address != but and now_s - known.heard_s < PRESENT_S
     ]
     return sum(ages_s) / len(ages_s) if ages_s else 0.0
@@ -84,9 +84,9 @@
 
 def sweep(roster: Roster, now_s: float) -> list[str]:
     """Forget who was silent for long, and return them."""
-    gone = [a for a, k in roster.heard.items() if now_s - k.heard_s > FORGET_S]
+    gone = [a for a, k in roster.peers.items() if now_s - k.heard_s > FORGET_S]
     for address in gone:
-        del roster.heard[address]
+        del roster.peers[address]
     for address, told_s in list(roster.told.items()):
         if now_s - told_s > PRESENT_S:
             del roster.told[address]
--- a/libs/node/src/cherryrudder/node/seatkeeper.py
+++ b/libs/node/src/cherryrudder/node/seatkeeper.py
@@ -114,9 +114,9 @@
     is_seed = state.address in state.seed_addresses
     if not is_seed:
         return ()
-    while not seeds <= set(state.roster.heard):
+    while not seeds <= set(state.roster.peers):
         await anyio.sleep(FOUNDING_POLL_S)
-    beats = [state.roster.heard[seed].beat for seed in seeds]
+    beats = [state.roster.peers[seed].beat for seed in seeds]
     founders = [
         events.Voter(beat.vm, f"{beat.vm}-founder", beat.log_address)
         for beat in beats
--- a/libs/node/src/cherryrudder/node/stalls.py
+++ b/libs/node/src/cherryrudder/node/stalls.py
@@ -151,7 +151,7 @@
         suspicion.record_failure(state.suspicions, engine_id, now, is_unreached)
         state.engine_died.set()
         pool.drop(state.pool, address)
-        self.uplink.accuse(engine_id, engine.vm_zone)
+        self.uplink.report_suspect(engine_id, engine.vm_zone)
         state.metrics.beliefs.labels("engine-dead").inc()
         state.sink.write(
             "stalls", "engine-dead", True, address=address, engine_id=engine_id, why=why
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -9,7 +9,7 @@
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import backoffs
 
-from . import backpressure, entrystate, ratekeeper
+from . import backpressure, entrystate, ratelimiter
 from .stream import Offer
 
 if TYPE_CHECKING:
@@ -39,17 +39,19 @@
     """Return a chain that is counted in, or None when none will be free in time."""
     job, began_s = stream.job, now_s()
     stream.refusal = ""
-    desk = stream.watch.desks.of(job.service.name)
+    desk = stream.watch.desks.get(job.service.name)
     await _acquire_permit(stream)
     if _backs_off_too_long(stream, now_s()):
         stream.refusal = BACKING_OFF
         stream.retry_after_s = _backpressure_s(stream, now_s())
         return None
     try:
-        chain = await desk.find(
+        chain = await desk.find_chain(
             _waiting(stream),
             lambda: _take_chain(stream),
-            is_picky=bool(stream.excluded(began_s) or allowed_first_engines(stream)),
+            is_restricted=bool(
+                stream.excluded(began_s) or allowed_first_engines(stream)
+            ),
         )
     except BaseException:
         # A client may leave at the moment at which its stream's turn has come. The
@@ -75,7 +77,7 @@
     state, now = stream.job.state, now_s()
     if state.rates.book.limits:
         limited = _limited_firsts(stream, now, state.settings.vm_zone)
-        await ratekeeper.acquire(state, limited)
+        await ratelimiter.acquire(state, limited)
 
 
 def _limited_firsts(stream, now, vm_zone=""):
@@ -87,7 +89,7 @@
         one.engine_id
         for one in _firsts(stream, now)
         if vm_zone in ("", one.vm_zone)
-        and not ratekeeper.may_begin(state, one.engine_id, now)
+        and not ratelimiter.may_begin(state, one.engine_id, now)
         and not backoffs.is_active(state.backoffs, one.engine_id, now)
     ]
 
@@ -277,7 +279,7 @@
     """Return why there is no chain, and ask for permits if these are what it lacks."""
     job = stream.job
     limited = _limited_firsts(stream, now)
-    ratekeeper.ask(job.state, limited, now)
+    ratelimiter.request_permits(job.state, limited, now)
     if _are_barred(stream, now):
         return LIMITED if limited else BACKING_OFF
     is_whole = chains.has_full_copy(job.service.model, engines)
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -55,7 +55,7 @@
     failed = Failed(NO_CHAIN, is_not_run=True, is_sent=False)
     has_run = False
     while True:
-        await crashes.wait_apart(job)
+        await crashes.delay_suspect(job)
         chain = await streamchains.wait_for_chain(stream)
         if chain is None:
             failed = failed._replace(reason=stream.refusal or failed.reason)
@@ -68,7 +68,7 @@
         if result is None:
             return
         if result.is_broken:
-            await crashes.wait_for_fate(job, chain[0].engine_id)
+            await crashes.wait_for_engine_verdict(job, chain[0].engine_id)
         if crashes.is_blocked(job, now_s()):
             await _refuse_for_good(stream)
             return
@@ -98,8 +98,8 @@
 
 async def _refuse_for_good(stream):
     if stream.has_begun:
-        crashes.note_refused(stream.job, now_s())
-        stream.job.outcome = f"broken off: {crashes.ENDS_ENGINES.reason}"
+        crashes.log_refused(stream.job, now_s())
+        stream.job.outcome = f"broken off: {crashes.REFUSED_AS_CRASHING.reason}"
         return
     await stream.job.refuse_for_good()
 
@@ -204,8 +204,8 @@
     """Keep how far a run had come when its engine broke it off."""
     job, engine_id, head_s = stream.job, stream.chain[0].engine_id, stream.head_s
     if is_broken and head_s is not None:
-        news = crashes.broke(job, engine_id, stream.position(), now_s())
-        stream.stalls.uplink.tell_crashes(news)
+        news = crashes.record_broken_run(job, engine_id, stream.position(), now_s())
+        stream.stalls.uplink.publish_crashes(news)
     job.note(
         "run-broken",
         True,
@@ -312,7 +312,9 @@
 
 
 def _note_reached(stream, event):
-    stream.stalls.uplink.tell_crashes(crashes.reached(stream.job, event, now_s()))
+    stream.stalls.uplink.publish_crashes(
+        crashes.record_progress(stream.job, event, now_s())
+    )
 
 
 def _is_new(stream, event):
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -17,8 +17,8 @@
 from cherryrudder.routing.answertimes import Bounds
 
 from . import crashes, entrystate, reroute, stalls
+from .chainscheduler import ChainSchedulers
 from .entrystate import EntryState
-from .roomdesk import RoomDesks
 from .stalls import StallDesk
 from .stream import FIRST_LOST_S, FIRST_SILENCE_S
 
@@ -58,7 +58,7 @@
 class Watch:
     """The streams of one entry that are under way."""
 
-    def __init__(self, state: EntryState, stalls: StallDesk, desks: RoomDesks):
+    def __init__(self, state: EntryState, stalls: StallDesk, desks: ChainSchedulers):
         self.state = state
         self.stalls = stalls
         self.desks = desks
@@ -81,7 +81,7 @@
                         stream.exclude(stream.chain[0].address, now + FIRST_LOST_S)
                         stream.break_off("the first engine begins nothing")
                     elif _is_to_stop(stream, now):
-                        stream.break_off(crashes.ENDS_ENGINES.reason)
+                        stream.break_off(crashes.REFUSED_AS_CRASHING.reason)
                     elif self._is_due(stream, now):
                         stream.is_looked_at = True
                         group.start_soon(self._look_after, stream, self._look)
@@ -160,7 +160,9 @@
         stream.complained_s = now
         table = self.state.endpoints.table.entries
         known = [table.get(part.engine_id) for part in stream.chain]
-        self.stalls.uplink.complain([e.announcement for e in known if e is not None])
+        self.stalls.uplink.report_slowness(
+            [e.announcement for e in known if e is not None]
+        )
 
     def _accused(self, stream, now):
         """Return the parts whose engines are thought dead, gone, or without the layers.
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -37,7 +37,7 @@
     return is_news
 
 
-def hear(shared: SharedTable, heard: Announcement, now_s: float) -> bool:
+def record_heartbeat(shared: SharedTable, heard: Announcement, now_s: float) -> bool:
     """Take a heartbeat; tell whether it is news."""
     is_news = endpoints.record_heartbeat(shared.table, heard, now_s)
     return _noted(shared, heard.engine_id, is_news)
@@ -57,13 +57,13 @@
     return _noted(shared, engine_id, is_news)
 
 
-def tell_senders(shared: SharedTable, engine_id: str, now_s: float) -> bool:
+def record_leaving(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Take an endpoint's word in an answer that it leaves; tell whether it is news."""
     is_news = endpoints.record_leaving(shared.table, engine_id, now_s)
     return _noted(shared, engine_id, is_news)
 
 
-def depart(shared: SharedTable, engine_id: str, now_s: float) -> bool:
+def record_departure(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Take a departure; tell whether it is news."""
     is_news = endpoints.record_departure(shared.table, engine_id, now_s)
     return _noted(shared, engine_id, is_news)
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -29,26 +29,26 @@
     crashes,
     entrystate,
     gossip,
-    ratekeeper,
+    ratelimiter,
     roster,
     tablesync,
 )
 from .entrystate import EntryState
 from .gossip import (
-    Accusation,
-    Acquittal,
-    Complaint,
     ConfigurationNews,
     ControlAnswer,
-    CrashNews,
+    CrashUpdate,
+    DeathConfirmation,
     DeathNotice,
-    EndNotice,
     EndpointNews,
     EntryBeat,
     LimitNews,
-    PaceNews,
+    PaceUpdate,
     PermitGrant,
     PermitRequest,
+    Refutation,
+    SlownessReport,
+    SuspicionReport,
     TableMark,
 )
 
@@ -95,18 +95,18 @@
         )
         self.group.start_soon(self._beat)
 
-    def accuse(self, engine_id: str, vm_zone: str) -> None:
+    def report_suspect(self, engine_id: str, vm_zone: str) -> None:
         """Have the control VMs of an engine's data centre look for themselves.
 
         All control VMs are asked when none of those was heard lately.
         """
-        accusation = Accusation(engine_id, self.state.address)
-        answers = roster.beats(self.state.controls, now_s())
+        accusation = SuspicionReport(engine_id, self.state.address)
+        answers = roster.live_messages(self.state.controls, now_s())
         near = [answer for answer in answers if answer.vm_zone == vm_zone]
         for answer in near or answers:
             self.links.send(answer.address, accusation)
 
-    def complain(self, engines: list[Announcement]) -> None:
+    def report_slowness(self, engines: list[Announcement]) -> None:
         """Have a control VM beside each engine of a slow chain look at its pace."""
         by_teller: dict[str, list[str]] = {}
         for engine in engines:
@@ -114,17 +114,17 @@
             by_teller.setdefault(address, []).append(engine.engine_id)
         for address, engine_ids in by_teller.items():
             if address:
-                self.links.send(address, Complaint(tuple(engine_ids)))
+                self.links.send(address, SlownessReport(tuple(engine_ids)))
 
     def report_pace(self, engine: Announcement, seen: float) -> None:
         """Take the pace that an engine told this entry, and pass on that it is slow."""
-        news = PaceNews(engine.engine_id, seen)
+        news = PaceUpdate(engine.engine_id, seen)
         if self._on_pace(news) and seen >= slowness.MIN_SLOWNESS:
             address = self._teller_beside(engine)
             if address:
                 self.links.send(address, news)
 
-    def tell_crashes(self, news: CrashNews | None) -> None:
+    def publish_crashes(self, news: CrashUpdate | None) -> None:
         """Tell one control VM of each data centre of requests that end engines."""
         if news is not None and news.records:
             self._tell_tellers(news)
@@ -143,11 +143,13 @@
 
     def _tell_tellers(self, message):
         """Tell one control VM of each data centre."""
-        for address in tellers_of(roster.beats(self.state.controls, now_s())).values():
+        for address in tellers_of(
+            roster.live_messages(self.state.controls, now_s())
+        ).values():
             self.links.send(address, message)
 
     def _teller_beside(self, engine):
-        tellers = tellers_of(roster.beats(self.state.controls, now_s()))
+        tellers = tellers_of(roster.live_messages(self.state.controls, now_s()))
         return tellers.get(engine.vm_zone) or min(tellers.values(), default="")
 
     def _on_down(self, address):
@@ -157,7 +159,7 @@
         state = self.state
         while True:
             now = now_s()
-            tellers = tellers_of(roster.beats(state.controls, now))
+            tellers = tellers_of(roster.live_messages(state.controls, now))
             entrystate.record_report_sent(state)
             for address in roster.targets(state.controls, now):
                 if self._is_due(address, now):
@@ -172,7 +174,7 @@
             known = set(state.endpoints.table.entries)
             suspicion.prune(state.suspicions, known)
             hangs.prune(state.hangs, known)
-            ratekeeper.sweep(state.rates, known, now)
+            ratelimiter.sweep(state.rates, known, now)
             backoffs.prune(state.backoffs, known)
             for engine_id in set(state.leaving_since_s) - known:
                 del state.leaving_since_s[engine_id]
@@ -182,7 +184,7 @@
 
     def _is_due(self, address, now):
         """Tell whether a control VM is to hear this entry now."""
-        known = self.state.controls.heard.get(address)
+        known = self.state.controls.peers.get(address)
         if known is None or known.beat.vm_zone == self.state.settings.vm_zone:
             return True
         if now - self._near_confirmed_s > NEAR_FRESH_S:
@@ -208,7 +210,7 @@
             else (),
             wants_all=wants_all,
             crashes=state.crashes.message(address, now) if wants_crashes else None,
-            limits=ratekeeper.told(state.rates.book, now),
+            limits=ratelimiter.told(state.rates.book, now),
         )
 
     def _own_teller(self, tellers):
@@ -226,24 +228,24 @@
                 self._on_configuration(message)
             case EndpointNews():
                 self._take_endpoints(message.endpoints)
-            case CrashNews():
+            case CrashUpdate():
                 self.state.crashes.take_records(message.records, now_s())
             case DeathNotice():
                 self._on_death(message)
-            case EndNotice():
+            case DeathConfirmation():
                 self._on_end(message)
-            case Acquittal():
+            case Refutation():
                 self._on_acquittal(message)
-            case PaceNews():
+            case PaceUpdate():
                 self._on_pace(message)
             case LimitNews():
-                ratekeeper.hear(self.state, message.limits, now_s())
+                ratelimiter.hear(self.state, message.limits, now_s())
             case PermitGrant():
-                ratekeeper.take(self.state, message, now_s())
+                ratelimiter.take(self.state, message, now_s())
 
     def _on_answer(self, answer):
         state, now = self.state, now_s()
-        if roster.hear(state.controls, answer.address, answer, now):
+        if roster.record(state.controls, answer.address, answer, now):
             state.sink.write("uplink", "control-found", True, address=answer.address)
         roster.tell(state.controls, answer.controls, now)
         self._take_endpoints(answer.endpoints)
@@ -251,7 +253,7 @@
         self._seen[answer.address] = TableMark(answer.boot, answer.table_version)
         state.entries = answer.entries
         if answer.usage is not None:
-            data_centres = len(tellers_of(roster.beats(state.controls, now)))
+            data_centres = len(tellers_of(roster.live_messages(state.controls, now)))
             entrystate.update_peer_load(state, answer.usage, data_centres, now)
             sharedbudget.update_share(
                 state.retry_budget,
@@ -262,7 +264,7 @@
             )
         if answer.crashes is not None:
             state.crashes.take(answer.address, answer.crashes, now)
-        ratekeeper.hear(state, answer.limits, now)
+        ratelimiter.hear(state, answer.limits, now)
         # A version that is not here yet confirms nothing; the next answer will.
         if 0 < answer.version <= state.version:
             self._confirm(answer.sent_s, now)
@@ -314,7 +316,7 @@
         state.incarnations[address] = announcement.engine_id
         if before != announcement.engine_id:
             pool.drop(state.pool, address)
-            self.tell_crashes(crashes.engine_ended(state, before, now_s()))
+            self.publish_crashes(crashes.record_engine_end(state, before, now_s()))
 
     def _log_endpoint(self, entry: endpoints.TableEntry):
         announcement = entry.announcement
@@ -334,7 +336,7 @@
         if suspicion.record_report(self.state.suspicions, engine_id, now_s()):
             self.state.sink.write("uplink", "engine-accused", True, engine_id=engine_id)
             self.state.engine_died.set()
-        self.tell_crashes(crashes.engine_ended(self.state, engine_id, now_s()))
+        self.publish_crashes(crashes.record_engine_end(self.state, engine_id, now_s()))
 
     def _on_end(self, notice):
         state, engine_id = self.state, notice.engine_id
@@ -342,7 +344,7 @@
         suspicion.record_confirmed_death(state.suspicions, engine_id, now_s())
         if is_news:
             state.sink.write("uplink", "engine-ended", True, engine_id=engine_id)
-        self.tell_crashes(crashes.engine_ended(state, engine_id, now_s()))
+        self.publish_crashes(crashes.record_engine_end(state, engine_id, now_s()))
 
     def _on_acquittal(self, acquittal):
         engine_id = acquittal.engine_id
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -26,7 +26,14 @@
 from . import enginecalls, roster, stalls
 from .controlstate import ControlState
 from .errors import EngineCallFailed
-from .gossip import Accusation, Acquittal, DeathNotice, EndNotice, Finding, Question
+from .gossip import (
+    DeathConfirmation,
+    DeathNotice,
+    ProbeRequest,
+    ProbeResult,
+    Refutation,
+    SuspicionReport,
+)
 
 # A report takes some milliseconds inside a data centre and 15 from a busy engine; a
 # lost packet is sent again after 0.2 s.
@@ -114,7 +121,7 @@
         # How often entries were told that an engine has ended.
         self._told: dict[str, int] = {}
 
-    def handle_suspicion(self, accusation: Accusation) -> None:
+    def handle_suspicion(self, accusation: SuspicionReport) -> None:
         """Look into an accusation; one look serves all who accuse at that time."""
         engine_id = accusation.engine_id
         senders = self._waiting.get(engine_id)
@@ -124,23 +131,23 @@
         self._waiting[engine_id] = {accusation.sender}
         self.group.start_soon(self._investigate, engine_id)
 
-    def handle_probe_request(self, question: Question) -> None:
+    def handle_probe_request(self, question: ProbeRequest) -> None:
         """Look at an engine for another control VM; the verdict is that one's."""
         self.group.start_soon(self._answer, question)
 
-    def handle_probe_result(self, finding: Finding) -> None:
+    def handle_probe_result(self, finding: ProbeResult) -> None:
         """Take what another control VM saw."""
         opinions = self._opinions.get(finding.engine_id)
         if opinions is None or finding.sender not in opinions.asked:
             return
-        opinions.heard[finding.sender] = Observation(finding.seen)
-        is_clear = finding.seen in (Observation.LIVES, Observation.ENDED)
+        opinions.heard[finding.sender] = Observation(finding.observation)
+        is_clear = finding.observation in (Observation.LIVES, Observation.ENDED)
         if is_clear or len(opinions.heard) == len(opinions.asked):
             opinions.is_over.set()
 
     async def _answer(self, question):
         seen = await self._see(question.engine_id)
-        finding = Finding(question.engine_id, self.state.address, seen)
+        finding = ProbeResult(question.engine_id, self.state.address, seen)
         self.links.send(question.sender, finding)
 
     async def _investigate(self, engine_id):
@@ -157,7 +164,7 @@
         self._log(engine_id, senders, own, heard, verdict)
         if verdict is Verdict.LIVES:
             for address in senders:
-                self.links.send(address, Acquittal(engine_id))
+                self.links.send(address, Refutation(engine_id))
         elif verdict is Verdict.DEAD:
             self.mark_dead(engine_id)
             self._tell(DeathNotice(engine_id), self.state.roster, self.state.entries)
@@ -169,7 +176,7 @@
             True,
             engine_id=engine_id,
             senders=sorted(senders),
-            seen=own,
+            observation=own,
             others=heard,
             outcome=verdict,
         )
@@ -177,12 +184,12 @@
     def _tell(self, notice, *rosters):
         now = now_s()
         for listeners in rosters:
-            for address in roster.present(listeners, now):
+            for address in roster.live_addresses(listeners, now):
                 self.links.send(address, notice)
 
     def mark_dead(self, engine_id: str) -> None:
         """Take an engine as dead until it is heard again."""
-        self.state.accused[engine_id] = now_s()
+        self.state.suspected_s[engine_id] = now_s()
 
     def review(self, now: float) -> None:
         """Drop accusations that were refuted; tell entries of engines that ended.
@@ -191,10 +198,10 @@
         as well. Only the log's leader tells, as one that others don't hear can't lead.
         """
         unheard_s = MISSED_HEARTBEATS * self.state.settings.heartbeat_s
-        for engine_id, accused_s in list(self.state.accused.items()):
+        for engine_id, accused_s in list(self.state.suspected_s.items()):
             known = self.state.endpoints.table.entries.get(engine_id)
             if known is None or known.is_gone or known.heard_s > accused_s:
-                del self.state.accused[engine_id]
+                del self.state.suspected_s[engine_id]
                 self._told.pop(engine_id, None)
             elif now - known.heard_s > unheard_s and self.state.is_leader():
                 told = self._told.get(engine_id, 0)
@@ -205,10 +212,10 @@
     async def _confirm_end(self, engine_id):
         seen = await self._see(engine_id)
         if seen is Observation.LIVES:
-            self.state.accused.pop(engine_id, None)
-            self._tell(Acquittal(engine_id), self.state.entries)
+            self.state.suspected_s.pop(engine_id, None)
+            self._tell(Refutation(engine_id), self.state.entries)
         else:
-            self._tell(EndNotice(engine_id), self.state.entries)
+            self._tell(DeathConfirmation(engine_id), self.state.entries)
         self.state.sink.write(
             "control", "engine-unheard", True, engine_id=engine_id, seen=seen
         )
@@ -218,7 +225,7 @@
         known = self._opinions.get(engine_id)
         if known is not None:
             return known
-        present = roster.beats(self.state.roster, now_s())
+        present = roster.live_messages(self.state.roster, now_s())
         entry = self.state.endpoints.table.entries.get(engine_id)
         vm_zone = entry.announcement.vm_zone if entry else ""
         present.sort(key=lambda beat: (beat.vm_zone != vm_zone, beat.address))
@@ -226,7 +233,7 @@
         opinions = _Opinions(asked, {}, anyio.Event())
         self._opinions[engine_id] = opinions
         for address in asked:
-            self.links.send(address, Question(engine_id, self.state.address))
+            self.links.send(address, ProbeRequest(engine_id, self.state.address))
         return opinions
 
     async def _see(self, engine_id):
--- a/libs/node/test/entrycase.py
+++ b/libs/node/test/entrycase.py
@@ -52,10 +52,10 @@
         )
         for zone in (HOME, FAR):
             beat = ControlStub(address=f"{zone}:1", vm_zone=zone, version=7)
-            roster.hear(self.state.controls, beat.address, beat, now_s())
+            roster.record(self.state.controls, beat.address, beat, now_s())
         for engine_id in (ENGINE, OTHER):
             told = an_announcement(engine_id, layers=(0, 8))
-            tablesync.hear(self.state.endpoints, told, now_s())
+            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
         self.uplink = uplink
         self.job = self.a_job()
 
--- a/libs/node/test/test_controlbeats.py
+++ b/libs/node/test/test_controlbeats.py
@@ -5,8 +5,8 @@
 import anyio
 from builders import PipedSink, a_control
 
-from cherryrudder.node import controlbeats
-from cherryrudder.node.controlbeats import ControlBeats
+from cherryrudder.node import controlgossip
+from cherryrudder.node.controlgossip import ControlGossip
 from cherryrudder.node.gossip import EntryBeat, TableMark
 
 
@@ -35,7 +35,7 @@
 
         async def play():
             async with anyio.create_task_group() as group:
-                beats = ControlBeats(state, group)
+                beats = ControlGossip(state, group)
                 beats.links.send = lambda address, _: sent.add(address)
                 group.start_soon(beats._confirm)
                 for number, version in enumerate(versions):
@@ -43,7 +43,7 @@
                     await anyio.sleep(0.1)
                 group.cancel_scope.cancel()
 
-        with mock.patch.object(controlbeats, "CONFIRM_EVERY_S", 30.0):
+        with mock.patch.object(controlgossip, "CONFIRM_EVERY_S", 30.0):
             anyio.run(play)
         return sent
 
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -17,14 +17,14 @@
     streamrelay,
     tablesync,
 )
-from cherryrudder.node.controlbeats import ControlBeats
-from cherryrudder.node.crashdesk import CrashDesk
+from cherryrudder.node.controlgossip import ControlGossip
+from cherryrudder.node.crashtracker import CrashTracker
 from cherryrudder.node.gossip import (
-    Acquittal,
-    CrashNews,
+    CrashUpdate,
+    DeathConfirmation,
     DeathNotice,
-    EndNotice,
     Heard,
+    Refutation,
 )
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.node.stream import Stream
@@ -63,7 +63,7 @@
         self.uplink = Uplink(self.state, None)
         for engine_id in ENGINES:
             told = an_announcement(engine_id, layers=(0, 8))
-            tablesync.hear(self.state.endpoints, told, now_s() - 0.1)
+            tablesync.record_heartbeat(self.state.endpoints, told, now_s() - 0.1)
 
     def known(self, fingerprint="bad"):
         """Return the engines that ended under a request, as far as is known."""
@@ -75,7 +75,9 @@
     """Guards against taking a broken answer for the end of its engine."""
 
     def break_run(self, engine_id=FIRST, fingerprint="bad"):
-        return crashes.broke(a_job(self.state, fingerprint), engine_id, 2, now_s())
+        return crashes.record_broken_run(
+            a_job(self.state, fingerprint), engine_id, 2, now_s()
+        )
 
     def test_a_broken_answer_alone_counts_for_nothing(self):
         self.assertEqual(self.break_run().records, ())
@@ -100,7 +102,7 @@
 
     def test_it_counts_when_only_its_end_was_heard_of(self):
         self.break_run()
-        self.uplink._on_frames("", [EndNotice(FIRST)])
+        self.uplink._on_frames("", [DeathConfirmation(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
     def test_news_of_the_one_before_says_nothing_of_the_next_one(self):
@@ -131,13 +133,13 @@
 
     def test_not_when_the_engine_lives(self):
         self.break_run()
-        self.uplink._on_frames("", [Acquittal(FIRST), DeathNotice(FIRST)])
+        self.uplink._on_frames("", [Refutation(FIRST), DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
 
     def test_not_when_the_engine_was_heard_since(self):
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         told = an_announcement(FIRST, number=4, layers=(0, 8))
-        tablesync.hear(self.state.endpoints, told, now_s() + 1.0)
+        tablesync.record_heartbeat(self.state.endpoints, told, now_s() + 1.0)
         self.break_run()
         self.assertEqual(self.known(), set())
 
@@ -224,19 +226,21 @@
         self.block()
         for engine_id in ENGINES:
             told = an_announcement(engine_id, 4, (0, 8), version="v2")
-            tablesync.hear(self.state.endpoints, told, now_s())
+            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
         self.assertFalse(self.is_blocked())
 
     def test_one_that_gets_further_is_free_again(self):
         self.block()
-        news = crashes.reached(a_job(self.state), FINISHED, now_s())
+        news = crashes.record_progress(a_job(self.state), FINISHED, now_s())
         self.assertEqual(len(news.records), 1)
         self.assertFalse(self.is_blocked())
         self.assertIn('"event":"unblocked"', self.piped.text())
 
     def test_how_far_others_get_is_no_news(self):
         self.block()
-        self.assertIsNone(crashes.reached(a_job(self.state, "good"), 80, now_s()))
+        self.assertIsNone(
+            crashes.record_progress(a_job(self.state, "good"), 80, now_s())
+        )
 
     def test_it_ends_by_itself(self):
         self.block(at_s=now_s() - 599.0)
@@ -250,7 +254,7 @@
 
     def deliver(self, reader, desk):
         with mock.patch.object(desk, "take_records", side_effect=TypeError("fault")):
-            reader._on_frames("peer:1", [CrashNews(()), DeathNotice(FIRST)])
+            reader._on_frames("peer:1", [CrashUpdate(()), DeathNotice(FIRST)])
 
     def test_an_entry_takes_the_next_one(self):
         self.deliver(self.uplink, self.state.crashes)
@@ -258,8 +262,8 @@
 
     def test_a_control_vm_takes_the_next_one(self):
         control = a_control(self.piped.sink, "10.0.0.1")
-        self.deliver(ControlBeats(control, None), control.crashes)
-        self.assertIn(FIRST, control.accused)
+        self.deliver(ControlGossip(control, None), control.crashes)
+        self.assertIn(FIRST, control.suspected_s)
 
 
 class SpreadTest(unittest.TestCase):
@@ -268,7 +272,7 @@
     def a_desk(self, boot):
         piped = PipedSink()
         self.addCleanup(piped.close)
-        return CrashDesk(boot, piped.sink, Metrics())
+        return CrashTracker(boot, piped.sink, Metrics())
 
     def beat(self, sender, reader):
         """Let one process hear another's beat."""
@@ -310,11 +314,11 @@
 
         async def play():
             async with anyio.create_task_group() as group:
-                beats = ControlBeats(control, group)
+                beats = ControlGossip(control, group)
                 beats.links.send = lambda address, message: sent.append(address)
                 for address, vm_zone in (("near:1", "a"), ("far:1", "b")):
                     beat = SimpleNamespace(address=address, vm_zone=vm_zone)
-                    roster.hear(control.entries, address, beat, now_s())
+                    roster.record(control.entries, address, beat, now_s())
                 source = self.a_desk("one")
                 for engine_ids in ((FIRST,), (FIRST, SECOND)):
                     news = source.note({"bad": a_record(*engine_ids)}, now_s())
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -13,9 +13,14 @@
 from builders import PipedSink, a_control, a_state, an_announcement, some_settings
 
 from cherryrudder.node import roster, stalls, streamchains, tablesync, verification
-from cherryrudder.node.controlbeats import ControlBeats
+from cherryrudder.node.controlgossip import ControlGossip
 from cherryrudder.node.errors import EngineCallFailed
-from cherryrudder.node.gossip import Accusation, Acquittal, DeathNotice, EndNotice
+from cherryrudder.node.gossip import (
+    DeathConfirmation,
+    DeathNotice,
+    Refutation,
+    SuspicionReport,
+)
 from cherryrudder.node.uplink import Uplink
 from cherryrudder.node.verification import Observation, Verdict, decide_verdict
 from cherryrudder.platform.engines import Report
@@ -48,7 +53,7 @@
         for name in (ENGINE, "boot-2"):
             told = an_announcement(name, layers=(0, 8))
             for state in (self.entry, *self.controls.values()):
-                tablesync.hear(state.endpoints, told, now)
+                tablesync.record_heartbeat(state.endpoints, told, now)
 
     def run(self, accused_by=(NEAR,), rounds=1, after=lambda: None):
         """Accuse the engine at some control VMs and see it through."""
@@ -60,7 +65,7 @@
                     for ip in accused_by:
                         self._deliver(
                             self.controls[ip].address,
-                            Accusation(ENGINE, self.entry.address),
+                            SuspicionReport(ENGINE, self.entry.address),
                         )
             async with anyio.create_task_group() as group:
                 for verifier in self.verifiers.values():
@@ -75,17 +80,17 @@
         self.uplink = Uplink(self.entry, group)
         self.beats = {}
         for ip, state in self.controls.items():
-            beats = ControlBeats(state, group)
+            beats = ControlGossip(state, group)
             beats.links.send = self._deliver
             beats.verifier._report = lambda *_, ip=ip: self._report(ip)
             self.beats[state.address] = beats
             self.verifiers[ip] = beats.verifier
         for state in self.controls.values():
-            roster.hear(state.entries, self.entry.address, None, now_s())
+            roster.record(state.entries, self.entry.address, None, now_s())
             for address, other in self.beats.items():
                 if address != state.address:
                     beat = other._own_beat(state.address, now_s())
-                    roster.hear(state.roster, address, beat, now_s())
+                    roster.record(state.roster, address, beat, now_s())
 
     async def _report(self, ip):
         self.asked.append(ip)
@@ -126,13 +131,13 @@
             with self.subTest(accused_by=accused_by):
                 play = Play(self, {NEAR: False, ALSO_NEAR: True})
                 told = play.run(accused_by)
-                self.assertEqual(set(told), {Acquittal(ENGINE)})
+                self.assertEqual(set(told), {Refutation(ENGINE)})
                 self.assertTrue(play.counts())
-                self.assertEqual(play.controls[NEAR].accused, {})
+                self.assertEqual(play.controls[NEAR].suspected_s, {})
 
     def test_far_away_somebody_may_have_the_answer(self):
         play = Play(self, {NEAR: False, FAR: True})
-        self.assertEqual(play.run(), [Acquittal(ENGINE)])
+        self.assertEqual(play.run(), [Refutation(ENGINE)])
         self.assertTrue(play.counts())
 
     def test_those_near_the_engine_are_asked_first(self):
@@ -185,7 +190,7 @@
 
     def test_unheard_it_has_ended(self):
         play, told = self.play(UNHEARD_S + 0.1)
-        self.assertEqual(told, [DeathNotice(ENGINE), EndNotice(ENGINE)])
+        self.assertEqual(told, [DeathNotice(ENGINE), DeathConfirmation(ENGINE)])
         self.assertFalse(play.counts())
 
     def test_only_the_leader_says_so(self):
@@ -195,9 +200,9 @@
 
     def test_one_that_answers_after_all_has_not_ended(self):
         play, told = self.play(UNHEARD_S + 0.1, sees_later=True)
-        self.assertEqual(told, [DeathNotice(ENGINE), Acquittal(ENGINE)])
+        self.assertEqual(told, [DeathNotice(ENGINE), Refutation(ENGINE)])
         self.assertTrue(play.counts())
-        self.assertEqual(play.controls[NEAR].accused, {})
+        self.assertEqual(play.controls[NEAR].suspected_s, {})
 
     def test_one_that_is_heard_again_is_not_accused_any_more(self):
         play = Play(self, {NEAR: False, ALSO_NEAR: False})
@@ -205,12 +210,12 @@
         def after():
             for state in play.controls.values():
                 told = an_announcement(ENGINE, 4, (0, 8))
-                tablesync.hear(state.endpoints, told, now_s() + 0.1)
+                tablesync.record_heartbeat(state.endpoints, told, now_s() + 0.1)
             for verifier in play.verifiers.values():
                 verifier.review(now_s() + 1.0)
 
         play.run(after=after)
-        self.assertEqual([s.accused for s in play.controls.values()], [{}, {}])
+        self.assertEqual([s.suspected_s for s in play.controls.values()], [{}, {}])
 
 
 def stand_still(wait_s):
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -66,7 +66,7 @@
     def test_the_others_are_thought_to_have_as_much_on_the_way(self):
         now = now_s()
         told = an_announcement("e1", layers=(0, 8), address="e1:1")
-        tablesync.hear(self.state.endpoints, told, now)
+        tablesync.record_heartbeat(self.state.endpoints, told, now)
         self.state.peers = 4.0
         entrystate.prompt_sent(self.state, self.CHAIN, 700)
         (candidate,) = entrystate.candidates(self.state, "llm", now)
--- a/libs/node/test/test_pacewatch.py
+++ b/libs/node/test/test_pacewatch.py
@@ -6,7 +6,7 @@
 
 from cherryrudder.node import enginecalls, pacewatch, roster
 from cherryrudder.node.errors import EngineCallFailed
-from cherryrudder.node.gossip import Complaint, PaceNews
+from cherryrudder.node.gossip import PaceUpdate, SlownessReport
 from cherryrudder.node.pacewatch import PaceWatch
 from cherryrudder.node.roster import Roster
 from cherryrudder.node.tablesync import SharedTable
@@ -32,7 +32,7 @@
         table = SharedTable("boot")
         endpoints.record_heartbeat(table.table, an_announcement("boot-1"), now_s())
         entries = Roster()
-        roster.hear(entries, ENTRY, None, now_s())
+        roster.record(entries, ENTRY, None, now_s())
         sink = SimpleNamespace(write=lambda *args, **fields: None)
         state = SimpleNamespace(endpoints=table, entries=entries, sink=sink)
         sent, asked = [], []
@@ -58,16 +58,16 @@
         return sent, asked
 
     async def complain(self, watch):
-        watch.handle_slowness_report(Complaint(("boot-1", "unknown")))
+        watch.handle_slowness_report(SlownessReport(("boot-1", "unknown")))
 
     def test_a_slow_engine_is_told_until_it_is_sound(self):
         sent, _ = self.play([5.0, 5.0, 1.0], self.complain)
-        self.assertEqual(sent, [PaceNews("boot-1", p) for p in (5.0, 5.0, 1.0)])
+        self.assertEqual(sent, [PaceUpdate("boot-1", p) for p in (5.0, 5.0, 1.0)])
 
     def test_a_sound_engine_is_no_news_and_rests(self):
         async def scenario(watch):
             for _ in range(5):
-                watch.handle_slowness_report(Complaint(("boot-1",)))
+                watch.handle_slowness_report(SlownessReport(("boot-1",)))
                 await anyio.sleep(0.01)
 
         sent, asked = self.play([], scenario)
@@ -81,9 +81,9 @@
         """An engine that was found sound rests, and an entry sees it slow then."""
 
         async def scenario(watch):
-            watch.handle_slowness_report(Complaint(("boot-1",)))
+            watch.handle_slowness_report(SlownessReport(("boot-1",)))
             await anyio.sleep(0.02)
-            watch.handle_pace_update(PaceNews("boot-1", 7.0))
+            watch.handle_pace_update(PaceUpdate("boot-1", 7.0))
 
         sent, _ = self.play([1.0, 7.0, 1.0], scenario)
         self.assertEqual([news.slowness for news in sent], [7.0, 7.0, 1.0])
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -10,11 +10,11 @@
     backpressure,
     entrystate,
     plainrelay,
-    ratekeeper,
+    ratelimiter,
     roster,
     tablesync,
 )
-from cherryrudder.node.controlbeats import ControlBeats
+from cherryrudder.node.controlgossip import ControlGossip
 from cherryrudder.node.gossip import (
     EndpointNews,
     Heard,
@@ -64,7 +64,7 @@
 
     def test_it_goes_with_the_incarnation(self):
         self.hear(2.5)
-        ratekeeper.sweep(self.state.rates, {OTHER}, now_s())
+        ratelimiter.sweep(self.state.rates, {OTHER}, now_s())
         self.assertTrue(self.may_begin())
 
 
@@ -90,19 +90,19 @@
         self.assertFalse(self.may_begin())
 
     def test_the_control_vm_beside_it_is_asked(self):
-        ratekeeper.ask(self.state, [ENGINE], now_s())
+        ratelimiter.request_permits(self.state, [ENGINE], now_s())
         ((address, ask),) = self.sent
         self.assertEqual((address, ask.limit.engine_id), ("a:1", ENGINE))
 
     def test_it_isnt_asked_again_before_it_has_a_permit(self):
         self.grant(permits=0, next_s=30.0)
-        ratekeeper.ask(self.state, [ENGINE], now_s())
+        ratelimiter.request_permits(self.state, [ENGINE], now_s())
         self.assertEqual(self.sent, [])
 
     def test_a_request_waits_for_the_answer(self):
         async def play():
             async with anyio.create_task_group() as group:
-                group.start_soon(ratekeeper.acquire, self.state, [ENGINE])
+                group.start_soon(ratelimiter.acquire, self.state, [ENGINE])
                 await anyio.sleep(0.005)
                 self.grant()
             return self.may_begin()
@@ -112,7 +112,7 @@
     def test_it_doesnt_wait_for_an_issuer_that_is_gone(self):
         async def play():
             with anyio.fail_after(1.0):
-                await ratekeeper.acquire(self.state, [ENGINE])
+                await ratelimiter.acquire(self.state, [ENGINE])
 
         anyio.run(play)
         self.assertFalse(self.may_begin())
@@ -161,18 +161,18 @@
         self.piped = PipedSink()
         self.addCleanup(self.piped.close)
         self.state = a_control(self.piped.sink, "10.0.0.1", HOME)
-        self.beats = ControlBeats(self.state, None)
+        self.beats = ControlGossip(self.state, None)
         self.sent = []
         self.beats.links.send = lambda address, message: self.sent.append(
             (address, message)
         )
         told = an_announcement(ENGINE, layers=(0, 8))
-        tablesync.hear(self.state.endpoints, told, now_s())
+        tablesync.record_heartbeat(self.state.endpoints, told, now_s())
         for zone in (HOME, FAR, "c"):
             beat = EntryStub(address=f"entry-{zone}", vm_zone=zone)
-            roster.hear(self.state.entries, beat.address, beat, now_s())
+            roster.record(self.state.entries, beat.address, beat, now_s())
         beat = ControlStub(address="control-b", vm_zone=FAR)
-        roster.hear(self.state.roster, beat.address, beat, now_s())
+        roster.record(self.state.roster, beat.address, beat, now_s())
 
     def test_it_tells_the_entries_that_nobody_else_tells(self):
         news = LimitNews((ToldLimit(ENGINE, 2.5, 0.0),))
@@ -202,7 +202,7 @@
             with self.subTest(other=address):
                 self.setUp()
                 beat = ControlStub(address=address, vm_zone=HOME)
-                roster.hear(self.state.roster, address, beat, now_s())
+                roster.record(self.state.roster, address, beat, now_s())
                 self.beats._take(ask)
                 told = self.sent[-1]
                 self.assertEqual(told[0], "entry-a" if issues else address)
--- a/libs/node/test/test_roomdesk.py
+++ b/libs/node/test/test_roomdesk.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from cherryrudder.node.roomdesk import RoomDesk
+from cherryrudder.node.chainscheduler import ChainScheduler
 from cherryrudder.policy.capacityqueue import WaitingStream
 from cherryrudder.replica.clock import now_s
 
@@ -47,7 +47,7 @@
 
     def play(self, scenario):
         async def run():
-            desk = RoomDesk()
+            desk = ChainScheduler()
             with anyio.fail_after(20.0):
                 async with anyio.create_task_group() as group:
                     group.start_soon(desk.run)
@@ -58,7 +58,7 @@
 
     def test_room_that_is_there_is_taken_at_once(self):
         async def scenario(desk, group):
-            found = await desk.find(a_request("1"), Room(1).find, False)
+            found = await desk.find_chain(a_request("1"), Room(1).find, False)
             self.assertEqual(found, CHAIN)
 
         self.play(scenario)
@@ -70,7 +70,7 @@
             room = Room(0)
 
             async def wait(name):
-                if await desk.find(a_request(name), room.find, False) is not None:
+                if await desk.find_chain(a_request(name), room.find, False) is not None:
                     order.append(name)
 
             for name in ("1", "2", "3"):
@@ -86,7 +86,7 @@
 
     def test_who_waits_too_long_is_told_so(self):
         async def scenario(desk, group):
-            found = await desk.find(a_request("1", 0.1), Room(0).find, False)
+            found = await desk.find_chain(a_request("1", 0.1), Room(0).find, False)
             self.assertIsNone(found)
             self.assertEqual(desk.queue.waiting, {})
 
@@ -95,7 +95,7 @@
     def test_a_client_that_leaves_waits_no_longer(self):
         async def scenario(desk, group):
             with anyio.move_on_after(0.05):
-                await desk.find(a_request("1"), Room(0).find, False)
+                await desk.find_chain(a_request("1"), Room(0).find, False)
             self.assertEqual(desk.queue.waiting, {})
 
         self.play(scenario)
@@ -107,10 +107,12 @@
         """
 
         async def scenario(desk, group):
-            group.start_soon(desk.find, a_request("picky"), Room(0).find, True)
+            group.start_soon(desk.find_chain, a_request("picky"), Room(0).find, True)
             await until_waiting(desk, "picky")
             room = Room(1)
-            self.assertEqual(await desk.find(a_request("2"), room.find, False), CHAIN)
+            self.assertEqual(
+                await desk.find_chain(a_request("2"), room.find, False), CHAIN
+            )
 
         self.play(scenario)
 
@@ -120,7 +122,7 @@
         async def scenario(desk, group):
             room = Room(0)
             for n in range(50):
-                group.start_soon(desk.find, a_request(str(n)), room.find, False)
+                group.start_soon(desk.find_chain, a_request(str(n)), room.find, False)
             await until_waiting(desk, *(str(n) for n in range(50)))
             first = room.tries
             await anyio.sleep(0.2)
--- a/libs/node/test/test_roster.py
+++ b/libs/node/test/test_roster.py
@@ -20,27 +20,27 @@
 
     def test_only_who_was_heard_lately_is_told_of(self):
         known = Roster("own")
-        self.assertTrue(roster.hear(known, "a", "beat", 0.0))
-        self.assertFalse(roster.hear(known, "a", "beat", 1.0))
-        self.assertEqual(roster.present(known, 2.0), ["a"])
-        self.assertEqual(roster.present(known, 9.0), [])
-        self.assertEqual(roster.beats(known, 2.0), ["beat"])
+        self.assertTrue(roster.record(known, "a", "beat", 0.0))
+        self.assertFalse(roster.record(known, "a", "beat", 1.0))
+        self.assertEqual(roster.live_addresses(known, 2.0), ["a"])
+        self.assertEqual(roster.live_addresses(known, 9.0), [])
+        self.assertEqual(roster.live_messages(known, 2.0), ["beat"])
 
     def test_the_silent_are_forgotten_and_named(self):
         known = Roster("own")
-        roster.hear(known, "a", "beat", 0.0)
+        roster.record(known, "a", "beat", 0.0)
         self.assertEqual(roster.sweep(known, 1.0), [])
         self.assertEqual(roster.sweep(known, roster.FORGET_S + 1), ["a"])
 
     def test_the_mean_age_is_of_the_others_that_are_there(self):
         known = Roster("own")
         for name, heard_s in (("asker", 0.0), ("a", 9.0), ("b", 9.5), ("lost", 6.0)):
-            roster.hear(known, name, "beat", heard_s)
-        roster.hear(known, "asker", "beat", 10.0)
+            roster.record(known, name, "beat", heard_s)
+        roster.record(known, "asker", "beat", 10.0)
         self.assertAlmostEqual(roster.mean_age_s(known, "asker", 10.0), 0.75)
         self.assertEqual(roster.mean_age_s(Roster("own"), "", 10.0), 0.0)
 
     def test_one_that_comes_back_is_news(self):
         known = Roster("own")
-        roster.hear(known, "a", "beat", 0.0)
-        self.assertTrue(roster.hear(known, "a", "beat", 8.0))
+        roster.record(known, "a", "beat", 0.0)
+        self.assertTrue(roster.record(known, "a", "beat", 8.0))
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -7,8 +7,8 @@
 
 from cherryrudder.layers.chains import Part
 from cherryrudder.node import streamchains, tablesync
-from cherryrudder.node.ratekeeper import RateKeeper
-from cherryrudder.node.roomdesk import RoomDesks
+from cherryrudder.node.chainscheduler import ChainSchedulers
+from cherryrudder.node.ratelimiter import RateLimiter
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import suspicion
 from cherryrudder.routing.backoffs import BackoffBook
@@ -19,7 +19,7 @@
 def a_small_state():
     """Return what the counts of a chain need of an entry."""
     return SimpleNamespace(
-        running={}, tokens={}, firsts={}, rates=RateKeeper(), backoffs=BackoffBook()
+        running={}, tokens={}, firsts={}, rates=RateLimiter(), backoffs=BackoffBook()
     )
 
 
@@ -40,7 +40,7 @@
     )
     return SimpleNamespace(
         job=job,
-        watch=SimpleNamespace(desks=RoomDesks(group)),
+        watch=SimpleNamespace(desks=ChainSchedulers(group)),
         tokens=900,
         excluded=lambda _: set(),
         has_begun=True,
@@ -154,7 +154,7 @@
             ("part", (8, 16)),
         ):
             told = an_announcement(name, layers=layers)
-            tablesync.hear(self.state.endpoints, told, now_s())
+            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
         self.suspect("dead")
         self.stream = a_stream(self.state, None)
         self.stream.job.service = SimpleNamespace(name="llm", model=a_model(layers=16))
@@ -186,7 +186,7 @@
     def test_an_engine_that_leaves_has_not_ended(self):
         for name in ("first", "second"):
             told = an_announcement(name, 4, (0, 8), is_leaving=True)
-            tablesync.hear(self.state.endpoints, told, now_s())
+            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
             self.suspect(name)
         self.assertEqual(self.chosen()[0], set())
 
@@ -203,7 +203,7 @@
         self.assertEqual(self.chosen()[0], {"second", "third"})
 
     def test_a_departure_makes_room_for_another_engine(self):
-        tablesync.depart(self.state.endpoints, "second", now_s())
+        tablesync.record_departure(self.state.endpoints, "second", now_s())
         self.assertEqual(self.chosen()[0], {"first", "third"})
 
     def test_two_runs_at_one_engine_count_once(self):
@@ -232,7 +232,7 @@
         for number, zone in enumerate(zones):
             layers = (8 * number, 8 * number + 8)
             engine = an_announcement(f"boot-{number}", layers=layers, vm_zone=zone)
-            tablesync.hear(state.endpoints, engine, now_s())
+            tablesync.record_heartbeat(state.endpoints, engine, now_s())
         stream = a_stream(state, None)
         stream.job.service.model = a_model(16)
         stream.job.facts.prompt_tokens = 800
@@ -261,7 +261,7 @@
         state = a_state(piped.sink)
         for name in ("boot-1", "boot-2"):
             engine = an_announcement(name, layers=(0, 16))
-            tablesync.hear(state.endpoints, engine, now_s())
+            tablesync.record_heartbeat(state.endpoints, engine, now_s())
         stream = a_stream(state, None)
         stream.job.service.model = a_model(16)
         stream.chain = (Part("boot-1:80", "boot-1", 0, 16),)
--- a/libs/node/test/test_streamrelay.py
+++ b/libs/node/test/test_streamrelay.py
@@ -71,7 +71,7 @@
         piped = PipedSink()
         self.addCleanup(piped.close)
         state = a_state(piped.sink)
-        tablesync.hear(state.endpoints, an_announcement("boot-1"), now_s())
+        tablesync.record_heartbeat(state.endpoints, an_announcement("boot-1"), now_s())
         for _ in range(200):
             sharedbudget.record_request(state.retry_budget, "llm", now_s())
         job = SimpleNamespace(
--- a/libs/node/test/test_surface.py
+++ b/libs/node/test/test_surface.py
@@ -3,11 +3,11 @@
 
 from builders import PipedSink
 
-from cherryrudder.node import surface
-from cherryrudder.node.crashdesk import CrashDesk
+from cherryrudder.node import adminapi
+from cherryrudder.node.adminapi import AdminContext
+from cherryrudder.node.crashtracker import CrashTracker
 from cherryrudder.node.gossip import ToldLimit
 from cherryrudder.node.metrics import Metrics
-from cherryrudder.node.surface import Shown
 from cherryrudder.routing.crashbook import Crash, RequestRecord
 
 ENDED = tuple(Crash(f"e{n}", "a", "v1", 2, 10.0) for n in range(3))
@@ -19,9 +19,9 @@
         self.addCleanup(piped.close)
         self.told = []
         metrics = Metrics()
-        self.desk = CrashDesk("boot-1", piped.sink, metrics)
+        self.desk = CrashTracker("boot-1", piped.sink, metrics)
         self.desk.note({"f1": RequestRecord("acme", "llm", ENDED)}, 11.0)
-        self.shown = Shown(metrics, self.desk, self.told.append, self.limits)
+        self.shown = AdminContext(metrics, self.desk, self.told.append, self.limits)
 
     def limits(self, now_s):
         return [ToldLimit("e0", 2.5, now_s - 11.0)]
@@ -32,7 +32,7 @@
         self.assertEqual((status, json.loads(body)), (200, {"limits": [listed]}))
 
     def respond(self, method, path):
-        status, _, body = surface.respond(self.shown, method, path, 12.0)
+        status, _, body = adminapi.respond(self.shown, method, path, 12.0)
         return status, body
 
     def test_blocks_are_listed_with_their_engines(self):
--- a/libs/node/test/test_tablesync.py
+++ b/libs/node/test/test_tablesync.py
@@ -25,9 +25,11 @@
 
     def test_a_sign_of_life_does_not_hide_news(self):
         source, reader = SharedTable("source"), SharedTable("reader")
-        tablesync.hear(source, an_announcement(number=2), 0.0)
+        tablesync.record_heartbeat(source, an_announcement(number=2), 0.0)
         tablesync.take(reader, tablesync.news_since(source, TableMark("", 0), 0.0), 0.0)
-        tablesync.hear(source, an_announcement(number=4, layers=(0, 8)), 0.1)
+        tablesync.record_heartbeat(
+            source, an_announcement(number=4, layers=(0, 8)), 0.1
+        )
         tablesync.take_alive(reader, (Alive("boot-1", 0.0),), 0.1)
         news = tablesync.news_of(source, ["boot-1"], 0.1)
         self.assertEqual(tablesync.take(reader, news, 0.1), ["boot-1"])
@@ -35,14 +37,14 @@
 
     def test_a_sign_of_life_keeps_an_endpoint(self):
         reader = SharedTable("reader")
-        tablesync.hear(reader, an_announcement(), 0.0)
+        tablesync.record_heartbeat(reader, an_announcement(), 0.0)
         tablesync.take_alive(reader, (Alive("boot-1", 0.5),), 6.0)
         self.assertEqual(len(endpoints.live(reader.table, 6.0)), 1)
 
     def test_the_gone_stay_gone(self):
         reader = SharedTable("reader")
-        tablesync.hear(reader, an_announcement(), 0.0)
-        tablesync.depart(reader, "boot-1", 0.1)
+        tablesync.record_heartbeat(reader, an_announcement(), 0.0)
+        tablesync.record_departure(reader, "boot-1", 0.1)
         tablesync.take_alive(reader, (Alive("boot-1", 0.0),), 0.2)
         self.assertEqual(endpoints.live(reader.table, 0.2), [])
 
@@ -50,7 +52,7 @@
 class RestartTest(unittest.TestCase):
     def test_a_reader_of_another_boot_gets_everything(self):
         source = SharedTable("new")
-        tablesync.hear(source, an_announcement(), 0.0)
+        tablesync.record_heartbeat(source, an_announcement(), 0.0)
         self.assertEqual(
             len(tablesync.news_since(source, TableMark("old", 99), 0.0)), 1
         )
@@ -75,14 +77,14 @@
             numbers[engine_id] = numbers.get(engine_id, 0) + endpoints.NUMBER_STEP
             kind = rng.randrange(10)
             if kind == 0:
-                tablesync.depart(source, engine_id, 0.0)
+                tablesync.record_departure(source, engine_id, 0.0)
             elif kind < 3:
                 layers = LayerRange(0, rng.randrange(1, 9))
                 tablesync.observe(source, engine_id, layers, 0.0)
             else:
                 layers = (0, rng.randrange(1, 9))
                 heard = an_announcement(engine_id, numbers[engine_id], layers)
-                tablesync.hear(source, heard, 0.0)
+                tablesync.record_heartbeat(source, heard, 0.0)
             news = tablesync.news_of(source, [engine_id], 0.0)
             (late if rng.random() < 0.5 else []).append(news)
             tablesync.take_alive(reader, tablesync.signs(source, 0.0), 0.0)
--- a/libs/node/test/test_uplink.py
+++ b/libs/node/test/test_uplink.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from cherryrudder.node import roster
-from cherryrudder.node.ratekeeper import RateKeeper
+from cherryrudder.node.ratelimiter import RateLimiter
 from cherryrudder.node.roster import Roster
 from cherryrudder.node.uplink import BEAT_S, NEAR_FRESH_S, Uplink, tellers_of
 
@@ -49,12 +49,12 @@
 
     def due(self, near_age_s, far_age_s, zone="b"):
         controls = Roster()
-        roster.hear(controls, "c:1", AnswerStub("c:1", zone), 100.0)
+        roster.record(controls, "c:1", AnswerStub("c:1", zone), 100.0)
         state = SimpleNamespace(
             address="e:1",
             controls=controls,
             settings=SimpleNamespace(vm_zone="a"),
-            rates=RateKeeper(),
+            rates=RateLimiter(),
         )
         uplink = Uplink(state, None)
         uplink._near_confirmed_s = 100.0 - near_age_s
--- a/libs/node/test/test_verification.py
+++ b/libs/node/test/test_verification.py
@@ -4,10 +4,10 @@
 from builders import PipedSink, an_announcement
 
 from cherryrudder.node import enginecalls, roster
-from cherryrudder.node.controlbeats import ControlBeats
+from cherryrudder.node.controlgossip import ControlGossip
 from cherryrudder.node.controlstate import ControlState
 from cherryrudder.node.errors import EngineCallFailed
-from cherryrudder.node.gossip import Accusation, Acquittal, DeathNotice
+from cherryrudder.node.gossip import DeathNotice, Refutation, SuspicionReport
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.platform.engines import Report
 from cherryrudder.platform.settings import read_settings
@@ -43,7 +43,7 @@
         engine = an_announcement("boot-1", layers=(0, 8), started_ms=started_ms[0])
         endpoints.record_heartbeat(state.endpoints.table, engine, now_s())
         for address in (ACCUSER, OTHER):
-            roster.hear(state.entries, address, None, now_s())
+            roster.record(state.entries, address, None, now_s())
         sent, asked = [], []
 
         async def get_report(address, timeout_s=0.0, kept=None):
@@ -55,13 +55,13 @@
 
         async def play():
             async with anyio.create_task_group() as group:
-                beats = ControlBeats(state, group)
+                beats = ControlGossip(state, group)
                 beats.links.send = lambda address, message: sent.append(
                     (address, message)
                 )
                 for _ in range(times):
                     for accuser in accusers:
-                        beats._on_frames("", [Accusation("boot-1", accuser)])
+                        beats._on_frames("", [SuspicionReport("boot-1", accuser)])
 
         kept = enginecalls.get_report
         enginecalls.get_report = get_report
@@ -73,14 +73,14 @@
 
     def test_one_that_lives_is_cleared_and_nobody_else_hears_of_it(self):
         sent, _, state = self.accuse(is_alive=True)
-        self.assertEqual(sent, [(ACCUSER, Acquittal("boot-1"))])
-        self.assertEqual(state.accused, {})
+        self.assertEqual(sent, [(ACCUSER, Refutation("boot-1"))])
+        self.assertEqual(state.suspected_s, {})
 
     def test_one_that_is_dead_is_told_to_everybody(self):
         sent, _, state = self.accuse(is_alive=False)
         notice = DeathNotice("boot-1")
         self.assertEqual(sent, [(ACCUSER, notice), (OTHER, notice)])
-        self.assertIn("boot-1", state.accused)
+        self.assertIn("boot-1", state.suspected_s)
 
     def test_many_accusers_at_once_cost_one_look(self):
         sent, asked, _ = self.accuse(True, times=5, accusers=(ACCUSER, OTHER))
@@ -91,7 +91,7 @@
         """The address answers, but the boot that held the layers is gone."""
         sent, _, state = self.accuse(is_alive=True, started_ms=(100, 200))
         self.assertIn((ACCUSER, DeathNotice("boot-1")), sent)
-        self.assertIn("boot-1", state.accused)
+        self.assertIn("boot-1", state.suspected_s)
 
 
 if __name__ == "__main__":
