--- a/libs/node/src/cherryrudder/node/controlstate.py
+++ b/libs/node/src/cherryrudder/node/controlstate.py
@@ -93,5 +93,5 @@
             beat = present.beat
             if beat.disk_id:
                 name = VoterName(beat.vm, beat.disk_id, beat.log_address)
-                found.append(Member(name, beat.has_disk, present.heard_s))
+                found.append(Member(name, beat.has_disk, present.last_seen_s))
         return found
--- a/libs/node/src/cherryrudder/node/council.py
+++ b/libs/node/src/cherryrudder/node/council.py
@@ -25,7 +25,7 @@
 
     voter: Voter
     has_disk: bool
-    heard_s: float
+    last_seen_s: float
 
 
 class Change(NamedTuple):
@@ -65,7 +65,7 @@
             return Change(voters.REMOVE, learner)
     present = {member.disk_id for member in voters.members(voter_set)}
     for member in known.values():
-        is_heard = now_s - member.heard_s < DEAD_AFTER_S
+        is_heard = now_s - member.last_seen_s < DEAD_AFTER_S
         if member.voter.disk_id not in present and is_heard:
             return Change(voters.ADD_LEARNER, member.voter)
     return None
@@ -74,22 +74,22 @@
 def _has_new_disk(voter, known):
     """Tell whether the VM has told of another disk since this one was last heard."""
     old = known.get(voter.disk_id)
-    heard_s = old.heard_s if old else 0.0
+    heard_s = old.last_seen_s if old else 0.0
     return any(
         member.voter.vm == voter.vm
         and member.voter.disk_id != voter.disk_id
-        and member.heard_s > heard_s
+        and member.last_seen_s > heard_s
         for member in known.values()
     )
 
 
 def _is_silent(voter, known, limit_s, now_s):
     member = known.get(voter.disk_id)
-    return member is None or now_s - member.heard_s > limit_s
+    return member is None or now_s - member.last_seen_s > limit_s
 
 
 def _may_vote(voter, known, now_s):
     member = known.get(voter.disk_id)
     if member is None or not member.has_disk:
         return False
-    return now_s - member.heard_s < DEAD_AFTER_S
+    return now_s - member.last_seen_s < DEAD_AFTER_S
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -73,7 +73,7 @@
     """Drop an end after which the engine was heard again."""
     entry = state.endpoints.table.entries.get(engine_id)
     ended_s = state.broken.ended_s.get(engine_id, math.inf)
-    if entry is not None and entry.heard_s > ended_s:
+    if entry is not None and entry.last_seen_s > ended_s:
         brokenruns.record_alive(state.broken, engine_id)
 
 
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -222,7 +222,7 @@
 def is_suspect(state: EntryState, engine_id: str, now_s: float) -> bool:
     """Tell whether this entry has evidence against an endpoint."""
     entry = state.endpoints.table.entries.get(engine_id)
-    heard_s = entry.heard_s if entry else now_s
+    heard_s = entry.last_seen_s if entry else now_s
     return suspicion.is_ejected(state.suspicions, engine_id, heard_s, now_s)
 
 
@@ -231,7 +231,7 @@
     entry = state.endpoints.table.entries.get(engine_id)
     if entry is None or entry.is_gone:
         return True
-    return suspicion.is_certainly_dead(state.suspicions, engine_id, entry.heard_s)
+    return suspicion.is_certainly_dead(state.suspicions, engine_id, entry.last_seen_s)
 
 
 def engine_name(state: EntryState, engine_id: str) -> str:
--- a/libs/node/src/cherryrudder/node/layerkeeper.py
+++ b/libs/node/src/cherryrudder/node/layerkeeper.py
@@ -105,7 +105,7 @@
         accused_s = self.state.suspected_s.get(engine_id)
         if accused_s is None:
             return False
-        if self.state.endpoints.table.entries[engine_id].heard_s > accused_s:
+        if self.state.endpoints.table.entries[engine_id].last_seen_s > accused_s:
             del self.state.suspected_s[engine_id]
             return False
         return now - accused_s > TOGETHER_S
--- a/libs/node/src/cherryrudder/node/roster.py
+++ b/libs/node/src/cherryrudder/node/roster.py
@@ -19,7 +19,7 @@
     """The newest beat of a process, and when it came."""
 
     beat: tuple
-    heard_s: float
+    last_seen_s: float
 
 
 class Roster(Generic[Beat]):
@@ -37,7 +37,7 @@
     """Take a beat; tell whether its sender was not there before."""
     known = roster.peers.get(address)
     roster.peers[address] = Present(message, now_s)
-    return known is None or now_s - known.heard_s > PRESENT_S
+    return known is None or now_s - known.last_seen_s > PRESENT_S
 
 
 def tell(roster: Roster, addresses: tuple[str, ...], now_s: float) -> None:
@@ -52,13 +52,13 @@
     return [
         address
         for address, known in roster.peers.items()
-        if now_s - known.heard_s < PRESENT_S
+        if now_s - known.last_seen_s < PRESENT_S
     ]
 
 
 def targets(roster: Roster, now_s: float) -> list[str]:
     """Return all addresses that are worth a beat."""
-    heard = [a for a, k in roster.peers.items() if now_s - k.heard_s < FORGET_S]
+    heard = [a for a, k in roster.peers.items() if now_s - k.last_seen_s < FORGET_S]
     told = [a for a, told_s in roster.told.items() if now_s - told_s < PRESENT_S]
     return list(dict.fromkeys([*heard, *told, *roster.seeds]))
 
@@ -68,23 +68,23 @@
     return [
         known.beat
         for known in roster.peers.values()
-        if now_s - known.heard_s < PRESENT_S
+        if now_s - known.last_seen_s < PRESENT_S
     ]
 
 
 def mean_age_s(roster: Roster, but: str, now_s: float) -> float:
     """Return how old the newest beats of the others are on the average."""
     ages_s = [
-        now_s - known.heard_s
+        now_s - known.last_seen_s
         for address, known in roster.peers.items()
-        if address != but and now_s - known.heard_s < PRESENT_S
+        if address != but and now_s - known.last_seen_s < PRESENT_S
     ]
     return sum(ages_s) / len(ages_s) if ages_s else 0.0
 
 
 def sweep(roster: Roster, now_s: float) -> list[str]:
     """Forget who was silent for long, and return them."""
-    gone = [a for a, k in roster.peers.items() if now_s - k.heard_s > FORGET_S]
+    gone = [a for a, k in roster.peers.items() if now_s - k.last_seen_s > FORGET_S]
     for address in gone:
         del roster.peers[address]
     for address, told_s in list(roster.told.items()):
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -88,11 +88,11 @@
         if known is None or known.is_gone:
             continue
         heard_s = now_s - sign.age_s
-        if heard_s <= known.heard_s:
+        if heard_s <= known.last_seen_s:
             continue
         # It brings no number: what it came with may differ from what is known here,
         # and that news would then seem to be old when it comes.
-        shared.table.entries[sign.engine_id] = known._replace(heard_s=heard_s)
+        shared.table.entries[sign.engine_id] = known._replace(last_seen_s=heard_s)
 
 
 def news_since(shared: SharedTable, seen: TableMark, now_s: float) -> tuple[Heard, ...]:
@@ -108,15 +108,15 @@
 def signs(shared: SharedTable, now_s: float) -> tuple[Alive, ...]:
     """Return the recent signs of life."""
     return tuple(
-        Alive(engine_id, now_s - entry.heard_s)
+        Alive(engine_id, now_s - entry.last_seen_s)
         for engine_id, entry in shared.table.entries.items()
-        if not entry.is_gone and now_s - entry.heard_s < ALIVE_S
+        if not entry.is_gone and now_s - entry.last_seen_s < ALIVE_S
     )
 
 
 def heard_of(entry: TableEntry, now_s: float) -> Heard:
     """Return an entry of the table as it is told to others."""
-    return Heard(entry.announcement, now_s - entry.heard_s, entry.is_gone)
+    return Heard(entry.announcement, now_s - entry.last_seen_s, entry.is_gone)
 
 
 def news_of(shared: SharedTable, engine_ids, now_s: float) -> tuple[Heard, ...]:
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -200,10 +200,10 @@
         unheard_s = MISSED_HEARTBEATS * self.state.settings.heartbeat_s
         for engine_id, accused_s in list(self.state.suspected_s.items()):
             known = self.state.endpoints.table.entries.get(engine_id)
-            if known is None or known.is_gone or known.heard_s > accused_s:
+            if known is None or known.is_gone or known.last_seen_s > accused_s:
                 del self.state.suspected_s[engine_id]
                 self._told.pop(engine_id, None)
-            elif now - known.heard_s > unheard_s and self.state.is_leader():
+            elif now - known.last_seen_s > unheard_s and self.state.is_leader():
                 told = self._told.get(engine_id, 0)
                 if told < END_NOTICES:
                     self._told[engine_id] = told + 1
--- a/libs/node/test/test_council.py
+++ b/libs/node/test/test_council.py
@@ -14,9 +14,9 @@
 D = a_voter("d")
 
 
-def members(*names, heard_s=100.0, has_disk=True):
+def members(*names, last_seen_s=100.0, has_disk=True):
     """Return processes that were heard at a time."""
-    return [Member(voter, has_disk, heard_s) for voter in names]
+    return [Member(voter, has_disk, last_seen_s) for voter in names]
 
 
 def decide(voter_set, known, now_s=100.0, target=3):
@@ -37,7 +37,7 @@
 
     def test_a_wiped_disk_leaves_before_its_successor_comes(self):
         voter_set = VoterSet("x", (A, B, C))
-        old = members(C, heard_s=90.0)
+        old = members(C, last_seen_s=90.0)
         known = [*members(A, B, NEW_C), *old]
         self.assertEqual(decide(voter_set, known), (voters.REMOVE, C))
         voter_set = VoterSet("x", (A, B))
@@ -46,14 +46,14 @@
         self.assertEqual(decide(voter_set, known), (voters.PROMOTE, NEW_C))
 
     def test_a_standby_takes_the_place_of_a_silent_voter(self):
-        known = [*members(A, B, D), *members(C, heard_s=97.0)]
+        known = [*members(A, B, D), *members(C, last_seen_s=97.0)]
         voter_set = VoterSet("x", (A, B, C), (D,))
         self.assertEqual(decide(voter_set, known), (voters.PROMOTE, D))
         voter_set = VoterSet("x", (A, B, C, D))
         self.assertEqual(decide(voter_set, known), (voters.REMOVE, C))
 
     def test_a_short_silence_changes_nothing(self):
-        known = [*members(A, B, D), *members(C, heard_s=98.0)]
+        known = [*members(A, B, D), *members(C, last_seen_s=98.0)]
         self.assertIsNone(decide(VoterSet("x", (A, B, C), (D,)), known))
 
     def test_a_copy_in_memory_never_votes(self):
@@ -62,7 +62,7 @@
         self.assertIsNone(decide(voter_set, known))
 
     def test_a_silent_voter_stays_without_a_standby(self):
-        known = [*members(A, B), *members(C, heard_s=50.0)]
+        known = [*members(A, B), *members(C, last_seen_s=50.0)]
         self.assertIsNone(decide(VoterSet("x", (A, B, C)), known))
 
     def test_founders_grow_to_the_target(self):
@@ -71,7 +71,7 @@
         self.assertEqual(decide(voter_set, known, target=5), (voters.PROMOTE, D))
 
     def test_a_learner_that_is_gone_is_forgotten(self):
-        known = [*members(A, B, C), *members(D, heard_s=70.0)]
+        known = [*members(A, B, C), *members(D, last_seen_s=70.0)]
         voter_set = VoterSet("x", (A, B, C), (D,))
         self.assertEqual(decide(voter_set, known), (voters.REMOVE, D))
 
--- a/libs/quorum/src/cherryrudder/quorum/election.py
+++ b/libs/quorum/src/cherryrudder/quorum/election.py
@@ -134,7 +134,7 @@
     """Tell whether a leader is at work as far as this VM knows."""
     if node.role == LEADER:
         return True
-    recent = now_s - node.heard_s < node.timing.election_min_s
+    recent = now_s - node.last_seen_s < node.timing.election_min_s
     return node.leader is not None and recent
 
 
--- a/libs/quorum/src/cherryrudder/quorum/node.py
+++ b/libs/quorum/src/cherryrudder/quorum/node.py
@@ -86,7 +86,7 @@
 
         self.role = FOLLOWER
         self.leader: Voter | None = None
-        self.heard_s = 0.0
+        self.last_seen_s = 0.0
         self.election_at_s = 0.0
         # Campaigns that may come sooner than others, until a leader was heard.
         self.hurried_tries = HURRIED_TRIES
--- a/libs/quorum/src/cherryrudder/quorum/replication.py
+++ b/libs/quorum/src/cherryrudder/quorum/replication.py
@@ -128,7 +128,7 @@
         raise ProtocolError(f"{message['vm']} leads in term {node.term} as well")
     follow(node, now_s)
     node.leader = Voter(message["vm"], message["disk_id"], message["address"])
-    node.heard_s = now_s
+    node.last_seen_s = now_s
     node.leader_round = max(node.leader_round, message["round"])
     node.leader_sent_s = max(node.leader_sent_s, message["sent_s"])
     node.hurried_tries = 0
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -59,7 +59,7 @@
     """An announcement, and when this process heard of it, by its own clock."""
 
     announcement: Announcement
-    heard_s: float
+    last_seen_s: float
     is_gone: bool = False
 
 
@@ -206,7 +206,7 @@
     if known.is_gone:
         return False
     signed = known.announcement._replace(has_signed_off=True)
-    return _leave(table, known, signed, known.heard_s)
+    return _leave(table, known, signed, known.last_seen_s)
 
 
 def record_leaving(table: EndpointTable, engine_id: str, now_s: float) -> bool:
@@ -241,10 +241,10 @@
         return record_departure(table, engine_id, now_s)
     known = table.entries.get(engine_id)
     is_news = record_heartbeat(table, heard.announcement, now_s - age_s)
-    known_later = known is not None and known.heard_s > now_s - age_s
+    known_later = known is not None and known.last_seen_s > now_s - age_s
     if known_later and not table.entries[engine_id].is_gone:
         entry = table.entries[engine_id]
-        table.entries[engine_id] = entry._replace(heard_s=known.heard_s)
+        table.entries[engine_id] = entry._replace(last_seen_s=known.last_seen_s)
     return is_news
 
 
@@ -252,7 +252,7 @@
     """Forget what is long gone, and return the incarnations that fell silent."""
     lost = []
     for engine_id, entry in list(table.entries.items()):
-        age_s = now_s - entry.heard_s
+        age_s = now_s - entry.last_seen_s
         if age_s > FORGET_AFTER_S:
             del table.entries[engine_id]
             if not entry.is_gone:
@@ -264,7 +264,7 @@
     """Return the endpoints that may be used, one for each address."""
     newest: dict[str, TableEntry] = {}
     for entry in table.entries.values():
-        if entry.is_gone or now_s - entry.heard_s > LOST_AFTER_S:
+        if entry.is_gone or now_s - entry.last_seen_s > LOST_AFTER_S:
             continue
         address = entry.announcement.address
         other = newest.get(address)
@@ -279,7 +279,7 @@
     starts_ms = entry.announcement.started_ms, other.announcement.started_ms
     if all(starts_ms) and starts_ms[0] != starts_ms[1]:
         return starts_ms[0] > starts_ms[1]
-    return entry.heard_s > other.heard_s
+    return entry.last_seen_s > other.last_seen_s
 
 
 def accepts_requests(announcement: Announcement) -> bool:
