--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -7,8 +7,8 @@
 
 from cherryrudder.layers.chains import Part
 from cherryrudder.node import streamchains, tablesync
-from cherryrudder.node.ratekeeper import RateKeeper
-from cherryrudder.node.roomdesk import RoomDesks
+from cherryrudder.node.chainscheduler import ChainSchedulers
+from cherryrudder.node.ratelimiter import RateLimiter
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import suspicion
 from cherryrudder.routing.backoffs import BackoffBook
@@ -19,7 +19,7 @@
 def a_small_state():
     """Return what the counts of a chain need of an entry."""
     return SimpleNamespace(
-        running={}, tokens={}, firsts={}, rates=RateKeeper(), backoffs=BackoffBook()
+        running={}, tokens={}, firsts={}, rates=RateLimiter(), backoffs=BackoffBook()
     )
 
 
@@ -40,13 +40,13 @@
     )
     return SimpleNamespace(
         job=job,
-        watch=SimpleNamespace(desks=RoomDesks(group)),
+        watch=SimpleNamespace(desks=ChainSchedulers(group)),
         tokens=900,
         excluded=lambda _: set(),
         has_begun=True,
         is_counted=False,
         chain=(),
-        ran_at=[],
+        ran_engine_ids=[],
         refusal="",
         offer=None,
     )
@@ -154,16 +154,16 @@
             ("part", (8, 16)),
         ):
             told = an_announcement(name, layers=layers)
-            tablesync.hear(self.state.endpoints, told, now_s())
+            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
         self.suspect("dead")
         self.stream = a_stream(self.state, None)
         self.stream.job.service = SimpleNamespace(name="llm", model=a_model(layers=16))
         self.stream.job.facts.prompt_tokens = 800
-        self.stream.ran_at = ["first", "second"]
+        self.stream.ran_engine_ids = ["first", "second"]
         self.stream.refusal = ""
 
     def suspect(self, name):
-        suspicion.died(self.state.suspicions, name, now_s())
+        suspicion.record_failure(self.state.suspicions, name, now_s())
 
     def chosen(self):
         """Return the first engines of many choices, and the other parts."""
@@ -186,31 +186,33 @@
     def test_an_engine_that_leaves_has_not_ended(self):
         for name in ("first", "second"):
             told = an_announcement(name, 4, (0, 8), is_leaving=True)
-            tablesync.hear(self.state.endpoints, told, now_s())
+            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
             self.suspect(name)
         self.assertEqual(self.chosen()[0], set())
 
     def test_an_engine_that_lives_counts_again(self):
         for name in ("first", "second"):
             self.suspect(name)
-            suspicion.acquitted(self.state.suspicions, name)
+            suspicion.reinstate(self.state.suspicions, name)
         self.assertEqual(self.chosen()[0], {"first", "second"})
 
     def test_a_confirmed_death_makes_room_for_another_engine(self):
-        suspicion.verified(self.state.suspicions, "first", now_s() + 0.001)
+        suspicion.record_confirmed_death(
+            self.state.suspicions, "first", now_s() + 0.001
+        )
         self.assertEqual(self.chosen()[0], {"second", "third"})
 
     def test_a_departure_makes_room_for_another_engine(self):
-        tablesync.depart(self.state.endpoints, "second", now_s())
+        tablesync.record_departure(self.state.endpoints, "second", now_s())
         self.assertEqual(self.chosen()[0], {"first", "third"})
 
     def test_two_runs_at_one_engine_count_once(self):
-        self.stream.ran_at = ["first", "first"]
+        self.stream.ran_engine_ids = ["first", "first"]
         self.assertEqual(self.chosen()[0], {"first", "second", "third"})
 
     def test_a_run_under_way_counts_when_it_is_to_be_left(self):
         """Left for a third engine that it may not use, the stream would only wait."""
-        self.stream.ran_at = ["first"]
+        self.stream.ran_engine_ids = ["first"]
         self.stream.chain = (Part("second:80", "second", 0, 8),)
         self.assertTrue(streamchains.has_other_chain(self.stream, {"second:80"}))
         self.assertFalse(
@@ -230,7 +232,7 @@
         for number, zone in enumerate(zones):
             layers = (8 * number, 8 * number + 8)
             engine = an_announcement(f"boot-{number}", layers=layers, vm_zone=zone)
-            tablesync.hear(state.endpoints, engine, now_s())
+            tablesync.record_heartbeat(state.endpoints, engine, now_s())
         stream = a_stream(state, None)
         stream.job.service.model = a_model(16)
         stream.job.facts.prompt_tokens = 800
@@ -259,7 +261,7 @@
         state = a_state(piped.sink)
         for name in ("boot-1", "boot-2"):
             engine = an_announcement(name, layers=(0, 16))
-            tablesync.hear(state.endpoints, engine, now_s())
+            tablesync.record_heartbeat(state.endpoints, engine, now_s())
         stream = a_stream(state, None)
         stream.job.service.model = a_model(16)
         stream.chain = (Part("boot-1:80", "boot-1", 0, 16),)
@@ -275,7 +277,7 @@
 
     def test_not_once_an_engine_of_it_is_thought_dead(self):
         stream, state = self.offered()
-        suspicion.died(state.suspicions, "boot-2", now_s())
+        suspicion.record_failure(state.suspicions, "boot-2", now_s())
         chain = streamchains._take_chain(stream)
         self.assertEqual([part.engine_id for part in chain], ["boot-1"])
 
--- a/libs/policy/src/cherryrudder/policy/roomqueue.py
+++ b/libs/policy/src/cherryrudder/policy/capacityqueue.py
@@ -38,7 +38,7 @@
 MAX_WAITING = 256
 
 
-class Waiting(NamedTuple):
+class WaitingStream(NamedTuple):
     """A stream that waits for capacity; times are by the entry's own clock."""
 
     # Unique among the waiting streams.
@@ -47,18 +47,18 @@
     tokens: float
     arrived_s: float
     # Until then its first event can still meet the objective.
-    in_time_until_s: float
+    first_event_deadline_s: float
     # Then its client is about to leave, or the stream is refused.
-    give_up_s: float
+    expires_s: float
     # Its client already has a part of the answer.
     has_begun: bool = False
 
 
-class RoomQueue:
+class CapacityQueue:
     """The streams of one entry that wait for capacity."""
 
     def __init__(self):
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, WaitingStream] = {}
         # Tokens that each account was given; only differences count.
         self.tags: dict[str, float] = {}
         self.virtual_time = 0.0
@@ -70,7 +70,7 @@
         self.last_admitted_s: float | None = None
 
 
-def ahead_tokens(queue: RoomQueue, request: Waiting, now_s: float) -> float:
+def ahead_tokens(queue: CapacityQueue, request: WaitingStream, now_s: float) -> float:
     """Return the tokens of the streams that are admitted before a new request."""
     return sum(
         other.tokens
@@ -79,18 +79,18 @@
     )
 
 
-def expected_wait_s(queue: RoomQueue, tokens: float) -> float:
+def expected_wait_s(queue: CapacityQueue, tokens: float) -> float:
     """Return the seconds until capacity for this many tokens is free, 0 if unknown."""
     if queue.admissions < MIN_ADMISSIONS:
         return 0.0
     return tokens * queue.mean_gap_s / queue.mean_admitted_tokens
 
 
-def push(queue: RoomQueue, request: Waiting, now_s: float) -> float | None:
+def push(queue: CapacityQueue, request: WaitingStream, now_s: float) -> float | None:
     """Queue a request; if it is refused, return after how many seconds to come back."""
     ahead = ahead_tokens(queue, request, now_s)
     wait_s = expected_wait_s(queue, ahead + request.tokens)
-    would_expire = not request.has_begun and now_s + wait_s > request.give_up_s
+    would_expire = not request.has_begun and now_s + wait_s > request.expires_s
     if len(queue.waiting) >= MAX_WAITING or would_expire:
         return wait_s
     if not queue.waiting:
@@ -100,9 +100,9 @@
     return None
 
 
-def first(
-    queue: RoomQueue, now_s: float, skipped: Container[str] = ()
-) -> Waiting | None:
+def next_waiting(
+    queue: CapacityQueue, now_s: float, skipped: Container[str] = ()
+) -> WaitingStream | None:
     """Return the request that is admitted next."""
     usable = [r for r in queue.waiting.values() if r.request_id not in skipped]
     return min(usable, key=lambda r: _order(queue, r, now_s), default=None)
@@ -116,10 +116,10 @@
 def _rank(request, now_s):
     if request.has_begun:
         return BEGUN
-    return LATE if now_s > request.in_time_until_s else IN_TIME
+    return LATE if now_s > request.first_event_deadline_s else IN_TIME
 
 
-def started(queue: RoomQueue, request_id: str, now_s: float) -> None:
+def record_start(queue: CapacityQueue, request_id: str, now_s: float) -> None:
     """Remove a request that was given capacity."""
     request = queue.waiting.pop(request_id)
     tag = max(queue.tags.get(request.account, 0.0), queue.virtual_time)
@@ -142,14 +142,14 @@
     queue.last_admitted_s = now_s
 
 
-def remove(queue: RoomQueue, request_id: str) -> None:
+def remove(queue: CapacityQueue, request_id: str) -> None:
     """Remove a request that no longer waits."""
     queue.waiting.pop(request_id, None)
 
 
-def take_expired(queue: RoomQueue, now_s: float) -> list[Waiting]:
+def take_expired(queue: CapacityQueue, now_s: float) -> list[WaitingStream]:
     """Remove and return the requests whose wait has expired."""
-    expired = [r for r in queue.waiting.values() if now_s >= r.give_up_s]
+    expired = [r for r in queue.waiting.values() if now_s >= r.expires_s]
     for request in expired:
         del queue.waiting[request.request_id]
     return expired
--- a/libs/policy/src/cherryrudder/policy/credits.py
+++ b/libs/policy/src/cherryrudder/policy/credits.py
@@ -48,7 +48,7 @@
         self.holdings: dict[str, Holding] = {}
 
 
-def report(issuer: Issuer, entry: str, running, wanted, now_s: float) -> Credits:
+def handle_report(issuer: Issuer, entry: str, running, wanted, now_s: float) -> Credits:
     """Record an entry's running and additionally wanted requests; return its credits.
 
     A leaving endpoint grants no new ones, so that it ends with the requests that it
--- a/libs/policy/src/cherryrudder/policy/dispatch.py
+++ b/libs/policy/src/cherryrudder/policy/dispatch.py
@@ -41,7 +41,7 @@
     expected_s: float
 
 
-class Answer(NamedTuple):
+class Refuse(NamedTuple):
     """Refuse a request that did not run."""
 
     request_id: str
@@ -87,7 +87,7 @@
     """Accept a new request: send, queue or refuse it."""
     request_id = work.offer.request_id
     dispatcher.works[request_id] = work
-    retries.note_request(dispatcher.budget)
+    retries.record_request(dispatcher.budget)
     answer = adm.offer(dispatcher.admission, work.offer, now_s)
     if isinstance(answer, adm.Admitted) and not _place(dispatcher, request_id, now_s):
         answer = adm.put_back(dispatcher.admission, request_id, now_s)
@@ -96,7 +96,7 @@
     return advance(dispatcher, now_s)
 
 
-def finished(
+def finish(
     dispatcher, request_id, used_tokens, duration_s, now_s: float, endpoint_time_s=None
 ) -> list:
     """End a request that was answered completely.
@@ -118,13 +118,15 @@
             else 0.0
         )
         took_s = known_s or duration_s
-        placement.ended(dispatcher.fleet, endpoint, answer_tokens, took_s, now_s)
+        placement.record_success(
+            dispatcher.fleet, endpoint, answer_tokens, took_s, now_s
+        )
     adm.settle(dispatcher.admission, request_id, used_tokens, now_s)
     _drop(dispatcher, request_id)
     return advance(dispatcher, now_s)
 
 
-def failed(
+def fail_attempt(
     dispatcher: Dispatcher,
     request_id: str,
     endpoint: str,
@@ -198,9 +200,11 @@
     else:
         return None
     # An endpoint with a planned stop is replaced as planned, which is not its failure.
-    release = placement.withdrawn if lost.is_leaving else placement.failed
+    release = (
+        placement.record_withdrawal if lost.is_leaving else placement.record_failure
+    )
     release(dispatcher.fleet, endpoint, now_s)
-    placement.began(dispatcher.fleet, found.endpoint, now_s)
+    placement.record_start(dispatcher.fleet, found.endpoint, now_s)
     stages = tuple(
         found.endpoint if name == endpoint else name for name in placed.stages
     )
@@ -280,7 +284,7 @@
     if chain is None:
         return False
     for stage in chain.stages:
-        placement.began(dispatcher.fleet, stage.endpoint, now_s)
+        placement.record_start(dispatcher.fleet, stage.endpoint, now_s)
     if work.prefix:
         placement.record_sent(dispatcher.fleet, chain, work.prefix)
     names = tuple(stage.endpoint for stage in chain.stages)
@@ -307,14 +311,14 @@
     placed = dispatcher.placed.pop(request_id)
     for name in placed.stages:
         if name == endpoint:
-            placement.failed(dispatcher.fleet, name, now_s)
+            placement.record_failure(dispatcher.fleet, name, now_s)
         else:
-            placement.withdrawn(dispatcher.fleet, name, now_s)
+            placement.record_withdrawal(dispatcher.fleet, name, now_s)
     return placed.expected_s
 
 
 def _refuse(dispatcher, request_id, refusal):
-    dispatcher.effects.append(Answer(request_id, refusal))
+    dispatcher.effects.append(Refuse(request_id, refusal))
     _drop(dispatcher, request_id)
 
 
--- a/libs/policy/src/cherryrudder/policy/fleet.py
+++ b/libs/policy/src/cherryrudder/policy/fleet.py
@@ -138,7 +138,7 @@
         refresh(member, now_s)
 
 
-def cut_off(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def revoke_credits(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Set an endpoint's credits to zero until its next grant, after its link broke.
 
     A dead endpoint stays announced until its lease expires. Without this, a chain that
@@ -153,7 +153,7 @@
         refresh(member, now_s)
 
 
-def began(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_start(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Record that a request was sent to an endpoint."""
     member = fleet.members.get(endpoint)
     if member is None:
@@ -165,14 +165,16 @@
     refresh(member, now_s)
 
 
-def progressed(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_progress(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Record that an endpoint has answered part of a request."""
     member = fleet.members.get(endpoint)
     if member is not None:
         ejection.record_signal(member.health, member.kind.health, now_s)
 
 
-def ended(fleet, endpoint: str, tokens, duration_s: float, now_s: float) -> None:
+def record_success(
+    fleet, endpoint: str, tokens, duration_s: float, now_s: float
+) -> None:
     """Record that an endpoint answered a request in `duration_s` of its own time."""
     member = fleet.members.get(endpoint)
     if member is None:
@@ -183,7 +185,7 @@
     _release_slot(fleet, member, now_s)
 
 
-def failed(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_failure(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Record that an endpoint failed a request."""
     member = fleet.members.get(endpoint)
     if member is None:
@@ -193,7 +195,7 @@
     _release_slot(fleet, member, now_s)
 
 
-def withdrawn(fleet: Fleet, endpoint: str, now_s: float) -> None:
+def record_withdrawal(fleet: Fleet, endpoint: str, now_s: float) -> None:
     """Record a request that was cancelled, or did not fail because of this endpoint."""
     member = fleet.members.get(endpoint)
     if member is not None:
--- a/libs/policy/src/cherryrudder/policy/otherload.py
+++ b/libs/policy/src/cherryrudder/policy/peerload.py
@@ -23,40 +23,40 @@
     firsts: float = 0.0
 
 
-NONE = Load()
+NO_LOAD = Load()
 
 
-class OtherLoad:
+class PeerLoad:
     """The last report on the other entries, and this entry's own load at that time."""
 
     def __init__(self):
-        self.told: dict[str, Load] = {}
-        self.own_then: dict[str, Load] = {}
+        self.reported: dict[str, Load] = {}
+        self.own_at_report: dict[str, Load] = {}
         self._own_last_sent: dict[str, Load] = {}
 
 
-def note_beat(load: OtherLoad, own: Mapping[str, Load]) -> None:
+def record_report_sent(load: PeerLoad, own: Mapping[str, Load]) -> None:
     """Record this entry's load as it is sent to the others."""
     load._own_last_sent = dict(own)
 
 
-def hear(load: OtherLoad, told: Mapping[str, Load]) -> None:
+def update_reported(load: PeerLoad, reported: Mapping[str, Load]) -> None:
     """Store the load of the other entries.
 
     They reported it at different moments of the last half second. It is compared with
     this entry's own load at its report that was answered.
     """
-    load.told = dict(told)
-    load.own_then = load._own_last_sent
+    load.reported = dict(reported)
+    load.own_at_report = load._own_last_sent
 
 
-def estimate(load: OtherLoad, address: str, own: Load, peers: float) -> Load:
+def estimate(load: PeerLoad, address: str, own: Load, peers: float) -> Load:
     """Return the current load of all other entries on an engine.
 
     `peers` is the number of entries that send to it as much as this one.
     """
-    told = load.told.get(address, NONE)
-    then = load.own_then.get(address, NONE)
+    told = load.reported.get(address, NO_LOAD)
+    then = load.own_at_report.get(address, NO_LOAD)
     if own == then:
         return told
     return Load(
--- a/libs/policy/src/cherryrudder/policy/retries.py
+++ b/libs/policy/src/cherryrudder/policy/retries.py
@@ -56,7 +56,7 @@
         self.saved = min(FIRST_SAVED, max_saved)
 
 
-def note_request(budget: RetryBudget) -> None:
+def record_request(budget: RetryBudget) -> None:
     """Earn a fraction of a retry for a first attempt."""
     earned = budget.saved + budget.earned_per_request
     budget.saved = min(budget.max_saved, earned)
--- a/libs/policy/test/test_otherload.py
+++ b/libs/policy/test/test_otherload.py
@@ -1,8 +1,8 @@
 import random
 import unittest
 
-from cherryrudder.policy import otherload
-from cherryrudder.policy.otherload import Load, OtherLoad
+from cherryrudder.policy import peerload
+from cherryrudder.policy.peerload import Load, PeerLoad
 
 ENTRIES = 8
 COPIES = ("x", "y", "z")
@@ -13,23 +13,23 @@
 
 class EstimateTest(unittest.TestCase):
     def test_reported_load_counts_until_this_entry_adds_a_stream(self):
-        load = OtherLoad()
-        otherload.note_beat(load, {"x": Load(2, 1800, 1)})
-        otherload.hear(load, {"x": Load(9, 8000, 4)})
-        same = otherload.estimate(load, "x", Load(2, 1800, 1), 7)
+        load = PeerLoad()
+        peerload.record_report_sent(load, {"x": Load(2, 1800, 1)})
+        peerload.update_reported(load, {"x": Load(9, 8000, 4)})
+        same = peerload.estimate(load, "x", Load(2, 1800, 1), 7)
         self.assertEqual(same, Load(9, 8000, 4))
-        more = otherload.estimate(load, "x", Load(3, 2700, 2), 7)
+        more = peerload.estimate(load, "x", Load(3, 2700, 2), 7)
         self.assertEqual(more, Load(16, 14_300, 11))
 
     def test_streams_that_ended_here_lower_the_estimate_to_zero_at_least(self):
-        load = OtherLoad()
-        otherload.note_beat(load, {"x": Load(3, 2700, 0)})
-        otherload.hear(load, {"x": Load(9, 8000, 0)})
-        self.assertEqual(otherload.estimate(load, "x", Load(2, 1800, 0), 7).running, 2)
-        self.assertEqual(otherload.estimate(load, "x", Load(0, 0, 0), 7).running, 0)
+        load = PeerLoad()
+        peerload.record_report_sent(load, {"x": Load(3, 2700, 0)})
+        peerload.update_reported(load, {"x": Load(9, 8000, 0)})
+        self.assertEqual(peerload.estimate(load, "x", Load(2, 1800, 0), 7).running, 2)
+        self.assertEqual(peerload.estimate(load, "x", Load(0, 0, 0), 7).running, 0)
 
     def test_an_engine_without_reports_has_no_load(self):
-        self.assertEqual(otherload.estimate(OtherLoad(), "x", Load(), 7), Load())
+        self.assertEqual(peerload.estimate(PeerLoad(), "x", Load(), 7), Load())
 
 
 class HerdTest(unittest.TestCase):
@@ -45,7 +45,7 @@
         """Return how many streams were sent to a copy without capacity for them."""
         rng = random.Random(7)
         own = [dict.fromkeys(COPIES, 0) for _ in range(ENTRIES)]
-        loads = [OtherLoad() for _ in range(ENTRIES)]
+        loads = [PeerLoad() for _ in range(ENTRIES)]
         ends, refused = [], 0
         for turn in range(200):
             for entry, copy in (e[1:] for e in ends if e[0] == turn):
@@ -67,16 +67,18 @@
 
     def exchange_loads(self, own, loads):
         for entry, load in enumerate(loads):
-            otherload.note_beat(load, {c: Load(n) for c, n in own[entry].items()})
+            peerload.record_report_sent(
+                load, {c: Load(n) for c, n in own[entry].items()}
+            )
             others = [o for number, o in enumerate(own) if number != entry]
             reported = {c: Load(sum(o[c] for o in others)) for c in COPIES}
-            otherload.hear(load, reported)
+            peerload.update_reported(load, reported)
 
     def test_few_streams_are_sent_to_full_engines(self):
-        stale = self.play(lambda load, own, copy: load.told[copy].running)
+        stale = self.play(lambda load, own, copy: load.reported[copy].running)
         estimated = self.play(
             lambda load, own, copy: (
-                otherload.estimate(load, copy, Load(own[copy]), ENTRIES - 1).running
+                peerload.estimate(load, copy, Load(own[copy]), ENTRIES - 1).running
             )
         )
         self.assertLess(estimated, 0.6 * stale, (stale, estimated))
