--- a/libs/policy/src/cherryrudder/policy/peerload.py
+++ b/libs/policy/src/cherryrudder/policy/peerload.py
@@ -55,13 +55,13 @@
 
     `peers` is the number of entries that send to it as much as this one.
     """
-    told = load.reported.get(address, NO_LOAD)
+    reported = load.reported.get(address, NO_LOAD)
     then = load.own_at_report.get(address, NO_LOAD)
     if own == then:
-        return told
+        return reported
     return Load(
         *(
             max(0.0, known + peers * (now - before))
-            for known, now, before in zip(told, own, then, strict=True)
+            for known, now, before in zip(reported, own, then, strict=True)
         )
     )
--- a/libs/policy/src/cherryrudder/policy/sharebook.py
+++ b/libs/policy/src/cherryrudder/policy/sharebook.py
@@ -81,7 +81,7 @@
     book: ShareBook, admission: Admission, now_s: float
 ) -> list[ShareRequest]:
     """Return the requests to send now, each to its customer's allocator."""
-    asks = []
+    requests = []
     for customer, holder in book.holders.items():
         if customer not in admission.limits:
             continue
@@ -89,7 +89,7 @@
         if not shareholder.is_due(holder, demand, now_s):
             continue
         grant = holder.grant
-        ask = ShareRequest(
+        request = ShareRequest(
             book.entry,
             customer,
             demand,
@@ -97,11 +97,11 @@
             grant.allocator if grant else "",
             grant.number if grant else 0,
         )
-        asks.append(ask)
+        requests.append(request)
         # A request counts even if it is not answered. Otherwise a silent allocator
         # would receive requests from all entries for all customers at each tick.
         holder.asked_s = now_s
-    return asks
+    return requests
 
 
 def handle_request(allocator: Allocator, request: ShareRequest, now_s: float) -> Grant:
--- a/libs/policy/test/driver.py
+++ b/libs/policy/test/driver.py
@@ -124,9 +124,9 @@
         if self.attempts[request.request_id] < self.max_attempts and in_time:
             self.at(again_s, lambda: self.arrive(request))
         else:
-            self.note(request, status, 0.0)
+            self.record_result(request, status, 0.0)
 
-    def note(self, request, status, started_s):
+    def record_result(self, request, status, started_s):
         self.results.append(Result(request, status, started_s, self.now_s))
 
     def send(self, name, request, entry):
@@ -154,7 +154,7 @@
             self.start(engine, *engine.waiting.pop(0))
         if entry.ended(request, engine.name, self.now_s - started_s):
             in_time = self.now_s <= request.at_s + request.timeout_s
-            self.note(request, 200 if in_time else 0, started_s)
+            self.record_result(request, 200 if in_time else 0, started_s)
 
     def lose(self, name):
         """Kill an engine; its running requests are lost and new ones fail."""
@@ -256,8 +256,8 @@
 
     def renew(self):
         now_s = self.sim.now_s
-        for ask in sharebook.due_requests(self.book, self.admission, now_s):
-            grant = sharebook.handle_request(self.sim.allocator, ask, now_s)
+        for request in sharebook.due_requests(self.book, self.admission, now_s):
+            grant = sharebook.handle_request(self.sim.allocator, request, now_s)
             sharebook.record_grant(self.book, grant, now_s, now_s)
         sharebook.apply_shares(self.book, self.admission, now_s)
 
--- a/libs/policy/test/permitsim.py
+++ b/libs/policy/test/permitsim.py
@@ -36,16 +36,16 @@
     requests: int
     length_s: float
 
-    def most_in_window(self) -> int:
+    def max_in_window(self) -> int:
         """Return the most requests in any window."""
-        return most_in_window(self.sent_s)
+        return max_in_window(self.sent_s)
 
     def share_used(self, per_s: float) -> float:
         """Return the fraction of the limit that was used."""
         return len(self.sent_s) / (per_s * self.length_s)
 
 
-def most_in_window(sent_s):
+def max_in_window(sent_s):
     """Return the most of these times that lie within one window."""
     most = first = 0
     for last, at_s in enumerate(sent_s):
--- a/libs/policy/test/test_invariants.py
+++ b/libs/policy/test/test_invariants.py
@@ -38,7 +38,7 @@
     def apply(self, effects):
         for effect in effects:
             name = effect.request_id
-            self.test.assertNotIn(name, self.ended, "told something after its end")
+            self.test.assertNotIn(name, self.ended, "effect after its end")
             if isinstance(effect, Send):
                 late = self.now_s >= self.offers[name].deadline_s
                 self.test.assertFalse(late, "expired, yet started")
--- a/libs/policy/test/test_permits.py
+++ b/libs/policy/test/test_permits.py
@@ -2,7 +2,7 @@
 import unittest
 
 from hypothesis import given, settings, strategies as st
-from permitsim import WINDOW_S, Plan, most_in_window, play
+from permitsim import WINDOW_S, Plan, max_in_window, play
 
 from cherryrudder.policy import permits
 from cherryrudder.policy.permits import Grant, Holder, Issuer
@@ -27,7 +27,7 @@
         for plan, outcome in self.outcomes("permits"):
             with self.subTest(plan=plan):
                 most = 1.2 * LIMIT_PER_S * WINDOW_S
-                self.assertLessEqual(outcome.most_in_window(), most)
+                self.assertLessEqual(outcome.max_in_window(), most)
                 self.assertGreaterEqual(outcome.share_used(plan.per_s), 0.9)
 
     def test_an_even_split_leaves_the_limit_unused_if_few_entries_have_callers(self):
@@ -40,7 +40,7 @@
 
     def test_entries_with_separate_buckets_exceed_the_limit(self):
         broken = [
-            outcome.most_in_window() > ALLOWED
+            outcome.max_in_window() > ALLOWED
             for plan, outcome in self.outcomes("separate")
             if plan.demand == "even" and plan.entries > 3
         ]
@@ -49,11 +49,11 @@
     def test_issuer_changes_and_lost_answers_keep_within_the_limit(self):
         changes = {"issuer_changes_s": 1.0, "lost_share": 0.1}
         for _, outcome in self.outcomes("permits", **changes):
-            self.assertLessEqual(outcome.most_in_window(), ALLOWED)
+            self.assertLessEqual(outcome.max_in_window(), ALLOWED)
 
     def test_entries_without_an_issuer_keep_to_even_parts(self):
         for _, outcome in self.outcomes("permits", lost_share=1.0):
-            self.assertLessEqual(outcome.most_in_window(), ALLOWED)
+            self.assertLessEqual(outcome.max_in_window(), ALLOWED)
 
 
 class IssuerTest(unittest.TestCase):
@@ -93,7 +93,7 @@
             one = permits.issue(issuer, str(sender), count, per_s, now_s)
             granted_s += [now_s] * one.permits
         most = 1.0 + per_s * permits.BURST_S
-        self.assertLessEqual(most_in_window(granted_s), per_s * WINDOW_S + most)
+        self.assertLessEqual(max_in_window(granted_s), per_s * WINDOW_S + most)
 
 
 class HolderTest(unittest.TestCase):
