--- a/libs/quorum/src/cherryrudder/quorum/wholefiles.py
+++ b/libs/quorum/src/cherryrudder/quorum/atomic_files.py
@@ -4,10 +4,12 @@
 from .filesystem import FileSystem
 from .records import encode_record, scan
 
-NEW = ".new"
+TEMPORARY_SUFFIX = ".new"
 
 
-def write_whole(fs: FileSystem, folder: str, name: str, payloads: list[bytes]) -> int:
+def write_atomically(
+    fs: FileSystem, folder: str, name: str, payloads: list[bytes]
+) -> int:
     """Write records to a new file and rename it to `name`; return its size.
 
     The file is synced before the rename: a rename that reaches the disk before the
@@ -16,19 +18,19 @@
     """
     path = f"{folder}/{name}"
     data = b"".join(encode_record(payload) for payload in payloads)
-    fd = fs.open(path + NEW)
+    fd = fs.open(path + TEMPORARY_SUFFIX)
     try:
         fs.truncate(fd, 0)
         fs.write(fd, 0, data)
         fs.sync(fd)
     finally:
         fs.close(fd)
-    fs.rename(path + NEW, path)
+    fs.rename(path + TEMPORARY_SUFFIX, path)
     fs.sync_folder(folder)
     return len(data)
 
 
-def read_whole(fs: FileSystem, folder: str, name: str) -> bytes:
+def read_record(fs: FileSystem, folder: str, name: str) -> bytes:
     """Return the payload of a file of one record; raises DiskError if damaged."""
     path = f"{folder}/{name}"
     data = read_bytes(fs, path)
--- a/libs/quorum/src/cherryrudder/quorum/core.py
+++ b/libs/quorum/src/cherryrudder/quorum/core.py
@@ -16,22 +16,22 @@
     ReadIndex,
     Received,
     RestoreSnapshot,
-    Snapshotted,
+    SnapshotTaken,
     Tick,
     Voter,
 )
 from .messages import (
     APPEND,
     APPEND_REPLY,
-    INSTALL,
+    INSTALL_SNAPSHOT,
     PRE_VOTE,
     PRE_VOTE_REPLY,
     TIMEOUT_NOW,
     VOTE,
     VOTE_REPLY,
-    check,
+    check_message,
 )
-from .node import LEADER, Node, emit, reset_election, set_term
+from .node import LEADER, Node, emit, reset_election_timer, set_term
 from .saved import Saved, Timing
 
 ON_MESSAGE = {
@@ -42,7 +42,7 @@
     TIMEOUT_NOW: election.on_timeout_now,
     APPEND: replication.on_append,
     APPEND_REPLY: replication.on_append_reply,
-    INSTALL: snapshots.on_install,
+    INSTALL_SNAPSHOT: snapshots.on_install_snapshot,
 }
 
 
@@ -54,7 +54,7 @@
     The first `handle` gives a `RestoreSnapshot` if the disk holds a snapshot.
     """
     node = Node(me, saved, timing, rng)
-    reset_election(node, now_s)
+    reset_election_timer(node, now_s)
     if saved.snapshot is not None:
         emit(node, RestoreSnapshot(saved.snapshot.index, saved.snapshot.data))
     return node
@@ -68,9 +68,9 @@
     election.check_quorum(node, now_s)
     _dispatch(node, event, now_s)
     commit.advance(node)
-    commit.deliver(node, now_s)
+    commit.apply_committed(node, now_s)
     if node.role == LEADER:
-        _lead(node, now_s)
+        _act_as_leader(node, now_s)
     # Last, so that the followers' disks work while this one does.
     writes.flush(node)
     effects = node.effects
@@ -88,16 +88,16 @@
         "term": node.term,
         "leader": node.leader.vm if node.leader else "",
         "leader_address": node.leader.address if node.leader else "",
-        "founded": not election.is_unfounded(node),
-        "commit": node.commit,
-        "applied": node.applied,
-        "persisted": node.persisted,
+        "founded": not election.is_awaiting_bootstrap(node),
+        "commit": node.commit_index,
+        "applied": node.applied_index,
+        "persisted": node.persisted_index,
         "last": node.log.last_index,
         "snapshot": node.snapshot.index if node.snapshot else 0,
         "voters": [voter._asdict() for voter in voter_set.voters],
         "learners": [voter._asdict() for voter in voter_set.learners],
         "peers": {
-            peer.voter.disk_id: {"match": peer.match, "acked_s": peer.acked_s}
+            peer.voter.disk_id: {"match": peer.match_index, "acked_s": peer.acked_s}
             for peer in node.peers.values()
         },
     }
@@ -115,32 +115,32 @@
         case ReadIndex():
             reads.on_read_index(node, event)
         case Persisted():
-            if writes.finish(node, event.write_id):
-                election.vote_saved(node, now_s)
+            if writes.complete_write(node, event.write_id):
+                election.on_vote_persisted(node, now_s)
                 replication.acknowledge(node)
         case ChangeVoters():
             proposals.on_change_voters(node, event, now_s)
-        case Snapshotted():
-            snapshots.on_snapshotted(node, event)
+        case SnapshotTaken():
+            snapshots.on_snapshot_taken(node, event)
         case HandOver():
-            election.hand_over(node, now_s)
+            election.transfer_leadership(node, now_s)
         case _:
             raise TypeError(f"not an event: {event!r}")
 
 
 def _receive(node, raw, now_s):
-    result = check(raw)
+    result = check_message(raw)
     if result.is_error():
         return
     message = result.ok
-    if not _is_for(node, message) or election.is_recreated(node, message):
+    if not _is_addressed_here(node, message) or election.is_recreated(node, message):
         return
-    if not _enter_term(node, message, now_s):
+    if not _update_term(node, message, now_s):
         return
     ON_MESSAGE[message["type"]](node, message, now_s)
 
 
-def _is_for(node, message):
+def _is_addressed_here(node, message):
     """Tell whether a message is meant for this disk and comes from its cluster.
 
     A VM with a new disk still gets what was sent to its old one. A cluster's name is
@@ -153,7 +153,7 @@
     )
 
 
-def _enter_term(node, message, now_s):
+def _update_term(node, message, now_s):
     """Follow a later term; tell whether the message is to be handled at all."""
     if message["term"] <= node.term or message["type"] == PRE_VOTE:
         return True
@@ -161,15 +161,15 @@
         return True
     if message["type"] == VOTE and not message["transfer"]:
         # A voter that was removed or cut off must not unseat a working leader.
-        if election.hears_leader(node, now_s):
+        if election.has_live_leader(node, now_s):
             return False
     set_term(node, message["term"], now_s)
     return True
 
 
-def _lead(node, now_s):
+def _act_as_leader(node, now_s):
     if now_s >= node.heartbeat_at_s or reads.needs_round(node):
-        replication.begin_round(node, now_s)
+        replication.start_heartbeat_round(node, now_s)
     # A voter alone confirms its own round.
-    reads.answer(node)
+    reads.complete_reads(node)
     replication.replicate(node, now_s)
--- a/libs/quorum/src/cherryrudder/quorum/election.py
+++ b/libs/quorum/src/cherryrudder/quorum/election.py
@@ -14,15 +14,15 @@
     LEADER,
     PRE_CANDIDATE,
     Node,
-    follow,
-    is_saved,
+    become_follower,
+    is_vote_persisted,
     is_voter,
-    reset_election,
+    reset_election_timer,
     send,
-    send_when_saved,
+    send_when_vote_persisted,
     set_term,
 )
-from .replication import sync_peers
+from .replication import update_peers
 from .writes import append
 
 
@@ -30,7 +30,7 @@
     """Start a pre-vote when no leader has been heard for the election time."""
     if now_s < node.election_at_s:
         return
-    reset_election(node, now_s)
+    reset_election_timer(node, now_s)
     # A disk outside the voter set has no say: a VM that lost its disk must not lead
     # or be counted until the others have taken the new disk in.
     if is_voter(node):
@@ -42,23 +42,25 @@
     set_term(node, node.term + 1, now_s)
     node.role = CANDIDATE
     node.voted_for = node.me.disk_id
-    reset_election(node, now_s)
-    for voter in _others(node):
-        send_when_saved(node, voter, VOTE, **_own_log(node), transfer=transfer)
+    reset_election_timer(node, now_s)
+    for voter in _other_voters(node):
+        send_when_vote_persisted(
+            node, voter, VOTE, **_last_entry_fields(node), transfer=transfer
+        )
 
 
-def vote_saved(node: Node, now_s: float) -> None:
+def on_vote_persisted(node: Node, now_s: float) -> None:
     """Count a candidate's own vote."""
-    if node.role == CANDIDATE and is_saved(node):
+    if node.role == CANDIDATE and is_vote_persisted(node):
         node.votes.add(node.me.disk_id)
-        _tally(node, now_s)
+        _count_votes(node, now_s)
 
 
 def on_pre_vote(node: Node, message: dict, now_s: float) -> None:
     """Say whether a vote would be given; nothing is promised or saved."""
     granted = (
         message["term"] > node.term
-        and not hears_leader(node, now_s)
+        and not has_live_leader(node, now_s)
         and _is_up_to_date(node, message)
     )
     reply_term = message["term"] if granted else node.term
@@ -70,9 +72,9 @@
     """Count a pre-vote."""
     if node.role != PRE_CANDIDATE or message["term"] != node.term + 1:
         return
-    if message["granted"] and _counts(node, message):
+    if message["granted"] and _is_from_voter(node, message):
         node.votes.add(message["disk_id"])
-        _tally(node, now_s)
+        _count_votes(node, now_s)
 
 
 def on_vote(node: Node, message: dict, now_s: float) -> None:
@@ -85,19 +87,19 @@
         and _is_up_to_date(node, message)
     )
     if granted:
-        follow(node, now_s)
+        become_follower(node, now_s)
         node.voted_for = message["disk_id"]
-        reset_election(node, now_s)
-    send_when_saved(node, _sender(message), VOTE_REPLY, granted=granted)
+        reset_election_timer(node, now_s)
+    send_when_vote_persisted(node, _sender(message), VOTE_REPLY, granted=granted)
 
 
 def on_vote_reply(node: Node, message: dict, now_s: float) -> None:
     """Count a vote."""
     if node.role != CANDIDATE or message["term"] != node.term:
         return
-    if message["granted"] and _counts(node, message):
+    if message["granted"] and _is_from_voter(node, message):
         node.votes.add(message["disk_id"])
-        _tally(node, now_s)
+        _count_votes(node, now_s)
 
 
 def on_timeout_now(node: Node, message: dict, now_s: float) -> None:
@@ -107,15 +109,15 @@
         campaign(node, now_s, transfer=True)
 
 
-def hand_over(node: Node, now_s: float) -> None:
+def transfer_leadership(node: Node, now_s: float) -> None:
     """Ask the follower with the longest log to take over, and step down."""
     if node.role != LEADER:
         return
     peers = [peer for peer in node.peers.values() if _is_peer_voter(node, peer)]
     if peers:
-        best = max(peers, key=lambda peer: (peer.match, peer.acked_s))
+        best = max(peers, key=lambda peer: (peer.match_index, peer.acked_s))
         send(node, best.voter, TIMEOUT_NOW)
-    follow(node, now_s)
+    become_follower(node, now_s)
 
 
 def check_quorum(node: Node, now_s: float) -> None:
@@ -127,18 +129,18 @@
     process finds in its sockets don't keep it in office.
     """
     if node.role == LEADER and not _has_quorum(node, now_s):
-        follow(node, now_s)
+        become_follower(node, now_s)
 
 
-def hears_leader(node: Node, now_s: float) -> bool:
+def has_live_leader(node: Node, now_s: float) -> bool:
     """Tell whether a leader is at work as far as this VM knows."""
     if node.role == LEADER:
         return True
-    recent = now_s - node.heard_s < node.timing.election_min_s
+    recent = now_s - node.last_seen_s < node.timing.election_min_s
     return node.leader is not None and recent
 
 
-def is_unfounded(node: Node) -> bool:
+def is_awaiting_bootstrap(node: Node) -> bool:
     """Tell whether this is a founder's disk that has never voted."""
     return node.term == 0 and node.log.last_index == 0 and is_voter(node)
 
@@ -152,7 +154,7 @@
     voted can't hear of a leader or of entries, since the first leader had every
     founder's synced vote. So it keeps silent; such a VM has to join as a learner.
     """
-    if not is_unfounded(node):
+    if not is_awaiting_bootstrap(node):
         return False
     if message["type"] in (PRE_VOTE, VOTE):
         return message["last_index"] > 0
@@ -163,16 +165,16 @@
     node.role = PRE_CANDIDATE
     node.leader = None
     node.votes = {node.me.disk_id}
-    for voter in _others(node):
+    for voter in _other_voters(node):
         send(
             node,
             voter,
             PRE_VOTE,
             term=node.term + 1,
-            **_own_log(node),
+            **_last_entry_fields(node),
             transfer=False,
         )
-    _tally(node, now_s)
+    _count_votes(node, now_s)
 
 
 def _votes_needed(node):
@@ -186,23 +188,23 @@
     return voters.quorum_size(node.voter_set)
 
 
-def _tally(node, now_s):
+def _count_votes(node, now_s):
     if len(node.votes) < _votes_needed(node):
         return
     if node.role == PRE_CANDIDATE:
         campaign(node, now_s)
     else:
-        _lead(node, now_s)
+        _become_leader(node, now_s)
 
 
-def _lead(node, now_s):
+def _become_leader(node, now_s):
     node.role = LEADER
     node.leader = node.me
-    node.hurried_tries = 0
+    node.fast_elections_left = 0
     node.votes = set()
     node.round = 0
     node.heartbeat_at_s = now_s
-    sync_peers(node, now_s)
+    update_peers(node, now_s)
     # Entries of earlier terms are committed only together with one of this term: a
     # majority of copies alone doesn't keep an older entry from being overwritten.
     append(node, Entry(node.log.last_index + 1, node.term, "noop", ""))
@@ -227,15 +229,15 @@
     return theirs >= (node.log.last_term, node.log.last_index)
 
 
-def _own_log(node):
+def _last_entry_fields(node):
     return {"last_index": node.log.last_index, "last_term": node.log.last_term}
 
 
-def _others(node):
+def _other_voters(node):
     return [v for v in node.voter_set.voters if v.disk_id != node.me.disk_id]
 
 
-def _counts(node, message):
+def _is_from_voter(node, message):
     return voters.is_voter(node.voter_set, message["vm"], message["disk_id"])
 
 
--- a/libs/quorum/src/cherryrudder/quorum/events.py
+++ b/libs/quorum/src/cherryrudder/quorum/events.py
@@ -66,7 +66,7 @@
     voter: Voter
 
 
-class Snapshotted(NamedTuple):
+class SnapshotTaken(NamedTuple):
     """The state machine's bytes at an applied index, for compaction."""
 
     index: int
@@ -104,7 +104,7 @@
     entries: tuple[Entry, ...]
 
 
-class Proposed(NamedTuple):
+class Committed(NamedTuple):
     """The proposal is committed at an index (the `Apply` comes first)."""
 
     proposal_id: str
@@ -131,7 +131,7 @@
     index: int
 
 
-class WantSnapshot(NamedTuple):
+class TakeSnapshot(NamedTuple):
     """The log is long: feed `Snapshotted` for the newest applied index."""
 
 
--- a/libs/quorum/src/cherryrudder/quorum/files.py
+++ b/libs/quorum/src/cherryrudder/quorum/files.py
@@ -18,12 +18,12 @@
 from expression import Error, Ok, Result
 
 from . import logfile
+from .atomic_files import read_record, write_atomically
 from .errors import DiskError, DiskUnavailable
 from .events import Persist, SaveSnapshot, Voter
 from .filesystem import FileSystem, real_filesystem
 from .log import Log
 from .saved import Identity, Saved, Snapshot, VoterSet
-from .wholefiles import read_whole, write_whole
 
 IDENTITY = "identity"
 SNAPSHOT = "snapshot"
@@ -64,7 +64,7 @@
 
     def persist(self, effect: Persist) -> None:
         """Write and sync term, vote and entries; raises DiskError."""
-        self._guard(lambda: self._file.append(effect))
+        self._run_operation(lambda: self._file.append(effect))
         logfile.apply_record(self._log, effect)
         self._term = effect.term
         self._voted_for = effect.voted_for
@@ -73,7 +73,7 @@
         """Replace the snapshot, then drop the log up to it; raises DiskError."""
         voter_set = VoterSet(effect.cluster, effect.voters, effect.learners)
         snapshot = Snapshot(effect.index, effect.term, voter_set, effect.data)
-        self._guard(lambda: self._replace(snapshot))
+        self._run_operation(lambda: self._replace(snapshot))
         self._snapshot = snapshot
 
     def close(self) -> None:
@@ -83,10 +83,10 @@
 
     def _replace(self, snapshot):
         payload = msgspec.json.encode(snapshot)
-        write_whole(self._fs, self._folder, SNAPSHOT, [payload])
+        write_atomically(self._fs, self._folder, SNAPSHOT, [payload])
         # A crash here leaves the old log beside the new snapshot; `open_disk` then
         # does the rest.
-        join_snapshot(self._log, snapshot)
+        trim_log_to_snapshot(self._log, snapshot)
         self._replace_log()
 
     def _replace_log(self):
@@ -101,7 +101,7 @@
         )
         old.close()
 
-    def _guard(self, operation):
+    def _run_operation(self, operation):
         if self._failed:
             raise DiskError(f"{self._folder}: an earlier write failed: {self._failed}")
         try:
@@ -162,7 +162,7 @@
         return Error(error)
 
 
-def join_snapshot(log: Log, snapshot: Snapshot) -> None:
+def trim_log_to_snapshot(log: Log, snapshot: Snapshot) -> None:
     """Drop the log up to a snapshot, and all of it where the two differ.
 
     Entries past the snapshot that follow another entry at its index are of a leader
@@ -183,7 +183,7 @@
             return Error(DiskError(f"{folder}: not empty; a disk is created only once"))
         logfile.create(fs, folder, 1, 0, "", Log()).close()
         # Last, so that a folder whose creation was cut short is never opened.
-        write_whole(fs, folder, IDENTITY, [msgspec.json.encode(identity)])
+        write_atomically(fs, folder, IDENTITY, [msgspec.json.encode(identity)])
     except OSError as error:
         return Error(DiskUnavailable(f"{folder}: {error}"))
     return Ok(identity)
@@ -227,13 +227,13 @@
             f"snapshot covers {snapshot_index}; restore the file or replace this disk"
         )
     if base_index < snapshot_index:
-        join_snapshot(disk._log, snapshot)
+        trim_log_to_snapshot(disk._log, snapshot)
         disk._replace_log()
     return disk
 
 
 def _decode(fs, folder, name, kind):
-    payload = read_whole(fs, folder, name)
+    payload = read_record(fs, folder, name)
     try:
         return msgspec.json.decode(payload, type=kind)
     except msgspec.MsgspecError as error:
--- a/libs/quorum/src/cherryrudder/quorum/logfile.py
+++ b/libs/quorum/src/cherryrudder/quorum/logfile.py
@@ -9,16 +9,16 @@
 
 import msgspec
 
+from .atomic_files import read_bytes, write_atomically
 from .errors import DiskError
 from .events import Entry, Persist
 from .filesystem import FileSystem
 from .log import Log
 from .records import encode_record, scan
-from .wholefiles import read_bytes, write_whole
 
 LOG = "log"
 SYNCED = "synced"
-MARK = struct.Struct(">QQ")
+SYNCED_FORMAT = struct.Struct(">QQ")
 
 
 class Header(NamedTuple):
@@ -55,7 +55,7 @@
         self._fs = fs
         self._end = end
         self._fd = fs.open(f"{folder}/{LOG}")
-        self._mark_fd = fs.open(f"{folder}/{SYNCED}")
+        self._synced_fd = fs.open(f"{folder}/{SYNCED}")
 
     def append(self, effect: Persist) -> None:
         """Write and sync one record; raises OSError."""
@@ -66,9 +66,9 @@
         self._fs.write(self._fd, self._end, data)
         self._fs.sync(self._fd)
         self._end += len(data)
-        self._mark()
+        self._write_synced_size()
 
-    def cut(self) -> None:
+    def truncate_tail(self) -> None:
         """Drop what follows the last intact record; raises OSError."""
         self._fs.truncate(self._fd, self._end)
         self._fs.sync(self._fd)
@@ -76,17 +76,17 @@
     def close(self) -> None:
         """Close the files."""
         self._fs.close(self._fd)
-        self._fs.close(self._mark_fd)
+        self._fs.close(self._synced_fd)
 
-    def _mark(self):
+    def _write_synced_size(self):
         """Note how far the file is synced.
 
         Without it, damage to the last record would look like a torn tail, and an
         accepted entry would be cut off. The note needs no sync: one that is lost or
         old only makes the check weaker, and it never claims too much.
         """
-        mark = encode_record(MARK.pack(self.generation, self._end))
-        self._fs.write(self._mark_fd, 0, mark)
+        mark = encode_record(SYNCED_FORMAT.pack(self.generation, self._end))
+        self._fs.write(self._synced_fd, 0, mark)
 
 
 def create(
@@ -97,7 +97,7 @@
     entries = log.slice(log.base_index + 1, log.last_index + 1)
     record = Record(term, voted_for, None, entries)
     payloads = [msgspec.json.encode(header), msgspec.json.encode(record)]
-    size = write_whole(fs, folder, LOG, payloads)
+    size = write_atomically(fs, folder, LOG, payloads)
     return LogFile(fs, folder, generation, size)
 
 
@@ -120,7 +120,7 @@
         )
     file = LogFile(fs, folder, contents.generation, found.end)
     if found.end < len(data):
-        file.cut()
+        file.truncate_tail()
     return file, contents
 
 
@@ -150,7 +150,7 @@
 
 def _synced_bytes(fs, folder, generation):
     found = scan(read_bytes(fs, f"{folder}/{SYNCED}"))
-    if not found.payloads or len(found.payloads[0]) != MARK.size:
+    if not found.payloads or len(found.payloads[0]) != SYNCED_FORMAT.size:
         return 0
-    marked_generation, synced_bytes = MARK.unpack(found.payloads[0])
+    marked_generation, synced_bytes = SYNCED_FORMAT.unpack(found.payloads[0])
     return synced_bytes if marked_generation == generation else 0
--- a/libs/quorum/src/cherryrudder/quorum/messages.py
+++ b/libs/quorum/src/cherryrudder/quorum/messages.py
@@ -14,7 +14,7 @@
 VOTE_REPLY = "vote-reply"
 APPEND = "append"
 APPEND_REPLY = "append-reply"
-INSTALL = "install-snapshot"
+INSTALL_SNAPSHOT = "install-snapshot"
 TIMEOUT_NOW = "timeout-now"
 
 
@@ -67,7 +67,7 @@
     sent_s: float
 
 
-class Install(Header):
+class InstallSnapshot(Header):
     """A snapshot for a follower whose next entry the leader no longer has."""
 
     index: int
@@ -78,24 +78,24 @@
     sent_s: float
 
 
-KINDS = {
+MESSAGE_TYPES = {
     PRE_VOTE: VoteRequest,
     PRE_VOTE_REPLY: VoteReply,
     VOTE: VoteRequest,
     VOTE_REPLY: VoteReply,
     APPEND: Append,
     APPEND_REPLY: AppendReply,
-    INSTALL: Install,
+    INSTALL_SNAPSHOT: InstallSnapshot,
     TIMEOUT_NOW: Header,
 }
 
 
-def check(message: dict) -> Result[dict, str]:
+def check_message(message: dict) -> Result[dict, str]:
     """Return the message with its types checked, or what is wrong with it."""
     kind = message.get("type") if isinstance(message, dict) else None
-    if kind not in KINDS:
+    if kind not in MESSAGE_TYPES:
         return Error(f"unknown message type {kind!r}")
     try:
-        return Ok(msgspec.convert(message, KINDS[kind]))
+        return Ok(msgspec.convert(message, MESSAGE_TYPES[kind]))
     except msgspec.ValidationError as error:
         return Error(f"{kind}: {error}")
--- a/libs/quorum/src/cherryrudder/quorum/node.py
+++ b/libs/quorum/src/cherryrudder/quorum/node.py
@@ -21,12 +21,12 @@
         self.voter = voter
         self.next_index = next_index
         # Highest index that the peer has on its synced disk.
-        self.match = 0
+        self.match_index = 0
         # When the newest message that the peer has answered was sent.
         self.acked_s = now_s
         self.round = 0
         # Last index of the batch or snapshot that waits for an answer, or 0.
-        self.outstanding = 0
+        self.in_flight_index = 0
         self.batch_sent_s = now_s
         self.resend_at_s = now_s
         # A batch is sent a second time before its time is over at most once.
@@ -44,7 +44,7 @@
 
 # With waits of 0.05 to 0.15 s these last 0.8 to 2.4 s; control VMs that lost power
 # together start within half a second of each other.
-HURRIED_TRIES = 16
+FAST_ELECTIONS = 16
 
 
 class Read(NamedTuple):
@@ -73,28 +73,28 @@
         self.voter_sets: list[tuple[int, VoterSet]] = _open_voter_sets(saved)
 
         # What of it is synced.
-        self.saved_term = saved.term
-        self.saved_vote = saved.voted_for
-        self.persisted = self.log.last_index
+        self.persisted_term = saved.term
+        self.persisted_vote = saved.voted_for
+        self.persisted_index = self.log.last_index
         self.truncate_from: int | None = None
         self.unsaved_snapshot: Snapshot | None = None
         self.write: Write | None = None
         self.write_id = 0
-        self.held: list[Send] = []
+        self.unsent: list[Send] = []
 
         self.role = FOLLOWER
         self.leader: Voter | None = None
-        self.heard_s = 0.0
+        self.last_seen_s = 0.0
         self.election_at_s = 0.0
         # Campaigns that may come sooner than others, until a leader was heard.
-        self.hurried_tries = HURRIED_TRIES
+        self.fast_elections_left = FAST_ELECTIONS
         self.votes: set[str] = set()
-        self.commit = self.log.base_index
-        self.applied = self.log.base_index
-        self.wants_snapshot = False
+        self.commit_index = self.log.base_index
+        self.applied_index = self.log.base_index
+        self.snapshot_requested = False
 
         # As a follower: how far the log is known to agree with the leader's.
-        self.verified = 0
+        self.verified_index = 0
         self.leader_round = 0
         self.leader_sent_s = 0.0
 
@@ -126,25 +126,25 @@
     emit(node, _message(node, target, kind, fields))
 
 
-def send_when_saved(node: Node, target: Voter, kind: str, **fields) -> None:
+def send_when_vote_persisted(node: Node, target: Voter, kind: str, **fields) -> None:
     """Send a message once term and vote are synced.
 
     A vote that is sent first and forgotten in a crash could be given a second time in
     the same term, and two leaders would stand in it.
     """
     message = _message(node, target, kind, fields)
-    if is_saved(node):
+    if is_vote_persisted(node):
         emit(node, message)
     else:
-        node.held.append(message)
+        node.unsent.append(message)
 
 
-def is_saved(node: Node) -> bool:
+def is_vote_persisted(node: Node) -> bool:
     """Tell whether the present term and vote are synced."""
-    return node.saved_term == node.term and node.saved_vote == node.voted_for
+    return node.persisted_term == node.term and node.persisted_vote == node.voted_for
 
 
-def reset_election(node: Node, now_s: float) -> None:
+def reset_election_timer(node: Node, now_s: float) -> None:
     """Wait a new random time before the next campaign.
 
     Failure: all voters lose power and start again, and each waits for a leader that
@@ -153,9 +153,11 @@
     reaches nobody stops hurrying after some tries.
     """
     timing = node.timing
-    if node.hurried_tries and timing.first_max_s:
-        node.hurried_tries -= 1
-        wait_s = node.rng.uniform(timing.first_min_s, timing.first_max_s)
+    if node.fast_elections_left and timing.first_election_max_s:
+        node.fast_elections_left -= 1
+        wait_s = node.rng.uniform(
+            timing.first_election_min_s, timing.first_election_max_s
+        )
     else:
         wait_s = node.rng.uniform(timing.election_min_s, timing.election_max_s)
     node.election_at_s = now_s + wait_s
@@ -163,18 +165,18 @@
 
 def set_term(node: Node, term: int, now_s: float) -> None:
     """Enter a later term as a follower who has not voted."""
-    follow(node, now_s)
+    become_follower(node, now_s)
     node.term = term
     node.voted_for = ""
     node.leader = None
-    node.verified = 0
+    node.verified_index = 0
     node.leader_round = 0
     node.leader_sent_s = 0.0
     # What was to be sent in the old term would only be refused now.
-    node.held.clear()
+    node.unsent.clear()
 
 
-def follow(node: Node, now_s: float) -> None:
+def become_follower(node: Node, now_s: float) -> None:
     """Become a follower; a leader gives up its reads and proposals."""
     was_leader = node.role == LEADER
     node.role = FOLLOWER
@@ -182,7 +184,7 @@
     if not was_leader:
         return
     node.leader = None
-    reset_election(node, now_s)
+    reset_election_timer(node, now_s)
     for read in node.reads:
         emit(node, Rejected(read.read_id, "", True))
     # The entries stay in the log, and a later leader may still commit them.
@@ -223,10 +225,14 @@
     else:
         identity = saved.identity
         first = (0, VoterSet(identity.cluster, tuple(identity.voters)))
-    later = [(e.index, voters.decode(e.payload)) for e in saved.entries if is_set(e)]
+    later = [
+        (e.index, voters.decode(e.payload))
+        for e in saved.entries
+        if is_voter_set_entry(e)
+    ]
     return [first, *later]
 
 
-def is_set(entry) -> bool:
+def is_voter_set_entry(entry) -> bool:
     """Tell whether an entry is a voter set."""
     return entry.kind == "voters"
--- a/libs/quorum/src/cherryrudder/quorum/proposals.py
+++ b/libs/quorum/src/cherryrudder/quorum/proposals.py
@@ -6,7 +6,7 @@
 from .election import is_active
 from .events import ChangeVoters, Entry, Propose, Rejected
 from .node import LEADER, Node, emit, leader_address
-from .replication import MAX_BATCH_ENTRIES, sync_peers
+from .replication import MAX_BATCH_ENTRIES, update_peers
 from .writes import append
 
 # A leader whose followers are slow would take in changes without bound, and each
@@ -19,7 +19,7 @@
     if node.role != LEADER:
         _reject(node, event.proposal_id)
         return
-    if node.log.last_index - node.commit >= MAX_UNCOMMITTED_ENTRIES:
+    if node.log.last_index - node.commit_index >= MAX_UNCOMMITTED_ENTRIES:
         _reject(node, event.proposal_id, "too many changes wait to be committed")
         return
     _append(node, event.proposal_id, "command", event.payload)
@@ -30,12 +30,12 @@
     if node.role != LEADER:
         _reject(node, event.proposal_id)
         return
-    result = _changed_set(node, event, now_s)
+    result = _changed_voter_set(node, event, now_s)
     if result.is_error():
         _reject(node, event.proposal_id, result.error)
         return
     _append(node, event.proposal_id, "voters", voters.encode(result.ok))
-    sync_peers(node, now_s)
+    update_peers(node, now_s)
 
 
 def _append(node, proposal_id, kind, payload):
@@ -48,9 +48,9 @@
     emit(node, Rejected(proposal_id, leader_address(node), True, reason))
 
 
-def _changed_set(node, event, now_s):
+def _changed_voter_set(node, event, now_s):
     """Return the changed voter set, or why the change must wait or not be made."""
-    if not _may_change(node):
+    if not _is_change_allowed(node):
         return Error("another change of the voters is not committed yet")
     result = voters.change(node.voter_set, event.action, event.voter)
     if result.is_error() or event.action == voters.ADD_LEARNER:
@@ -65,15 +65,15 @@
     return result
 
 
-def _may_change(node):
+def _is_change_allowed(node):
     """Tell whether no other change is under way.
 
     Old and new majorities overlap only if the sets differ by one voter. With two
     changes under way, or with one of an earlier term that may still come back, two
     leaders could each have a majority of their own.
     """
-    settled = node.voter_sets[-1][0] <= node.commit
-    return settled and node.log.term_at(node.commit) == node.term
+    settled = node.voter_sets[-1][0] <= node.commit_index
+    return settled and node.log.term_at(node.commit_index) == node.term
 
 
 def _has_live_majority(node, voter_set, now_s):
@@ -86,6 +86,6 @@
     # On a short log one that has answered nothing would pass by the distance alone. A
     # disk that nobody has (a mistyped id) would then vote and never answer.
     peer = node.peers.get(voter.disk_id)
-    if peer is None or not peer.match:
+    if peer is None or not peer.match_index:
         return False
-    return peer.match >= node.log.last_index - MAX_BATCH_ENTRIES
+    return peer.match_index >= node.log.last_index - MAX_BATCH_ENTRIES
--- a/libs/quorum/src/cherryrudder/quorum/reads.py
+++ b/libs/quorum/src/cherryrudder/quorum/reads.py
@@ -24,33 +24,33 @@
     return waits and _confirmed_round(node) == node.round
 
 
-def answer(node: Node) -> None:
+def complete_reads(node: Node) -> None:
     """Answer the reads whose round is confirmed."""
     if node.role != LEADER or not node.reads:
         return
     # Until an entry of its own term is committed, a new leader doesn't know how far
     # the one before it has committed.
-    if node.log.term_at(node.commit) != node.term:
+    if node.log.term_at(node.commit_index) != node.term:
         return
     confirmed = _confirmed_round(node)
     reads = [
-        read._replace(index=node.commit) if read.index is None else read
+        read._replace(index=node.commit_index) if read.index is None else read
         for read in node.reads
     ]
     node.reads = []
     for read in reads:
-        if read.round <= confirmed and read.index <= node.applied:
+        if read.round <= confirmed and read.index <= node.applied_index:
             emit(node, ReadReady(read.read_id, read.index))
         else:
             node.reads.append(read)
 
 
 def _confirmed_round(node):
-    rounds = [_round(node, voter) for voter in node.voter_set.voters]
+    rounds = [_answered_round(node, voter) for voter in node.voter_set.voters]
     return voters.majority_value(rounds, node.voter_set)
 
 
-def _round(node, voter):
+def _answered_round(node, voter):
     if voter.disk_id == node.me.disk_id:
         return node.round
     peer = node.peers.get(voter.disk_id)
--- a/libs/quorum/src/cherryrudder/quorum/replication.py
+++ b/libs/quorum/src/cherryrudder/quorum/replication.py
@@ -3,14 +3,14 @@
 from . import voters
 from .errors import ProtocolError
 from .events import Entry, Voter
-from .messages import APPEND, APPEND_REPLY, INSTALL
+from .messages import APPEND, APPEND_REPLY, INSTALL_SNAPSHOT
 from .node import (
     LEADER,
     Node,
     Peer,
-    follow,
-    is_saved,
-    reset_election,
+    become_follower,
+    is_vote_persisted,
+    reset_election_timer,
     send,
 )
 from .writes import append, truncate
@@ -27,7 +27,7 @@
 RESEND_SNAPSHOT_HEARTBEATS = 20
 
 
-def sync_peers(node: Node, now_s: float) -> None:
+def update_peers(node: Node, now_s: float) -> None:
     """Follow a change of the voter set in the leader's list of peers."""
     wanted = {
         member.disk_id: member
@@ -41,14 +41,14 @@
             node.peers[disk_id] = Peer(member, node.log.last_index + 1, now_s)
 
 
-def begin_round(node: Node, now_s: float) -> None:
+def start_heartbeat_round(node: Node, now_s: float) -> None:
     """Send a heartbeat to all; its answers confirm leadership as of now."""
     node.round += 1
     node.heartbeat_at_s = now_s + node.timing.heartbeat_s
     for peer in node.peers.values():
         # A place in the log that the peer is known to share, so that a heartbeat
         # that overtakes an append is never taken for a gap.
-        prev_index = peer.match if node.log.holds(peer.match) else 0
+        prev_index = peer.match_index if node.log.holds(peer.match_index) else 0
         _send_append(node, peer, prev_index, (), now_s)
 
 
@@ -59,10 +59,10 @@
     with the load and with the round trip.
     """
     for peer in node.peers.values():
-        waits = peer.outstanding and now_s < peer.resend_at_s
+        waits = peer.in_flight_index and now_s < peer.resend_at_s
         if not waits:
-            peer.is_resent = bool(peer.outstanding)
-        if waits or peer.match >= node.log.last_index:
+            peer.is_resent = bool(peer.in_flight_index)
+        if waits or peer.match_index >= node.log.last_index:
             continue
         if node.log.holds(peer.next_index - 1):
             _send_batch(node, peer, now_s)
@@ -73,19 +73,19 @@
 def on_append(node: Node, message: dict, now_s: float) -> None:
     """Take a leader's entries, or say where the logs differ."""
     if message["term"] < node.term:
-        refuse_old_leader(node, message)
+        reject_stale_leader(node, message)
         return
     accept_leader(node, message, now_s)
     prev_index, prev_term = message["prev_index"], message["prev_term"]
-    if prev_index > node.commit and not _agrees(node, prev_index, prev_term):
+    if prev_index > node.commit_index and not _matches(node, prev_index, prev_term):
         _reply_conflict(node, message)
         return
     entries = message["entries"]
-    _take_entries(node, entries)
+    _append_entries(node, entries)
     last_index = prev_index + len(entries)
-    node.verified = max(node.verified, last_index)
-    node.commit = max(node.commit, min(message["commit"], last_index))
-    if not entries or last_index <= node.persisted:
+    node.verified_index = max(node.verified_index, last_index)
+    node.commit_index = max(node.commit_index, min(message["commit"], last_index))
+    if not entries or last_index <= node.persisted_index:
         acknowledge(node)
 
 
@@ -95,9 +95,14 @@
     Only what is synced is told: were an entry committed on copies in memory, a power
     cut could take it back.
     """
-    if node.role == LEADER or node.leader is None or not is_saved(node):
+    if node.role == LEADER or node.leader is None or not is_vote_persisted(node):
         return
-    _reply(node, node.leader, ok=True, synced=min(node.verified, node.persisted))
+    _reply(
+        node,
+        node.leader,
+        ok=True,
+        synced=min(node.verified_index, node.persisted_index),
+    )
 
 
 def on_append_reply(node: Node, message: dict, now_s: float) -> None:
@@ -110,12 +115,12 @@
     peer.acked_s = max(peer.acked_s, message["sent_s"])
     peer.round = max(peer.round, message["round"])
     if not message["ok"]:
-        _back_up(node, peer, message)
+        _rewind_peer(node, peer, message)
         return
-    peer.match = max(peer.match, message["synced"])
-    if peer.match >= peer.outstanding:
-        peer.outstanding = 0
-        peer.next_index = max(peer.next_index, peer.match + 1)
+    peer.match_index = max(peer.match_index, message["synced"])
+    if peer.match_index >= peer.in_flight_index:
+        peer.in_flight_index = 0
+        peer.next_index = max(peer.next_index, peer.match_index + 1)
     elif message["sent_s"] > peer.batch_sent_s and not peer.is_resent:
         # It has answered a later message, and messages arrive in order: the batch went
         # while the peer was not there yet, as after a loss of power.
@@ -126,26 +131,26 @@
     """Follow the sender as this term's leader."""
     if node.role == LEADER:
         raise ProtocolError(f"{message['vm']} leads in term {node.term} as well")
-    follow(node, now_s)
+    become_follower(node, now_s)
     node.leader = Voter(message["vm"], message["disk_id"], message["address"])
-    node.heard_s = now_s
+    node.last_seen_s = now_s
     node.leader_round = max(node.leader_round, message["round"])
     node.leader_sent_s = max(node.leader_sent_s, message["sent_s"])
-    node.hurried_tries = 0
-    reset_election(node, now_s)
+    node.fast_elections_left = 0
+    reset_election_timer(node, now_s)
 
 
 def _send_batch(node, peer, now_s):
     first = peer.next_index
     end = min(node.log.last_index + 1, first + MAX_BATCH_ENTRIES)
-    entries = _limit(node.log.slice(first, end))
-    peer.outstanding = first + len(entries) - 1
+    entries = _limit_batch(node.log.slice(first, end))
+    peer.in_flight_index = first + len(entries) - 1
     peer.batch_sent_s = now_s
     peer.resend_at_s = now_s + RESEND_HEARTBEATS * node.timing.heartbeat_s
     _send_append(node, peer, first - 1, entries, now_s)
 
 
-def _limit(entries):
+def _limit_batch(entries):
     characters = 0
     for count, entry in enumerate(entries):
         characters += len(entry.payload)
@@ -163,7 +168,7 @@
         prev_index=prev_index,
         prev_term=node.log.term_at(prev_index) if prev_index else 0,
         entries=[list(entry) for entry in entries],
-        commit=min(node.commit, last_index),
+        commit=min(node.commit_index, last_index),
         round=node.round,
         sent_s=now_s,
     )
@@ -171,7 +176,7 @@
 
 def _send_snapshot(node, peer, now_s):
     snapshot = node.snapshot
-    peer.outstanding = snapshot.index
+    peer.in_flight_index = snapshot.index
     # It takes long by itself, and is too large to be sent twice for nothing.
     peer.is_resent = True
     wait_s = RESEND_SNAPSHOT_HEARTBEATS * node.timing.heartbeat_s
@@ -179,33 +184,33 @@
     send(
         node,
         peer.voter,
-        INSTALL,
+        INSTALL_SNAPSHOT,
         index=snapshot.index,
         index_term=snapshot.term,
-        voter_set=voters.to_plain(snapshot.voter_set),
+        voter_set=voters.to_lists(snapshot.voter_set),
         data=snapshot.data,
         round=node.round,
         sent_s=now_s,
     )
 
 
-def refuse_old_leader(node, message):
+def reject_stale_leader(node, message):
     target = Voter(message["vm"], message["disk_id"], message["address"])
     _reply(node, target, ok=False)
 
 
-def _agrees(node, index, term):
+def _matches(node, index, term):
     return node.log.holds(index) and node.log.term_at(index) == term
 
 
-def _take_entries(node, entries: list[Entry]):
+def _append_entries(node, entries: list[Entry]):
     for entry in entries:
         if entry.index <= node.log.base_index:
             continue
         if node.log.holds(entry.index):
             if node.log.term_at(entry.index) == entry.term:
                 continue
-            if entry.index <= node.commit:
+            if entry.index <= node.commit_index:
                 raise ProtocolError(f"committed entry {entry.index} would be undone")
             truncate(node, entry.index)
         append(node, entry)
@@ -241,14 +246,14 @@
     send(node, target, APPEND_REPLY, **(reply | fields))
 
 
-def _back_up(node, peer, message):
+def _rewind_peer(node, peer, message):
     prev_index = message["prev_index"]
     # Anything else answers an append that has been superseded since.
-    if prev_index != peer.next_index - 1 or prev_index <= peer.match:
+    if prev_index != peer.next_index - 1 or prev_index <= peer.match_index:
         return
     next_index = message["conflict_index"]
     if message["conflict_term"]:
         shared = node.log.last_of_term(message["conflict_term"])
         next_index = shared + 1 if shared else next_index
-    peer.next_index = max(peer.match + 1, min(next_index, prev_index))
-    peer.outstanding = 0
+    peer.next_index = max(peer.match_index + 1, min(next_index, prev_index))
+    peer.in_flight_index = 0
--- a/libs/quorum/src/cherryrudder/quorum/saved.py
+++ b/libs/quorum/src/cherryrudder/quorum/saved.py
@@ -50,5 +50,5 @@
     election_max_s: float
     snapshot_entries: int
     # Of the first campaigns after a start; 0 for none that come sooner.
-    first_min_s: float = 0.0
-    first_max_s: float = 0.0
+    first_election_min_s: float = 0.0
+    first_election_max_s: float = 0.0
--- a/libs/quorum/src/cherryrudder/quorum/voters.py
+++ b/libs/quorum/src/cherryrudder/quorum/voters.py
@@ -87,13 +87,13 @@
     return Ok(voter_set._replace(voters=voters, learners=learners))
 
 
-def _find(pool, voter):
-    for candidate in pool:
+def _find(candidates, voter):
+    for candidate in candidates:
         if (candidate.vm, candidate.disk_id) == (voter.vm, voter.disk_id):
             return candidate
     return None
 
 
-def to_plain(voter_set: VoterSet) -> list:
+def to_lists(voter_set: VoterSet) -> list:
     """Return a voter set as bare lists, the form that messages carry."""
     return msgspec.to_builtins(voter_set)
--- a/libs/quorum/src/cherryrudder/quorum/writes.py
+++ b/libs/quorum/src/cherryrudder/quorum/writes.py
@@ -7,7 +7,7 @@
 from . import voters
 from .events import Persist, RestoreSnapshot, SaveSnapshot
 from .log import Log
-from .node import Node, Write, emit, is_saved, is_set
+from .node import Node, Write, emit, is_vote_persisted, is_voter_set_entry
 from .saved import Snapshot
 
 
@@ -21,31 +21,31 @@
         _write_entries(node)
 
 
-def finish(node: Node, write_id: int) -> bool:
+def complete_write(node: Node, write_id: int) -> bool:
     """Take note that a write is synced; tell whether it was the one under way."""
     write = node.write
     if write is None or write.write_id != write_id:
         return False
     node.write = None
-    node.persisted = max(node.persisted, write.last_index)
-    node.saved_term = write.term
-    node.saved_vote = write.voted_for
-    if is_saved(node):
-        node.effects.extend(node.held)
-        node.held.clear()
+    node.persisted_index = max(node.persisted_index, write.last_index)
+    node.persisted_term = write.term
+    node.persisted_vote = write.voted_for
+    if is_vote_persisted(node):
+        node.effects.extend(node.unsent)
+        node.unsent.clear()
     return True
 
 
 def append(node: Node, entry) -> None:
     """Add an entry to the log; a voter set counts from here on, committed or not."""
     node.log.append(entry)
-    if is_set(entry):
+    if is_voter_set_entry(entry):
         node.voter_sets.append((entry.index, voters.decode(entry.payload)))
 
 
 def truncate(node: Node, first: int) -> None:
     """Drop the log from `first` on, and forget what of it was synced."""
-    written = node.persisted
+    written = node.persisted_index
     if node.write is not None:
         written = max(written, node.write.last_index)
         last_index = min(node.write.last_index, first - 1)
@@ -53,13 +53,13 @@
     if first <= written:
         earlier = node.truncate_from
         node.truncate_from = first if earlier is None else min(first, earlier)
-    node.persisted = min(node.persisted, first - 1)
+    node.persisted_index = min(node.persisted_index, first - 1)
     node.log.truncate(first)
     while node.voter_sets[-1][0] >= first:
         node.voter_sets.pop()
 
 
-def install(node: Node, snapshot: Snapshot) -> None:
+def install_snapshot(node: Node, snapshot: Snapshot) -> None:
     """Replace log and state by a leader's snapshot that is ahead of both."""
     index = snapshot.index
     log = node.log
@@ -68,20 +68,20 @@
         log.compact(index)
         later = [pair for pair in node.voter_sets if pair[0] > index]
     else:
-        _reset(node, log, snapshot)
+        _reset_log(node, log, snapshot)
         later = []
     node.voter_sets = [(index, snapshot.voter_set), *later]
     node.snapshot = node.unsaved_snapshot = snapshot
-    node.commit = max(node.commit, index)
-    node.applied = index
+    node.commit_index = max(node.commit_index, index)
+    node.applied_index = index
     emit(node, RestoreSnapshot(index, snapshot.data))
 
 
-def _reset(node, log: Log, snapshot):
+def _reset_log(node, log: Log, snapshot):
     log.reset(snapshot.index, snapshot.term)
     # Nothing that the disk has or is about to have counts for the new log, and the
     # disk must drop whatever it holds past the snapshot: those are another leader's.
-    node.persisted = 0
+    node.persisted_index = 0
     if node.write is not None:
         node.write = node.write._replace(last_index=0)
     node.truncate_from = snapshot.index + 1
@@ -92,7 +92,9 @@
     node.unsaved_snapshot = None
     node.write_id += 1
     # The disk keeps its own term and vote through a snapshot, so those stay as saved.
-    node.write = Write(node.write_id, node.saved_term, node.saved_vote, snapshot.index)
+    node.write = Write(
+        node.write_id, node.persisted_term, node.persisted_vote, snapshot.index
+    )
     voter_set = snapshot.voter_set
     effect = SaveSnapshot(
         node.write_id,
@@ -108,7 +110,7 @@
 
 def _write_entries(node):
     node.write_id += 1
-    first = node.persisted + 1
+    first = node.persisted_index + 1
     entries = node.log.slice(first, node.log.last_index + 1)
     node.write = Write(node.write_id, node.term, node.voted_for, node.log.last_index)
     effect = Persist(
@@ -119,6 +121,6 @@
 
 
 def _is_dirty(node):
-    if node.truncate_from is not None or not is_saved(node):
+    if node.truncate_from is not None or not is_vote_persisted(node):
         return True
-    return node.persisted < node.log.last_index
+    return node.persisted_index < node.log.last_index
--- a/libs/quorum/test/builders.py
+++ b/libs/quorum/test/builders.py
@@ -62,7 +62,7 @@
 def naive_read(node):
     """Return the index that a leader would read at if it trusted its own office."""
     assert node.role == "leader"
-    return node.commit
+    return node.commit_index
 
 
 class Member:
@@ -302,10 +302,10 @@
                 self.installed.append(member.vm)
                 member.state = [tuple(pair) for pair in json.loads(effect.data)]
                 self._check_prefix(member)
-            case ev.WantSnapshot():
-                index = member.node.applied
-                return [ev.Snapshotted(index, json.dumps(member.state))]
-            case ev.Proposed():
+            case ev.TakeSnapshot():
+                index = member.node.applied_index
+                return [ev.SnapshotTaken(index, json.dumps(member.state))]
+            case ev.Committed():
                 self.accepted[effect.proposal_id] = effect.index
             case ev.Rejected():
                 self.rejected[effect.proposal_id] = effect.certain
@@ -330,7 +330,7 @@
     def _read(self, member, effect):
         floor = self.reads[effect.read_id]
         assert effect.index >= floor, f"{effect} misses accepted entry {floor}"
-        assert member.node.applied >= effect.index
+        assert member.node.applied_index >= effect.index
         self.ready[effect.read_id] = effect.index
 
     def _watch(self, member):
--- a/libs/quorum/test/test_core.py
+++ b/libs/quorum/test/test_core.py
@@ -52,7 +52,7 @@
         election time before the first campaign the leader was there 0.3 s later. A
         voter that starts again beside a leader must still not unseat it.
         """
-        timing = TIMING._replace(first_min_s=0.06, first_max_s=0.15)
+        timing = TIMING._replace(first_election_min_s=0.06, first_election_max_s=0.15)
         cluster = Cluster(3, timing=timing)
         cluster.settle()
         for vm in "abc":
--- a/libs/quorum/test/test_histories.py
+++ b/libs/quorum/test/test_histories.py
@@ -25,7 +25,7 @@
     @initialize(count=st.sampled_from((3, 5)), seed=st.integers(0, 1 << 16))
     def begin(self, count, seed):
         # Half of them campaign sooner after a start, as the processes do.
-        hurried = TIMING._replace(first_min_s=0.06, first_max_s=0.15)
+        hurried = TIMING._replace(first_election_min_s=0.06, first_election_max_s=0.15)
         self.cluster = Cluster(count, seed, hurried if seed % 2 else TIMING)
         self.cluster.settle()
         self.repairs = []
--- a/libs/replica/src/cherryrudder/replica/voter.py
+++ b/libs/replica/src/cherryrudder/replica/voter.py
@@ -26,10 +26,10 @@
 
 # One try at a leader, some ten times a change's usual time. A frozen one is asked
 # again and again until its followers have elected another, in about a second.
-TRY_S = 0.4
-RETRY_S = 0.05
+ATTEMPT_TIMEOUT_S = 0.4
+RETRY_DELAY_S = 0.05
 # Answers to proposals that nobody here waits for, kept in case of a late waiter.
-KEPT_ANSWERS = 4096
+MAX_KEPT_ANSWERS = 4096
 NO_QUORUM = "no majority of the control VMs answered in time"
 
 log = logger.bind(part="voter")
@@ -49,7 +49,7 @@
         self.node = open_core(seat, disk)
         self._heartbeat_s = seat.timing.heartbeat_s
         self._effects = deque()
-        self._wake = anyio.Event()
+        self._effects_added = anyio.Event()
         self._failure: VoterFailed | None = None
         self._answers: dict[int, Any] = {}
         self._waiting: dict[str, Pending] = {}
@@ -57,7 +57,7 @@
     def start(self, stopping: anyio.Event) -> None:
         """Start the tasks that drive the core; `stopping` closes the listener."""
         self.peers.start(stopping)
-        self.group.start_soon(self._carry_out)
+        self.group.start_soon(self._run_effects)
         self.group.start_soon(self._tick)
 
     def feed(self, event) -> None:
@@ -68,7 +68,7 @@
             # The core is half through an event. One request's handler must not be all
             # that ends: `_carry_out` ends the process on it.
             self._failure = VoterFailed(str(error))
-        self._wake.set()
+        self._effects_added.set()
         if self._failure is not None:
             raise self._failure
 
@@ -84,48 +84,48 @@
         """
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
-            answer = await self._at_leader("propose", payload, deadline_s)
+            answer = await self._call_leader("propose", payload, deadline_s)
             if answer is not None:
                 return answer
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
         raise NoQuorum(NO_QUORUM)
 
     async def confirm(self, timeout_s: float) -> int:
         """Wait until the state here is as fresh as the call; raises NoQuorum."""
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
-            index = await self._at_leader("read-index", "", deadline_s)
+            index = await self._call_leader("read-index", "", deadline_s)
             if index is not None:
                 await self._wait_applied(index, deadline_s)
                 return self.applied_index
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
         raise NoQuorum(NO_QUORUM)
 
     async def change_voters(self, action, voter, timeout_s: float) -> bool:
         """Change the voters by one; false when the leader refused; raises NoQuorum."""
         value = {"action": action, "voter": voter}
-        done = await self._at_leader("voters", value, now_s() + timeout_s)
+        done = await self._call_leader("voters", value, now_s() + timeout_s)
         if done is None:
             raise NoQuorum("the change of voters was not confirmed in time")
         return done
 
-    async def _at_leader(self, kind, value, deadline_s):
+    async def _call_leader(self, kind, value, deadline_s):
         """Return the answer of this VM if it leads, or of the one that it knows."""
-        deadline_s = min(deadline_s, now_s() + TRY_S)
-        answer = await self._here(kind, value, deadline_s)
+        deadline_s = min(deadline_s, now_s() + ATTEMPT_TIMEOUT_S)
+        answer = await self._call_here(kind, value, deadline_s)
         address = core.status(self.node)["leader_address"]
         if answer is None and address not in ("", self.peers.address):
             answer = await self.peers.call(address, kind, value, deadline_s)
         return answer
 
-    async def _here(self, kind, value, deadline_s):
+    async def _call_here(self, kind, value, deadline_s):
         """Return the answer if this VM leads, else None."""
-        make_event = event_maker(kind, value)
+        make_event = make_event_factory(kind, value)
         if make_event is None:
             return None
-        result = await self._ask(make_event, deadline_s)
+        result = await self._request(make_event, deadline_s)
         match result:
-            case events.Proposed():
+            case events.Committed():
                 return self._answers.pop(result.index, True)
             case events.ReadReady():
                 return result.index
@@ -134,7 +134,7 @@
                 return False
         return None
 
-    async def _ask(self, make_event, deadline_s):
+    async def _request(self, make_event, deadline_s):
         name = new_id()
         pending = self._waiting[name] = Pending()
         try:
@@ -144,7 +144,7 @@
             del self._waiting[name]
 
     async def _on_call(self, kind, value):
-        return await self._here(kind, value, now_s() + TRY_S)
+        return await self._call_here(kind, value, now_s() + ATTEMPT_TIMEOUT_S)
 
     def _on_message(self, sender, message):
         self.feed(events.Received(sender, message))
@@ -161,16 +161,16 @@
             self.feed(events.Tick())
             await anyio.sleep(self._heartbeat_s / 2)
 
-    async def _carry_out(self):
+    async def _run_effects(self):
         while True:
             while self._effects and self._failure is None:
-                await self._do(self._effects.popleft())
+                await self._run_effect(self._effects.popleft())
             if self._failure is not None:
                 raise self._failure
-            self._wake = anyio.Event()
-            await self._wake.wait()
+            self._effects_added = anyio.Event()
+            await self._effects_added.wait()
 
-    async def _do(self, effect):
+    async def _run_effect(self, effect):
         match effect:
             case events.Send():
                 self.peers.send(effect.address, effect.message)
@@ -185,11 +185,11 @@
                 self._apply(effect.entries)
             case events.RestoreSnapshot():
                 self.state = self.machine.restore(effect.data)
-                self._moved_to(effect.index)
-            case events.WantSnapshot():
+                self._set_applied_index(effect.index)
+            case events.TakeSnapshot():
                 data = self.machine.snapshot(self.state)
-                self.feed(events.Snapshotted(self.applied_index, data))
-            case events.Proposed() | events.Rejected():
+                self.feed(events.SnapshotTaken(self.applied_index, data))
+            case events.Committed() | events.Rejected():
                 self._resolve(effect.proposal_id, effect)
             case events.ReadReady():
                 self._resolve(effect.read_id, effect)
@@ -208,11 +208,11 @@
                 answer = self.machine.apply(self.state, entry.index, entry.payload)
                 if self._waiting:
                     self._answers[entry.index] = answer
-        self._moved_to(entries[-1].index)
-        while len(self._answers) > KEPT_ANSWERS:
+        self._set_applied_index(entries[-1].index)
+        while len(self._answers) > MAX_KEPT_ANSWERS:
             del self._answers[next(iter(self._answers))]
 
-    def _moved_to(self, index):
+    def _set_applied_index(self, index):
         self.applied_index = index
         self.applied.set()
         self.applied = anyio.Event()
@@ -223,7 +223,7 @@
             pending.resolve(effect)
 
 
-def event_maker(kind: str, value):
+def make_event_factory(kind: str, value):
     """Return a function from a name to the core's event, None for an unknown kind."""
     if kind == "propose":
         return lambda name: events.Propose(name, value)
--- a/libs/state/src/cherryrudder/state/changes.py
+++ b/libs/state/src/cherryrudder/state/changes.py
@@ -15,7 +15,7 @@
 MAX_KEPT_CHANGES = 10_000
 
 
-def answer_once(
+def apply_once(
     state: State, change_id: str, body: bytes, decide: Callable[[], Answer]
 ) -> Answer:
     """Decide a change the first time and repeat that answer ever after."""
--- a/libs/state/src/cherryrudder/state/claims.py
+++ b/libs/state/src/cherryrudder/state/claims.py
@@ -27,7 +27,7 @@
 
 def open_claim(state: State, index: int, command: OpenClaim) -> ClaimAnswer | Answer:
     """Grant the call to this attempt, or tell what became of an earlier one."""
-    if fault := _check(command):
+    if fault := _check_ids(command):
         return Answer("invalid", fault, revision=state.revision)
     wanted = Claim(**command._asdict(), index=index)
     held = state.claims.get((command.customer, command.key))
@@ -40,8 +40,8 @@
     # id with another sidecar is no resend and could run twice, so it is not granted.
     if held.claim._replace(index=index) == wanted:
         return ClaimAnswer("granted", held.claim)
-    if _may_retry(held, command.attempt_id):
-        _put(state, wanted, (*held.spent, held.claim.attempt_id))
+    if _is_retry_allowed(held, command.attempt_id):
+        _store(state, wanted, (*held.not_run_attempts, held.claim.attempt_id))
         return ClaimAnswer("granted", wanted)
     return ClaimAnswer("exists", held.claim)
 
@@ -72,7 +72,7 @@
     if claim.outcome and not learned:
         message = f"the outcome is already recorded: {claim.outcome}"
         return Answer("conflict", message, revision=state.revision)
-    _put(state, closed, held.spent)
+    _store(state, closed, held.not_run_attempts)
     return Answer("ok", "", revision=state.revision)
 
 
@@ -97,7 +97,7 @@
         old.append(place)
     for place in old:
         held = state.claims.pop(place)
-        _weigh(state, place[0], -weight_of(held.claim))
+        _add_weight(state, place[0], -weight_of(held.claim))
 
 
 def _grant_first(state, wanted):
@@ -106,36 +106,36 @@
     room = MAX_WEIGHT - sum(state.claim_weights.values())
     if state.claim_weights.get(wanted.customer, 0) >= room:
         return ClaimAnswer("full", wanted)
-    _put(state, wanted, ())
+    _store(state, wanted, ())
     return ClaimAnswer("granted", wanted)
 
 
-def _may_retry(held, attempt_id):
+def _is_retry_allowed(held, attempt_id):
     # The tombstone of a not-run attempt stands in one sidecar's memory only. Were its
     # id granted again, a delayed packet could run what the caller was told had not.
     if held.claim.outcome != Outcome.NOT_RUN:
         return False
-    if attempt_id == held.claim.attempt_id or attempt_id in held.spent:
+    if attempt_id == held.claim.attempt_id or attempt_id in held.not_run_attempts:
         return False
-    return len(held.spent) + 1 < MAX_ATTEMPTS
+    return len(held.not_run_attempts) + 1 < MAX_ATTEMPTS
 
 
-def _put(state, claim, spent):
+def _store(state, claim, spent):
     place = (claim.customer, claim.key)
     before = state.claims.pop(place, None)
     state.claims[place] = HeldClaim(claim, state.now_s, spent)
     added = weight_of(claim) - (weight_of(before.claim) if before else 0)
-    _weigh(state, claim.customer, added)
+    _add_weight(state, claim.customer, added)
 
 
-def _weigh(state, customer, added):
+def _add_weight(state, customer, added):
     weight = state.claim_weights.get(customer, 0) + added
     state.claim_weights[customer] = weight
     if not weight:
         del state.claim_weights[customer]
 
 
-def _check(command):
+def _check_ids(command):
     fault = check_ids(
         customer=command.customer,
         key=command.key,
--- a/libs/state/src/cherryrudder/state/clock.py
+++ b/libs/state/src/cherryrudder/state/clock.py
@@ -7,7 +7,7 @@
 from .changes import expire_changes
 from .claims import expire_claims
 from .commands import Answer, Clock
-from .fences import expire_requests
+from .fences import expire_fence_requests
 from .records import State
 
 # The most that one Clock command moves time by. A leader whose wall clock is days
@@ -26,5 +26,5 @@
     state.now_s += min(max(0.0, command.now_s - last_s), MAX_STEP_S)
     expire_claims(state)
     expire_changes(state)
-    expire_requests(state)
+    expire_fence_requests(state)
     return Answer("ok", revision=state.revision)
--- a/libs/state/src/cherryrudder/state/contracts.py
+++ b/libs/state/src/cherryrudder/state/contracts.py
@@ -23,7 +23,9 @@
     # Two operators who read the same version both write it back; without this
     # comparison the second would silently undo the first.
     if command.expected_version != version:
-        return _refuse(state, contract.customer, command.expected_version, version)
+        return _reject_version(
+            state, contract.customer, command.expected_version, version
+        )
     state.revision = index
     state.contracts[contract.customer] = VersionedContract(version + 1, index, contract)
     return Answer("ok", "", version + 1, index)
@@ -34,7 +36,7 @@
     return tuple(state.contracts[name] for name in sorted(state.contracts))
 
 
-def _refuse(state, customer, expected, version):
+def _reject_version(state, customer, expected, version):
     if version == 0:
         message = f"{customer} has no contract yet; expect version 0 to create it"
         return Answer("unknown", message, 0, state.revision)
--- a/libs/state/src/cherryrudder/state/fences.py
+++ b/libs/state/src/cherryrudder/state/fences.py
@@ -37,7 +37,7 @@
     return state.fences.get(endpoint, 0)
 
 
-def expire_requests(state: State) -> None:
+def expire_fence_requests(state: State) -> None:
     """Drop the answers that are past their retention; the numbers stay."""
     limit_s = state.now_s - CHANGE_RETENTION_S
     old = []
--- a/libs/state/src/cherryrudder/state/machine.py
+++ b/libs/state/src/cherryrudder/state/machine.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from .changes import answer_once
+from .changes import apply_once
 from .claims import close_claim, find_claim, open_claim
 from .clock import advance
 from .commands import (
@@ -55,20 +55,23 @@
 # Over the caller's largest body; a longer record is a fault of the proposer.
 MAX_PAYLOAD_CHARS = 1024 * 1024
 
-CHANGES = {
+CHANGE_HANDLERS = {
     PutContract: put_contract,
     AnnounceStop: announce_stop,
     CancelStop: cancel_stop,
     PutSetting: put_setting,
 }
-OTHERS = {
+OTHER_HANDLERS = {
     OpenClaim: open_claim,
     CloseClaim: lambda state, index, command: close_claim(state, command),
     TakeFence: take_fence,
     Clock: lambda state, index, command: advance(state, command),
 }
 # Types are strict here: what one version of the codec coerces another may not.
-DECODERS = {kind.__name__: msgspec.json.Decoder(kind) for kind in (*CHANGES, *OTHERS)}
+DECODERS = {
+    kind.__name__: msgspec.json.Decoder(kind)
+    for kind in (*CHANGE_HANDLERS, *OTHER_HANDLERS)
+}
 ENVELOPE = msgspec.json.Decoder(tuple[str, msgspec.Raw])
 
 
@@ -97,10 +100,10 @@
         # with it. They all refuse the record alike and go on.
         return Answer("invalid", f"unreadable record: {error}", 0, state.revision)
     kind = type(command)
-    if kind in OTHERS:
-        return OTHERS[kind](state, index, command)
-    decide = CHANGES[kind]
-    return answer_once(
+    if kind in OTHER_HANDLERS:
+        return OTHER_HANDLERS[kind](state, index, command)
+    decide = CHANGE_HANDLERS[kind]
+    return apply_once(
         state, command.change_id, body, lambda: decide(state, index, command)
     )
 
--- a/libs/state/src/cherryrudder/state/records.py
+++ b/libs/state/src/cherryrudder/state/records.py
@@ -31,7 +31,7 @@
 
     claim: Claim
     touched_s: float
-    spent: tuple[str, ...] = ()
+    not_run_attempts: tuple[str, ...] = ()
 
 
 class State:
