--- a/libs/quorum/src/cherryrudder/quorum/__init__.py
+++ b/libs/quorum/src/cherryrudder/quorum/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated log: election, log, snapshot, membership of voters and disk files."""
+"""Replicated log (Raft): elections, log, snapshots, voter changes and disk files."""
--- a/libs/quorum/src/cherryrudder/quorum/atomic_files.py
+++ b/libs/quorum/src/cherryrudder/quorum/atomic_files.py
@@ -1,4 +1,4 @@
-"""Files that are replaced as a whole, so that a crash leaves the old or the new one."""
+"""Atomic replacement of files: after a crash either the old or the new one exists."""
 
 from .errors import DiskError
 from .filesystem import FileSystem
@@ -10,11 +10,11 @@
 def write_atomically(
     fs: FileSystem, folder: str, name: str, payloads: list[bytes]
 ) -> int:
-    """Write records to a new file and rename it to `name`; return its size.
+    """Write records to a temporary file and rename it to `name`; return its size.
 
-    The file is synced before the rename: a rename that reaches the disk before the
-    data does would leave an empty file. The folder is synced after it: otherwise the
-    rename may be gone after a power cut.
+    The file is synced before the rename; otherwise the rename could reach the disk
+    before the data and leave an empty file. The folder is synced after the rename;
+    otherwise a power loss could undo the rename.
     """
     path = f"{folder}/{name}"
     data = b"".join(encode_record(payload) for payload in payloads)
@@ -31,18 +31,18 @@
 
 
 def read_record(fs: FileSystem, folder: str, name: str) -> bytes:
-    """Return the payload of a file of one record; raises DiskError if damaged."""
+    """Return the payload of a file with one record. Raises DiskError if damaged."""
     path = f"{folder}/{name}"
     data = read_bytes(fs, path)
     found = scan(data)
-    # Such a file was synced before it got its name, so no crash explains damage.
+    # The file was synced before it was renamed, so a crash cannot explain the damage.
     if len(found.payloads) != 1 or found.end != len(data):
         raise DiskError(f"{path}: damaged at offset {found.end if data else 0}")
     return found.payloads[0]
 
 
 def read_bytes(fs: FileSystem, path: str) -> bytes:
-    """Return a file's bytes."""
+    """Return a file's content; a file that does not exist is created empty."""
     fd = fs.open(path)
     try:
         return fs.read(fd)
--- a/libs/quorum/src/cherryrudder/quorum/commit.py
+++ b/libs/quorum/src/cherryrudder/quorum/commit.py
@@ -1,4 +1,4 @@
-"""Commit by a majority of synced disks, and hand committed entries out in order."""
+"""Commit entries that a majority has synced, and emit committed entries in order."""
 
 from . import reads, voters
 from .events import Apply, Committed, TakeSnapshot
@@ -6,21 +6,22 @@
 
 
 def advance(node: Node) -> None:
-    """Commit, as a leader, what a majority of the voters has synced."""
+    """Advance the leader's commit index to what a majority of voters has synced."""
     if node.role != LEADER:
         return
     values = [_voter_persisted_index(node, voter) for voter in node.voter_set.voters]
     index = voters.majority_value(values, node.voter_set)
-    # Only an entry of the own term: see `election`, where a leader starts with one.
+    # Raft commits by counting copies only for entries of the current term. A new
+    # leader appends one at once, see `election`.
     if index > node.commit_index and node.log.term_at(index) == node.term:
         node.commit_index = index
 
 
 def apply_committed(node: Node, now_s: float) -> None:
-    """Hand out what is committed and on this disk, and the answers that wait for it.
+    """Emit entries that are committed and synced here, and the answers due with them.
 
-    An entry that is committed elsewhere but not yet synced here waits: after a crash
-    this VM would otherwise start with less than it has shown to its readers.
+    An entry that is committed but not yet synced on this disk is held back. Otherwise
+    this VM could restart after a crash with an older state than its readers have seen.
     """
     end = min(node.commit_index, node.persisted_index)
     if end > node.applied_index:
--- a/libs/quorum/src/cherryrudder/quorum/core.py
+++ b/libs/quorum/src/cherryrudder/quorum/core.py
@@ -1,8 +1,8 @@
-"""The voter's core: events go in, effects come out; no I/O, no clock of its own.
+"""Raft voter as a pure function of events: no I/O and no clock.
 
-A voter follows Raft. The parts are `election`, `replication`, `commit`, `reads`,
-`proposals` and `snapshots`; `writes` decides what goes to the disk. The shell feeds
-events and carries out effects in order (see `events`).
+The protocol is implemented in `election`, `replication`, `commit`, `reads`,
+`proposals` and `snapshots`; `writes` decides what is written to the disk. The caller
+passes in events and executes the returned effects in order (see `events`).
 """
 
 import random
@@ -49,9 +49,9 @@
 def open_node(
     me: Voter, saved: Saved, timing: Timing, rng: random.Random, now_s: float
 ) -> Node:
-    """Return a voter that goes on from what its disk holds.
+    """Return a voter that resumes from its saved state.
 
-    The first `handle` gives a `RestoreSnapshot` if the disk holds a snapshot.
+    The first `handle` returns a `RestoreSnapshot` if the disk holds a snapshot.
     """
     node = Node(me, saved, timing, rng)
     reset_election_timer(node, now_s)
@@ -61,9 +61,10 @@
 
 
 def handle(node: Node, event, now_s: float) -> list:
-    """Take one event and return the effects, to be carried out in order.
+    """Process one event and return the effects, to be executed in order.
 
-    Raises ProtocolError when another voter breaks the protocol: then stop.
+    Raises ProtocolError if another voter breaks the protocol; the caller must then
+    stop this voter.
     """
     election.check_quorum(node, now_s)
     _dispatch(node, event, now_s)
@@ -71,7 +72,7 @@
     commit.apply_committed(node, now_s)
     if node.role == LEADER:
         _act_as_leader(node, now_s)
-    # Last, so that the followers' disks work while this one does.
+    # Last, so that the followers write to their disks while this one does.
     writes.flush(node)
     effects = node.effects
     node.effects = []
@@ -79,7 +80,7 @@
 
 
 def status(node: Node) -> dict:
-    """Return what an operator wants to know of a voter, as plain JSON types."""
+    """Return a voter's status for operators, as plain JSON types."""
     voter_set = node.voter_set
     return {
         "vm": node.me.vm,
@@ -141,10 +142,10 @@
 
 
 def _is_addressed_here(node, message):
-    """Tell whether a message is meant for this disk and comes from its cluster.
+    """Return whether a message is addressed to this disk and comes from its cluster.
 
-    A VM with a new disk still gets what was sent to its old one. A cluster's name is
-    empty for a disk that has yet to join one.
+    A VM with a new disk still receives messages for its old one. The cluster name is
+    empty for a disk that has not joined a cluster yet.
     """
     if message["to"] != node.me.disk_id:
         return False
@@ -154,13 +155,13 @@
 
 
 def _update_term(node, message, now_s):
-    """Follow a later term; tell whether the message is to be handled at all."""
+    """Enter a later term if the message has one; return whether to handle it."""
     if message["term"] <= node.term or message["type"] == PRE_VOTE:
         return True
     if message["type"] == PRE_VOTE_REPLY and message["granted"]:
         return True
     if message["type"] == VOTE and not message["transfer"]:
-        # A voter that was removed or cut off must not unseat a working leader.
+        # A voter that was removed or partitioned must not depose a working leader.
         if election.has_live_leader(node, now_s):
             return False
     set_term(node, message["term"], now_s)
@@ -170,6 +171,6 @@
 def _act_as_leader(node, now_s):
     if now_s >= node.heartbeat_at_s or reads.needs_round(node):
         replication.start_heartbeat_round(node, now_s)
-    # A voter alone confirms its own round.
+    # A single voter confirms its own round, without any reply.
     reads.complete_reads(node)
     replication.replicate(node, now_s)
--- a/libs/quorum/src/cherryrudder/quorum/election.py
+++ b/libs/quorum/src/cherryrudder/quorum/election.py
@@ -1,8 +1,8 @@
-"""Elections: pre-vote, vote, and a leader that steps down without a majority.
+"""Elections: pre-vote, vote, and leaders that step down without a majority.
 
-A VM that was cut off would come back with a high term and unseat a working leader if
-it could campaign at will. So it first asks whether it would win (pre-vote), and those
-who hear from a leader say no; terms rise only for elections that can succeed.
+Without a pre-vote, a VM that was partitioned would return with a high term and depose
+a working leader. So a voter first asks whether it could win, and voters in contact
+with a leader refuse. Terms rise only for elections that can succeed.
 """
 
 from . import voters
@@ -27,18 +27,18 @@
 
 
 def tick(node: Node, now_s: float) -> None:
-    """Start a pre-vote when no leader has been heard for the election time."""
+    """Start a pre-vote if the election timeout has passed without a leader."""
     if now_s < node.election_at_s:
         return
     reset_election_timer(node, now_s)
-    # A disk outside the voter set has no say: a VM that lost its disk must not lead
-    # or be counted until the others have taken the new disk in.
+    # A disk outside the voter set may not campaign: a VM that lost its disk must
+    # neither lead nor be counted until the others have added the new disk.
     if is_voter(node):
         _start_pre_vote(node, now_s)
 
 
 def campaign(node: Node, now_s: float, transfer: bool = False) -> None:
-    """Ask for votes in the next term; the own vote counts once it is synced."""
+    """Request votes in the next term; the own vote counts once it is synced."""
     set_term(node, node.term + 1, now_s)
     node.role = CANDIDATE
     node.voted_for = node.me.disk_id
@@ -50,14 +50,14 @@
 
 
 def on_vote_persisted(node: Node, now_s: float) -> None:
-    """Count a candidate's own vote."""
+    """Count a candidate's own vote, which is now synced."""
     if node.role == CANDIDATE and is_vote_persisted(node):
         node.votes.add(node.me.disk_id)
         _count_votes(node, now_s)
 
 
 def on_pre_vote(node: Node, message: dict, now_s: float) -> None:
-    """Say whether a vote would be given; nothing is promised or saved."""
+    """Reply whether a vote would be granted; nothing is promised or saved."""
     granted = (
         message["term"] > node.term
         and not has_live_leader(node, now_s)
@@ -69,7 +69,7 @@
 
 
 def on_pre_vote_reply(node: Node, message: dict, now_s: float) -> None:
-    """Count a pre-vote."""
+    """Count a granted pre-vote."""
     if node.role != PRE_CANDIDATE or message["term"] != node.term + 1:
         return
     if message["granted"] and _is_from_voter(node, message):
@@ -78,7 +78,7 @@
 
 
 def on_vote(node: Node, message: dict, now_s: float) -> None:
-    """Give the one vote of this term, or say no."""
+    """Grant the one vote of this term, or refuse it."""
     granted = (
         message["term"] == node.term
         and node.voted_for in ("", message["disk_id"])
@@ -94,7 +94,7 @@
 
 
 def on_vote_reply(node: Node, message: dict, now_s: float) -> None:
-    """Count a vote."""
+    """Count a granted vote."""
     if node.role != CANDIDATE or message["term"] != node.term:
         return
     if message["granted"] and _is_from_voter(node, message):
@@ -103,14 +103,14 @@
 
 
 def on_timeout_now(node: Node, message: dict, now_s: float) -> None:
-    """Campaign at once, as the leader that is about to stop has asked."""
+    """Campaign at once, at the request of a leader that is about to stop."""
     from_leader = node.leader and node.leader.disk_id == message["disk_id"]
     if message["term"] == node.term and from_leader and is_voter(node):
         campaign(node, now_s, transfer=True)
 
 
 def transfer_leadership(node: Node, now_s: float) -> None:
-    """Ask the follower with the longest log to take over, and step down."""
+    """Ask the follower with the longest log to campaign, and step down."""
     if node.role != LEADER:
         return
     peers = [peer for peer in node.peers.values() if _is_peer_voter(node, peer)]
@@ -121,19 +121,19 @@
 
 
 def check_quorum(node: Node, now_s: float) -> None:
-    """Step down as a leader whom no majority has answered for the election time.
+    """Step down if no majority has replied within the election timeout.
 
-    A leader that is cut off or was frozen doesn't know that another one was elected.
-    Were it to go on, its callers would wait for changes that can't be committed. An
-    answer counts from when its question was sent, so old answers that a frozen
-    process finds in its sockets don't keep it in office.
+    A leader that was partitioned or frozen has no sign that another one was elected.
+    If it continued, its callers would wait for changes that can't be committed. A
+    reply counts from when its request was sent, so old replies in the sockets of a
+    process that was frozen don't keep it leader.
     """
     if node.role == LEADER and not _has_quorum(node, now_s):
         become_follower(node, now_s)
 
 
 def has_live_leader(node: Node, now_s: float) -> bool:
-    """Tell whether a leader is at work as far as this VM knows."""
+    """Return whether this VM leads or has had recent contact with the leader."""
     if node.role == LEADER:
         return True
     recent = now_s - node.last_seen_s < node.timing.election_min_s
@@ -141,18 +141,18 @@
 
 
 def is_awaiting_bootstrap(node: Node) -> bool:
-    """Tell whether this is a founder's disk that has never voted."""
+    """Return whether this is the disk of an initial voter that has never voted."""
     return node.term == 0 and node.log.last_index == 0 and is_voter(node)
 
 
 def is_recreated(node: Node, message: dict) -> bool:
-    """Tell whether a message shows that this disk was created a second time.
+    """Return whether a message proves that this disk was created a second time.
 
-    An operator may create the disk of a founder that was lost in the same way as the
-    first one, with the same disk id. It has forgotten its votes and entries, but the
-    others would count it: accepted changes would vanish. A founder that has never
-    voted can't hear of a leader or of entries, since the first leader had every
-    founder's synced vote. So it keeps silent; such a VM has to join as a learner.
+    An operator may recreate the lost disk of an initial voter under the same disk id.
+    It lacks its votes and entries, but the others would count it and accepted changes
+    could be lost. The first leader needs the synced vote of every initial voter, so a
+    leader or entries can exist only if this voter has voted before. Such a disk
+    answers nothing; its VM has to join as a learner.
     """
     if not is_awaiting_bootstrap(node):
         return False
@@ -178,10 +178,10 @@
 
 
 def _votes_needed(node):
-    """Return a majority, or all founders as long as the log is empty.
+    """Return the size of a majority, or all initial voters while the log is empty.
 
-    So each founder has synced a vote before the first entry exists; see
-    `is_recreated`, which rests on it.
+    This makes every initial voter sync a vote before the first entry exists, which
+    `is_recreated` relies on.
     """
     if node.log.last_index == 0:
         return len(node.voter_set.voters)
@@ -205,8 +205,8 @@
     node.round = 0
     node.heartbeat_at_s = now_s
     update_peers(node, now_s)
-    # Entries of earlier terms are committed only together with one of this term: a
-    # majority of copies alone doesn't keep an older entry from being overwritten.
+    # Entries of earlier terms are committed only together with one of this term:
+    # copies on a majority alone don't protect an older entry from being overwritten.
     append(node, Entry(node.log.last_index + 1, node.term, "noop", ""))
 
 
@@ -217,7 +217,7 @@
 
 
 def is_active(node: Node, voter: Voter, since_s: float) -> bool:
-    """Tell whether a member has answered something sent since a time."""
+    """Return whether a member has replied to a message sent at or after `since_s`."""
     if voter.disk_id == node.me.disk_id:
         return True
     peer = node.peers.get(voter.disk_id)
--- a/libs/quorum/src/cherryrudder/quorum/errors.py
+++ b/libs/quorum/src/cherryrudder/quorum/errors.py
@@ -8,12 +8,12 @@
 
 
 class ProtocolError(QuorumError):
-    """Another voter broke the protocol; going on would undo an accepted entry."""
+    """Another voter broke the protocol; continuing would undo an accepted entry."""
 
 
 class DiskError(QuorumError):
-    """The data folder cannot be used, or a write to it failed."""
+    """The data folder is unusable, or a write to it failed."""
 
 
 class DiskUnavailable(DiskError):
-    """The system refused to read or write; what the disk holds may be sound."""
+    """The operating system refused a read or write; the data may still be intact."""
--- a/libs/quorum/src/cherryrudder/quorum/events.py
+++ b/libs/quorum/src/cherryrudder/quorum/events.py
@@ -1,15 +1,15 @@
-"""What goes into the voter's core and what comes out of it.
+"""Events that a voter's core processes and effects that it returns.
 
-The core is `handle(node, event, now_s) -> list[Effect]` in `core`. The daemon feeds
-events and carries out effects in order: it writes and syncs `Persist` before it sends
-any `Send` that follows, then feeds `Persisted`.
+The core is `handle(node, event, now_s) -> list[Effect]` in `core`. The caller passes
+in events and executes the effects in order: it writes and syncs `Persist` before it
+sends any `Send` that follows, then passes in `Persisted`.
 """
 
 from typing import NamedTuple
 
 
 class Voter(NamedTuple):
-    """A voter is a VM together with its disk; a VM with another disk is another one."""
+    """A VM together with its disk; the same VM with another disk is another voter."""
 
     vm: str
     disk_id: str
@@ -29,31 +29,31 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed; feed one at least every half heartbeat."""
+    """Time has passed; needed at least every half heartbeat interval."""
 
 
 class Received(NamedTuple):
-    """A message from another control VM, as `Send` carried it."""
+    """A message from another control VM, as carried by its `Send`."""
 
     sender: str
     message: dict
 
 
 class Propose(NamedTuple):
-    """A command to be appended; the answer is `Proposed` or `Rejected`."""
+    """A command to be appended; answered by `Committed` or `Rejected`."""
 
     proposal_id: str
     payload: str
 
 
 class ReadIndex(NamedTuple):
-    """Confirm leadership for a read; the answer is `ReadReady` or `Rejected`."""
+    """Confirm leadership for a read; answered by `ReadReady` or `Rejected`."""
 
     read_id: str
 
 
 class Persisted(NamedTuple):
-    """Everything of one `Persist` effect is on the synced disk."""
+    """The `Persist` or `SaveSnapshot` effect with this id is written and synced."""
 
     write_id: int
 
@@ -67,21 +67,21 @@
 
 
 class SnapshotTaken(NamedTuple):
-    """The state machine's bytes at an applied index, for compaction."""
+    """The state machine's snapshot at an applied index, for log compaction."""
 
     index: int
     data: str
 
 
 class HandOver(NamedTuple):
-    """This VM is about to stop: a leader asks its best follower to take over."""
+    """This VM is about to stop; a leader asks its best follower to take over."""
 
 
 # Effects.
 
 
 class Send(NamedTuple):
-    """A message for another control VM; lost, doubled and reordered at will."""
+    """A message for another control VM; it may be lost, duplicated or reordered."""
 
     vm: str
     address: str
@@ -89,7 +89,10 @@
 
 
 class Persist(NamedTuple):
-    """Write and sync, then feed `Persisted`; `truncate_from` drops a log tail first."""
+    """Write and sync, then pass in `Persisted`.
+
+    If `truncate_from` is set, the log is truncated from that index first.
+    """
 
     write_id: int
     term: int
@@ -99,23 +102,23 @@
 
 
 class Apply(NamedTuple):
-    """Committed entries, each given once and in order."""
+    """Apply committed entries; each is emitted once and in order."""
 
     entries: tuple[Entry, ...]
 
 
 class Committed(NamedTuple):
-    """The proposal is committed at an index (the `Apply` comes first)."""
+    """A proposal is committed at an index; its `Apply` precedes this effect."""
 
     proposal_id: str
     index: int
 
 
 class Rejected(NamedTuple):
-    """The proposal or read was not taken here; `leader_address` may be empty.
+    """A proposal or read was rejected; `leader_address` may be empty.
 
-    `certain` says that it was never appended, so that it cannot take effect later.
-    `reason` is set only when the leader itself refuses; trying again elsewhere is vain.
+    `certain` means that it was never appended and cannot take effect later. `reason`
+    is set only if the leader itself refuses; a retry elsewhere is then pointless.
     """
 
     proposal_id: str
@@ -125,18 +128,18 @@
 
 
 class ReadReady(NamedTuple):
-    """The state at or past `index` is fresh as of the read's arrival."""
+    """A state applied up to `index` or later includes all changes before the read."""
 
     read_id: str
     index: int
 
 
 class TakeSnapshot(NamedTuple):
-    """The log is long: feed `Snapshotted` for the newest applied index."""
+    """Compact the log: pass in `SnapshotTaken` for the newest applied index."""
 
 
 class SaveSnapshot(NamedTuple):
-    """Put a snapshot on the disk, then drop the log up to its index."""
+    """Write a snapshot to the disk, then drop the log up to its index."""
 
     write_id: int
     index: int
@@ -148,7 +151,7 @@
 
 
 class RestoreSnapshot(NamedTuple):
-    """Replace the state machine by the snapshot's."""
+    """Replace the state machine's state by the snapshot."""
 
     index: int
     data: str
--- a/libs/quorum/src/cherryrudder/quorum/files.py
+++ b/libs/quorum/src/cherryrudder/quorum/files.py
@@ -1,14 +1,14 @@
 """The data folder of one voter: identity, snapshot and log.
 
-    identity   who this disk is; written once, by `init_disk` or `join_disk`
+    identity   the disk's identity; written once, by `init_disk` or `join_disk`
     snapshot   one record: the newest snapshot
     log        a header record, then one record for each `Persist`
-    synced     how far the log was synced; written without a sync of its own
-    lock       held while a process uses the folder
+    synced     size of the synced part of the log; written without an fsync
+    lock       locked while a process uses the folder
 
-Every call blocks until its sync is done. A failed write or sync leaves the disk
-unusable until it is opened again: after a failed fsync the system may drop the data
-and report success the next time.
+Every call blocks until its sync is done. After a failed write or sync the disk is
+unusable until it is opened again: after a failed fsync the operating system may drop
+the data and report success the next time.
 """
 
 import secrets
@@ -55,7 +55,7 @@
 
     @property
     def saved(self) -> Saved:
-        """Return what the disk holds, for `open_node`."""
+        """Return the disk's content, for `open_node`."""
         log = self._log
         entries = log.slice(log.base_index + 1, log.last_index + 1)
         return Saved(
@@ -63,29 +63,29 @@
         )
 
     def persist(self, effect: Persist) -> None:
-        """Write and sync term, vote and entries; raises DiskError."""
+        """Write and sync term, vote and entries. Raises DiskError."""
         self._run_operation(lambda: self._file.append(effect))
         logfile.apply_record(self._log, effect)
         self._term = effect.term
         self._voted_for = effect.voted_for
 
     def save_snapshot(self, effect: SaveSnapshot) -> None:
-        """Replace the snapshot, then drop the log up to it; raises DiskError."""
+        """Replace the snapshot, then drop the log up to it. Raises DiskError."""
         voter_set = VoterSet(effect.cluster, effect.voters, effect.learners)
         snapshot = Snapshot(effect.index, effect.term, voter_set, effect.data)
         self._run_operation(lambda: self._replace(snapshot))
         self._snapshot = snapshot
 
     def close(self) -> None:
-        """Let go of the folder."""
+        """Close the files and release the lock on the folder."""
         self._file.close()
         self._fs.close(self._lock_fd)
 
     def _replace(self, snapshot):
         payload = msgspec.json.encode(snapshot)
         write_atomically(self._fs, self._folder, SNAPSHOT, [payload])
-        # A crash here leaves the old log beside the new snapshot; `open_disk` then
-        # does the rest.
+        # After a crash here the old log is next to the new snapshot; `open_disk` then
+        # completes the replacement.
         trim_log_to_snapshot(self._log, snapshot)
         self._replace_log()
 
@@ -112,7 +112,7 @@
 
 
 def new_disk_id() -> str:
-    """Return a disk id that no other disk has; never give one to a second disk."""
+    """Return a unique disk id; it must never be reused for a second disk."""
     return secrets.token_hex(8)
 
 
@@ -123,18 +123,18 @@
     voters: tuple[Voter, ...] = (),
     fs: FileSystem | None = None,
 ) -> Result[Identity, DiskError]:
-    """Create the data folder of one of a new cluster's first voters.
+    """Create the data folder of an initial voter of a new cluster.
 
-    All of them are given the same `voters`, each with a disk id of its own, and the
-    cluster begins once all of them are up. Without any, the VM is its cluster's only
-    voter and others join it. A disk that is lost later must not be created so again
-    but by `join_disk`; `election.is_recreated` keeps it silent otherwise.
+    Every initial voter needs the same `voters`, each with its own disk id; the cluster
+    starts once all of them run. Without `voters`, the VM is the only voter of its
+    cluster and others join it. A disk that is lost later must be created by
+    `join_disk` instead; otherwise it never answers, see `election.is_recreated`.
     """
     voters = tuple(voters) or (Voter(vm, new_disk_id(), address),)
     own = [voter for voter in voters if voter.vm == vm]
     disk_ids = {voter.disk_id for voter in voters}
     if len(own) != 1 or len(disk_ids) != len(voters) or "" in disk_ids:
-        fault = f"{vm} must be once in the voters, each with its own disk id"
+        fault = f"{vm} must be listed once, and each voter needs its own disk id"
         return Error(DiskError(fault))
     cluster = xxhash.xxh64_hexdigest("/".join(sorted(disk_ids)).encode())
     identity = Identity(cluster, vm, own[0].disk_id, address, voters)
@@ -144,7 +144,7 @@
 def join_disk(
     folder: str, vm: str, address: str, fs: FileSystem | None = None
 ) -> Result[Identity, DiskError]:
-    """Create the data folder of a VM that is to join a cluster as a learner."""
+    """Create the data folder of a VM that will join a cluster as a learner."""
     identity = Identity("", vm, new_disk_id(), address, ())
     return _create(folder, identity, fs or real_filesystem())
 
@@ -152,7 +152,7 @@
 def open_disk(
     folder: str, vm: str, fs: FileSystem | None = None
 ) -> Result[Disk, DiskError]:
-    """Open a data folder that exists, cut a torn tail, and refuse anything worse."""
+    """Open an existing data folder; drop a torn log tail, refuse any other damage."""
     fs = fs or real_filesystem()
     try:
         return Ok(_open(fs, folder, vm))
@@ -163,11 +163,11 @@
 
 
 def trim_log_to_snapshot(log: Log, snapshot: Snapshot) -> None:
-    """Drop the log up to a snapshot, and all of it where the two differ.
+    """Drop the log up to a snapshot, or all of it if the two conflict.
 
-    Entries past the snapshot that follow another entry at its index are of a leader
-    that lost. Were they kept, this voter would help to elect one without the entries
-    that the snapshot covers.
+    If the log has another entry at the snapshot's index, the entries after it come
+    from a deposed leader. If they were kept, this voter would vote for candidates
+    without the entries that the snapshot covers.
     """
     index = snapshot.index
     if log.holds(index) and log.term_at(index) == snapshot.term:
@@ -182,7 +182,7 @@
         if fs.list_folder(folder):
             return Error(DiskError(f"{folder}: not empty; a disk is created only once"))
         logfile.create(fs, folder, 1, 0, "", Log()).close()
-        # Last, so that a folder whose creation was cut short is never opened.
+        # Last, so that a folder whose creation was interrupted is never opened.
         write_atomically(fs, folder, IDENTITY, [msgspec.json.encode(identity)])
     except OSError as error:
         return Error(DiskUnavailable(f"{folder}: {error}"))
@@ -202,7 +202,7 @@
 
 
 def _lock(fs, folder, lock_fd):
-    """Keep a second process out: two would write over each other's records."""
+    """Lock the folder; two processes would overwrite each other's records."""
     try:
         fs.lock(lock_fd)
     except OSError as error:
--- a/libs/quorum/src/cherryrudder/quorum/filesystem.py
+++ b/libs/quorum/src/cherryrudder/quorum/filesystem.py
@@ -1,4 +1,4 @@
-"""The few file operations that the disk files need, so that tests can fake a disk."""
+"""File operations that the disk files need, as an interface that tests can fake."""
 
 import fcntl
 import os
@@ -7,7 +7,7 @@
 
 
 class FileSystem(NamedTuple):
-    """Plain functions; each raises OSError. Files are known by a descriptor."""
+    """File operations on descriptors and paths; each raises OSError."""
 
     make_folder: Callable[[str], None]
     list_folder: Callable[[str], list[str]]
@@ -23,7 +23,7 @@
 
 
 def real_filesystem() -> FileSystem:
-    """Return the operating system's own file operations; they block."""
+    """Return the operating system's blocking file operations."""
     return FileSystem(
         make_folder=lambda path: os.makedirs(path, exist_ok=True),
         list_folder=lambda path: sorted(os.listdir(path)),
--- a/libs/quorum/src/cherryrudder/quorum/logfile.py
+++ b/libs/quorum/src/cherryrudder/quorum/logfile.py
@@ -1,7 +1,7 @@
-"""The log file: a header, then one record with term, vote and entries per write.
+"""Log file: a header, then one record with term, vote and entries per write.
 
-Term and vote share the file with the entries, so that one fsync covers both, and a
-write takes effect as a whole or not at all.
+Term and vote are in the same file as the entries, so that one fsync covers both and
+each write is atomic.
 """
 
 import struct
@@ -22,7 +22,10 @@
 
 
 class Header(NamedTuple):
-    """The first record; entries follow `base_index`. Each new file counts up."""
+    """The first record; entries follow `base_index`.
+
+    `generation` is incremented each time the file is replaced.
+    """
 
     generation: int
     base_index: int
@@ -30,7 +33,7 @@
 
 
 class Record(NamedTuple):
-    """One write; entries from `truncate_from` on are dropped first."""
+    """One write; older entries from `truncate_from` on are dropped first."""
 
     term: int
     voted_for: str
@@ -39,7 +42,7 @@
 
 
 class Contents(NamedTuple):
-    """What a log file holds."""
+    """The decoded content of a log file."""
 
     generation: int
     term: int
@@ -48,7 +51,7 @@
 
 
 class LogFile:
-    """An open log file; writes go to its end."""
+    """An open log file, which is only appended to."""
 
     def __init__(self, fs: FileSystem, folder: str, generation: int, end: int):
         self.generation = generation
@@ -58,7 +61,7 @@
         self._synced_fd = fs.open(f"{folder}/{SYNCED}")
 
     def append(self, effect: Persist) -> None:
-        """Write and sync one record; raises OSError."""
+        """Write and sync one record. Raises OSError."""
         record = Record(
             effect.term, effect.voted_for, effect.truncate_from, effect.entries
         )
@@ -69,21 +72,21 @@
         self._write_synced_size()
 
     def truncate_tail(self) -> None:
-        """Drop what follows the last intact record; raises OSError."""
+        """Drop what follows the last intact record. Raises OSError."""
         self._fs.truncate(self._fd, self._end)
         self._fs.sync(self._fd)
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the log file and the file with its synced size."""
         self._fs.close(self._fd)
         self._fs.close(self._synced_fd)
 
     def _write_synced_size(self):
-        """Note how far the file is synced.
+        """Store the synced size of the log file.
 
         Without it, damage to the last record would look like a torn tail, and an
-        accepted entry would be cut off. The note needs no sync: one that is lost or
-        old only makes the check weaker, and it never claims too much.
+        accepted entry would be dropped. This write needs no fsync: a lost or stale
+        value only weakens the check and is never too large.
         """
         mark = encode_record(SYNCED_FORMAT.pack(self.generation, self._end))
         self._fs.write(self._synced_fd, 0, mark)
@@ -92,7 +95,7 @@
 def create(
     fs: FileSystem, folder: str, generation: int, term: int, voted_for: str, log: Log
 ) -> LogFile:
-    """Replace the log file by one with these contents; raises OSError."""
+    """Replace the log file by one with the given content. Raises OSError."""
     header = Header(generation, log.base_index, log.base_term)
     entries = log.slice(log.base_index + 1, log.last_index + 1)
     record = Record(term, voted_for, None, entries)
@@ -102,7 +105,7 @@
 
 
 def load(fs: FileSystem, folder: str) -> tuple[LogFile, Contents]:
-    """Open the log file and cut a torn tail; raises OSError and DiskError."""
+    """Open the log file and drop a torn tail. Raises OSError and DiskError."""
     path = f"{folder}/{LOG}"
     data = read_bytes(fs, path)
     found = scan(data)
@@ -125,7 +128,7 @@
 
 
 def apply_record(log: Log, record: Record | Persist) -> None:
-    """Change a log as a write says; raises ValueError if it leaves a gap."""
+    """Apply one write to a log. Raises ValueError if it leaves a gap."""
     if record.truncate_from is not None:
         first = max(record.truncate_from, log.base_index + 1)
         log.truncate(first)
@@ -134,7 +137,8 @@
 
 
 def _replay(path, payloads):
-    # The file was renamed into place with these two, so no crash explains a lack.
+    # The file had both records when it was renamed into place, so a crash cannot
+    # explain a missing one.
     if len(payloads) < 2:
         raise DiskError(f"{path}: damaged at offset 0")
     try:
@@ -144,7 +148,7 @@
             record = msgspec.json.decode(payload, type=Record)
             apply_record(log, record)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise DiskError(f"{path}: intact records that make no log: {error}") from error
+        raise DiskError(f"{path}: records do not form a valid log: {error}") from error
     return Contents(header.generation, record.term, record.voted_for, log)
 
 
--- a/libs/quorum/src/cherryrudder/quorum/messages.py
+++ b/libs/quorum/src/cherryrudder/quorum/messages.py
@@ -1,4 +1,4 @@
-"""The messages between voters, as JSON objects, checked when they come in."""
+"""Messages between voters: JSON objects, validated when received."""
 
 from typing import TypedDict
 
@@ -19,7 +19,7 @@
 
 
 class Header(TypedDict):
-    """What each message has: its sender with its disk, and the disk it is meant for."""
+    """Fields of every message: the sender with its disk, and the disk addressed."""
 
     type: str
     cluster: str
@@ -31,7 +31,7 @@
 
 
 class VoteRequest(Header):
-    """Ask for a vote, or, as a pre-vote, whether one would be given."""
+    """Request a vote or, as a pre-vote, ask whether one would be granted."""
 
     last_index: int
     last_term: int
@@ -39,13 +39,16 @@
 
 
 class VoteReply(Header):
-    """Answer a vote or pre-vote."""
+    """Reply to a vote or pre-vote request."""
 
     granted: bool
 
 
 class Append(Header):
-    """Entries after `prev_index`; none make a heartbeat. `sent_s` is echoed."""
+    """Entries after `prev_index`; without entries it is a heartbeat.
+
+    The reply echoes `round` and `sent_s`.
+    """
 
     prev_index: int
     prev_term: int
@@ -56,7 +59,7 @@
 
 
 class AppendReply(Header):
-    """What the follower has synced, or where its log differs from the leader's."""
+    """The index a follower has synced, or where its log conflicts with the leader's."""
 
     ok: bool
     synced: int
@@ -68,7 +71,7 @@
 
 
 class InstallSnapshot(Header):
-    """A snapshot for a follower whose next entry the leader no longer has."""
+    """A snapshot for a follower whose next entry the leader has compacted."""
 
     index: int
     index_term: int
@@ -91,7 +94,7 @@
 
 
 def check_message(message: dict) -> Result[dict, str]:
-    """Return the message with its types checked, or what is wrong with it."""
+    """Return the message with its types validated, or an error text."""
     kind = message.get("type") if isinstance(message, dict) else None
     if kind not in MESSAGE_TYPES:
         return Error(f"unknown message type {kind!r}")
--- a/libs/quorum/src/cherryrudder/quorum/node.py
+++ b/libs/quorum/src/cherryrudder/quorum/node.py
@@ -1,4 +1,4 @@
-"""The state of one voter, and the small steps that every part of the core shares."""
+"""State of one voter, and the basic operations that the core's modules share."""
 
 import random
 from typing import NamedTuple
@@ -15,26 +15,27 @@
 
 
 class Peer:
-    """The leader's view of another member."""
+    """Replication state that the leader keeps for another member."""
 
     def __init__(self, voter: Voter, next_index: int, now_s: float):
         self.voter = voter
         self.next_index = next_index
-        # Highest index that the peer has on its synced disk.
+        # Highest index that the peer has synced to its disk.
         self.match_index = 0
-        # When the newest message that the peer has answered was sent.
+        # Send time of the latest message that the peer has answered.
         self.acked_s = now_s
+        # Latest heartbeat round that the peer has answered.
         self.round = 0
-        # Last index of the batch or snapshot that waits for an answer, or 0.
+        # Last index of the batch or snapshot in flight, or 0.
         self.in_flight_index = 0
         self.batch_sent_s = now_s
         self.resend_at_s = now_s
-        # A batch is sent a second time before its time is over at most once.
+        # A batch is resent before its timeout at most once.
         self.is_resent = False
 
 
 class Write(NamedTuple):
-    """The write that the disk is busy with; `last_index` counts once it is synced."""
+    """The write in progress; `last_index` is persisted once it is synced."""
 
     write_id: int
     term: int
@@ -42,13 +43,13 @@
     last_index: int
 
 
-# With waits of 0.05 to 0.15 s these last 0.8 to 2.4 s; control VMs that lost power
-# together start within half a second of each other.
+# With waits of 0.05 to 0.15 s these last 0.8 to 2.4 s. That covers a common power loss,
+# after which control VMs start within half a second of each other.
 FAST_ELECTIONS = 16
 
 
 class Read(NamedTuple):
-    """A read that waits; `index` is None until the leader knows what is committed."""
+    """A pending read; `index` is None until the leader's commit index is valid."""
 
     read_id: str
     round: int
@@ -64,15 +65,15 @@
         self.rng = rng
         self.effects = []
 
-        # On the disk, or on its way there.
+        # State that is on disk or is being written.
         self.term = saved.term
         self.voted_for = saved.voted_for
         self.snapshot: Snapshot | None = saved.snapshot
         self.log = _open_log(saved)
-        # Voter sets by the index of their entry; the last one counts, committed or not.
+        # Voter sets by entry index; the last one is in force, committed or not.
         self.voter_sets: list[tuple[int, VoterSet]] = _open_voter_sets(saved)
 
-        # What of it is synced.
+        # The part of it that is synced.
         self.persisted_term = saved.term
         self.persisted_vote = saved.voted_for
         self.persisted_index = self.log.last_index
@@ -86,19 +87,19 @@
         self.leader: Voter | None = None
         self.last_seen_s = 0.0
         self.election_at_s = 0.0
-        # Campaigns that may come sooner than others, until a leader was heard.
+        # Remaining elections with a short timeout; 0 after contact with a leader.
         self.fast_elections_left = FAST_ELECTIONS
         self.votes: set[str] = set()
         self.commit_index = self.log.base_index
         self.applied_index = self.log.base_index
         self.snapshot_requested = False
 
-        # As a follower: how far the log is known to agree with the leader's.
+        # Follower: the log is known to match the leader's up to this index.
         self.verified_index = 0
         self.leader_round = 0
         self.leader_sent_s = 0.0
 
-        # As a leader.
+        # Leader.
         self.peers: dict[str, Peer] = {}
         self.round = 0
         self.heartbeat_at_s = 0.0
@@ -112,12 +113,12 @@
 
 
 def is_voter(node: Node) -> bool:
-    """Tell whether this VM with this disk is in the voter set."""
+    """Return whether this VM with this disk is in the voter set."""
     return voters.is_voter(node.voter_set, node.me.vm, node.me.disk_id)
 
 
 def emit(node: Node, effect) -> None:
-    """Add an effect to those of the present event."""
+    """Add an effect to those of the current event."""
     node.effects.append(effect)
 
 
@@ -129,8 +130,8 @@
 def send_when_vote_persisted(node: Node, target: Voter, kind: str, **fields) -> None:
     """Send a message once term and vote are synced.
 
-    A vote that is sent first and forgotten in a crash could be given a second time in
-    the same term, and two leaders would stand in it.
+    A vote that is sent before it is synced can be lost in a crash. The voter could
+    then vote again in the same term, and the term could have two leaders.
     """
     message = _message(node, target, kind, fields)
     if is_vote_persisted(node):
@@ -140,17 +141,17 @@
 
 
 def is_vote_persisted(node: Node) -> bool:
-    """Tell whether the present term and vote are synced."""
+    """Return whether the current term and vote are synced."""
     return node.persisted_term == node.term and node.persisted_vote == node.voted_for
 
 
 def reset_election_timer(node: Node, now_s: float) -> None:
-    """Wait a new random time before the next campaign.
+    """Set a new random election timeout.
 
-    Failure: all voters lose power and start again, and each waits for a leader that
-    none of them is; callers wait the election time more. So the first campaigns come
-    sooner. Where a leader is at work the others refuse the pre-vote, and a voter that
-    reaches nobody stops hurrying after some tries.
+    After a power loss of all voters no leader exists, and callers would wait for a
+    whole election timeout. So the first timeouts after a start are shorter. They don't
+    disturb a working leader, as the other voters refuse the pre-vote, and a voter that
+    reaches nobody returns to normal timeouts after `FAST_ELECTIONS` attempts.
     """
     timing = node.timing
     if node.fast_elections_left and timing.first_election_max_s:
@@ -164,7 +165,7 @@
 
 
 def set_term(node: Node, term: int, now_s: float) -> None:
-    """Enter a later term as a follower who has not voted."""
+    """Enter a later term as a follower that has not voted."""
     become_follower(node, now_s)
     node.term = term
     node.voted_for = ""
@@ -172,12 +173,12 @@
     node.verified_index = 0
     node.leader_round = 0
     node.leader_sent_s = 0.0
-    # What was to be sent in the old term would only be refused now.
+    # Messages of the old term would be rejected now.
     node.unsent.clear()
 
 
 def become_follower(node: Node, now_s: float) -> None:
-    """Become a follower; a leader gives up its reads and proposals."""
+    """Become a follower; a leader rejects its pending reads and proposals."""
     was_leader = node.role == LEADER
     node.role = FOLLOWER
     node.votes = set()
@@ -187,7 +188,7 @@
     reset_election_timer(node, now_s)
     for read in node.reads:
         emit(node, Rejected(read.read_id, "", True))
-    # The entries stay in the log, and a later leader may still commit them.
+    # Not certain: the entries stay in the log and a later leader may commit them.
     for proposal_id in node.proposals.values():
         emit(node, Rejected(proposal_id, "", False))
     node.reads = []
@@ -196,7 +197,7 @@
 
 
 def leader_address(node: Node) -> str:
-    """Return where the leader is thought to be, or nothing."""
+    """Return the address of the current leader, or "" if none is known."""
     return node.leader.address if node.leader else ""
 
 
@@ -234,5 +235,5 @@
 
 
 def is_voter_set_entry(entry) -> bool:
-    """Tell whether an entry is a voter set."""
+    """Return whether an entry holds a voter set."""
     return entry.kind == "voters"
--- a/libs/quorum/src/cherryrudder/quorum/proposals.py
+++ b/libs/quorum/src/cherryrudder/quorum/proposals.py
@@ -1,4 +1,4 @@
-"""Commands and changes of the voter set, as the leader takes them in."""
+"""Proposals to the leader: commands and changes of the voter set."""
 
 from expression import Error
 
@@ -9,13 +9,13 @@
 from .replication import MAX_BATCH_ENTRIES, update_peers
 from .writes import append
 
-# A leader whose followers are slow would take in changes without bound, and each
-# would wait longer than its caller does. This is some seconds of work of a slow disk.
+# Without a limit a leader with slow followers would queue proposals without bound, and
+# each would wait past its caller's timeout. A slow disk needs some seconds for these.
 MAX_UNCOMMITTED_ENTRIES = 4096
 
 
 def on_propose(node: Node, event: Propose) -> None:
-    """Append a command, or reject it before it is anywhere."""
+    """Append a command, or reject it before anything is appended."""
     if node.role != LEADER:
         _reject(node, event.proposal_id)
         return
@@ -26,7 +26,7 @@
 
 
 def on_change_voters(node: Node, event: ChangeVoters, now_s: float) -> None:
-    """Append a changed voter set if it is safe and would leave a working majority."""
+    """Append a changed voter set if that is safe and leaves a live majority."""
     if node.role != LEADER:
         _reject(node, event.proposal_id)
         return
@@ -49,15 +49,15 @@
 
 
 def _changed_voter_set(node, event, now_s):
-    """Return the changed voter set, or why the change must wait or not be made."""
+    """Return the changed voter set, or the reason why the change is refused."""
     if not _is_change_allowed(node):
         return Error("another change of the voters is not committed yet")
     result = voters.change(node.voter_set, event.action, event.voter)
     if result.is_error() or event.action == voters.ADD_LEARNER:
         return result
-    # Without these a repair could itself end the service: a removal that leaves
-    # mostly dead voters, or a promoted learner that is far behind, stops every
-    # change until they are back.
+    # Without these checks a repair could itself cause an outage: if a removal leaves
+    # mostly dead voters, or a promoted learner is far behind, nothing can be
+    # committed until they recover.
     if not _has_live_majority(node, result.ok, now_s):
         return Error("too few of the voters that would be left answer at present")
     if event.action == voters.PROMOTE and not _is_caught_up(node, event.voter):
@@ -66,11 +66,11 @@
 
 
 def _is_change_allowed(node):
-    """Tell whether no other change is under way.
+    """Return whether no other change is in progress.
 
-    Old and new majorities overlap only if the sets differ by one voter. With two
-    changes under way, or with one of an earlier term that may still come back, two
-    leaders could each have a majority of their own.
+    Old and new majorities are sure to overlap only if the sets differ by one voter.
+    With two changes in progress, or one of an earlier term that may still be
+    committed, two leaders could each have a majority of their own.
     """
     settled = node.voter_sets[-1][0] <= node.commit_index
     return settled and node.log.term_at(node.commit_index) == node.term
@@ -83,8 +83,9 @@
 
 
 def _is_caught_up(node, voter):
-    # On a short log one that has answered nothing would pass by the distance alone. A
-    # disk that nobody has (a mistyped id) would then vote and never answer.
+    # On a short log a learner that has never answered would pass the distance check.
+    # A disk that does not exist (a mistyped id) would then become a voter that never
+    # answers.
     peer = node.peers.get(voter.disk_id)
     if peer is None or not peer.match_index:
         return False
--- a/libs/quorum/src/cherryrudder/quorum/reads.py
+++ b/libs/quorum/src/cherryrudder/quorum/reads.py
@@ -1,8 +1,9 @@
-"""Reads that see every change accepted before they came (read index).
+"""Linearizable reads by read index: a read sees every change accepted before it.
 
-A leader that was cut off doesn't know that others accept changes meanwhile. So each
-read waits for a round of heartbeats that began after it came and that a majority
-answered. No clock is trusted: a lease would be, and a frozen VM's clock jumps.
+A partitioned leader can't detect that another leader accepts changes meanwhile. So
+each read waits for a heartbeat round that started after the read arrived and that a
+majority answered. A leader lease would rely on the clock, which jumps on a VM that was
+frozen.
 """
 
 from . import voters
@@ -11,7 +12,7 @@
 
 
 def on_read_index(node: Node, event: ReadIndex) -> None:
-    """Queue a read for the next round."""
+    """Queue a read for the next heartbeat round, or reject it if not the leader."""
     if node.role != LEADER:
         emit(node, Rejected(event.read_id, leader_address(node), True))
         return
@@ -19,17 +20,17 @@
 
 
 def needs_round(node: Node) -> bool:
-    """Tell whether a read waits for a round while none is under way."""
+    """Return whether a read waits for a new round and none is in progress."""
     waits = any(read.round > node.round for read in node.reads)
     return waits and _confirmed_round(node) == node.round
 
 
 def complete_reads(node: Node) -> None:
-    """Answer the reads whose round is confirmed."""
+    """Complete the reads whose heartbeat round is confirmed by a majority."""
     if node.role != LEADER or not node.reads:
         return
-    # Until an entry of its own term is committed, a new leader doesn't know how far
-    # the one before it has committed.
+    # Until an entry of its own term is committed, a new leader's commit index may be
+    # behind that of the previous leader.
     if node.log.term_at(node.commit_index) != node.term:
         return
     confirmed = _confirmed_round(node)
--- a/libs/quorum/src/cherryrudder/quorum/records.py
+++ b/libs/quorum/src/cherryrudder/quorum/records.py
@@ -1,8 +1,8 @@
-"""Records of a file: a marker, a length, a checksum and a payload.
+"""Records in a file: marker, length, checksum and payload.
 
-The marker lets a reader find intact records behind a damaged one. That tells a torn
-tail, which a crash leaves and which was never acknowledged, from damage to something
-that was accepted.
+The marker allows finding intact records after a damaged one. This distinguishes a torn
+tail, which a crash leaves and which was never acknowledged, from damage to accepted
+data.
 """
 
 import struct
@@ -12,12 +12,15 @@
 
 MARKER = b"\xc3CRQ"
 HEADER = struct.Struct(">4sIQ")
-# No write is ever this long; a damaged length must not be believed.
+# No write is this long, so a larger length means that the header is damaged.
 MAX_PAYLOAD_BYTES = 1 << 30
 
 
 class Scan(NamedTuple):
-    """What a file holds: intact payloads, where they end, and a later intact record."""
+    """Result of a scan: intact payloads, their end offset, and a later intact record.
+
+    `intact_after` is the offset of an intact record after damage, or None.
+    """
 
     payloads: list[bytes]
     end: int
@@ -25,13 +28,13 @@
 
 
 def encode_record(payload: bytes) -> bytes:
-    """Return the record of a payload."""
+    """Return a payload with its record header."""
     checksum = xxhash.xxh64_intdigest(payload)
     return HEADER.pack(MARKER, len(payload), checksum) + payload
 
 
 def scan(data: bytes) -> Scan:
-    """Return the records up to the first that is not intact."""
+    """Return the payloads up to the first record that is not intact."""
     payloads = []
     offset = 0
     while (payload := _record_at(data, offset)) is not None:
--- a/libs/quorum/src/cherryrudder/quorum/replication.py
+++ b/libs/quorum/src/cherryrudder/quorum/replication.py
@@ -1,4 +1,4 @@
-"""How the leader's log reaches the followers, and when an entry is committed."""
+"""Log replication from the leader to the followers, and their acknowledgements."""
 
 from . import voters
 from .errors import ProtocolError
@@ -15,20 +15,21 @@
 )
 from .writes import append, truncate
 
-# One append fills a few packets and takes about a millisecond to encode; a longer one
-# would hold up heartbeats behind it on the one loop. Catching up on 1,000 entries is
-# then 16 round trips.
+# A batch of this size fills a few packets and takes about a millisecond to encode. A
+# larger one would delay heartbeats, which share the event loop. Catching up on 1,000
+# entries then takes 16 round trips.
 MAX_BATCH_ENTRIES = 64
 MAX_BATCH_CHARACTERS = 256 * 1024
-# Answers wait for a sync at the follower, which may take some heartbeats on a slow
-# disk. A lost append costs this long; sending sooner only doubles what isn't lost.
+# Replies wait for a sync at the follower, which may take several heartbeat intervals
+# on a slow disk. A lost append costs this delay; a shorter one would duplicate appends
+# that aren't lost.
 RESEND_HEARTBEATS = 4
-# A snapshot is written as a whole before it is answered.
+# Longer, since the follower writes the whole snapshot before it replies.
 RESEND_SNAPSHOT_HEARTBEATS = 20
 
 
 def update_peers(node: Node, now_s: float) -> None:
-    """Follow a change of the voter set in the leader's list of peers."""
+    """Update the leader's peers after a change of the voter set."""
     wanted = {
         member.disk_id: member
         for member in voters.members(node.voter_set)
@@ -42,21 +43,21 @@
 
 
 def start_heartbeat_round(node: Node, now_s: float) -> None:
-    """Send a heartbeat to all; its answers confirm leadership as of now."""
+    """Send a heartbeat to all peers; the replies confirm leadership as of now."""
     node.round += 1
     node.heartbeat_at_s = now_s + node.timing.heartbeat_s
     for peer in node.peers.values():
-        # A place in the log that the peer is known to share, so that a heartbeat
-        # that overtakes an append is never taken for a gap.
+        # The peer is known to have this index. Otherwise a heartbeat that overtakes
+        # an append would look like a gap in the log.
         prev_index = peer.match_index if node.log.holds(peer.match_index) else 0
         _send_append(node, peer, prev_index, (), now_s)
 
 
 def replicate(node: Node, now_s: float) -> None:
-    """Send each peer what it lacks, one batch at a time.
+    """Send each peer the entries that it lacks, one batch at a time.
 
-    While a batch is on its way, new entries gather for the next one, so batches grow
-    with the load and with the round trip.
+    New entries accumulate while a batch is in flight, so batches grow with the load
+    and the round-trip time.
     """
     for peer in node.peers.values():
         waits = peer.in_flight_index and now_s < peer.resend_at_s
@@ -71,7 +72,7 @@
 
 
 def on_append(node: Node, message: dict, now_s: float) -> None:
-    """Take a leader's entries, or say where the logs differ."""
+    """Append a leader's entries, or reply where the logs conflict."""
     if message["term"] < node.term:
         reject_stale_leader(node, message)
         return
@@ -90,10 +91,10 @@
 
 
 def acknowledge(node: Node) -> None:
-    """Tell the leader what of its log is on this disk.
+    """Report to the leader how much of its log is on this disk.
 
-    Only what is synced is told: were an entry committed on copies in memory, a power
-    cut could take it back.
+    Only synced entries are reported. If an entry were committed on copies in memory, a
+    power loss could undo it.
     """
     if node.role == LEADER or node.leader is None or not is_vote_persisted(node):
         return
@@ -106,7 +107,7 @@
 
 
 def on_append_reply(node: Node, message: dict, now_s: float) -> None:
-    """Take note of what a peer has synced, or go back to where it agrees."""
+    """Record what a peer has synced, or move back to where its log matches."""
     peer = node.peers.get(message["disk_id"])
     if node.role != LEADER or message["term"] != node.term or peer is None:
         return
@@ -122,13 +123,13 @@
         peer.in_flight_index = 0
         peer.next_index = max(peer.next_index, peer.match_index + 1)
     elif message["sent_s"] > peer.batch_sent_s and not peer.is_resent:
-        # It has answered a later message, and messages arrive in order: the batch went
-        # while the peer was not there yet, as after a loss of power.
+        # The peer answered a later message and messages arrive in order, so the batch
+        # was lost: it was sent before the peer had started, as after a power loss.
         peer.resend_at_s = now_s
 
 
 def accept_leader(node: Node, message: dict, now_s: float) -> None:
-    """Follow the sender as this term's leader."""
+    """Follow the sender as this term's leader. Raises ProtocolError if leading too."""
     if node.role == LEADER:
         raise ProtocolError(f"{message['vm']} leads in term {node.term} as well")
     become_follower(node, now_s)
@@ -177,7 +178,7 @@
 def _send_snapshot(node, peer, now_s):
     snapshot = node.snapshot
     peer.in_flight_index = snapshot.index
-    # It takes long by itself, and is too large to be sent twice for nothing.
+    # Disables the early resend: a snapshot takes long and is too large to send twice.
     peer.is_resent = True
     wait_s = RESEND_SNAPSHOT_HEARTBEATS * node.timing.heartbeat_s
     peer.resend_at_s = now_s + wait_s
@@ -217,7 +218,7 @@
 
 
 def _reply_conflict(node, message):
-    """Name the first entry of the term that differs, so whole terms are skipped."""
+    """Reply with the first index of the conflicting term, to skip whole terms."""
     prev_index = message["prev_index"]
     if prev_index > node.log.last_index:
         conflict_index, conflict_term = node.log.last_index + 1, 0
@@ -248,7 +249,7 @@
 
 def _rewind_peer(node, peer, message):
     prev_index = message["prev_index"]
-    # Anything else answers an append that has been superseded since.
+    # Any other reply belongs to an append that has been superseded.
     if prev_index != peer.next_index - 1 or prev_index <= peer.match_index:
         return
     next_index = message["conflict_index"]
--- a/libs/quorum/src/cherryrudder/quorum/saved.py
+++ b/libs/quorum/src/cherryrudder/quorum/saved.py
@@ -1,4 +1,4 @@
-"""What a voter finds on its disk when it starts, and its timing."""
+"""Saved state from which a voter starts, and its timing."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class VoterSet(NamedTuple):
-    """Who votes and who only follows; `cluster` is empty before the disk has joined."""
+    """Voters and non-voting learners; `cluster` is empty until the disk has joined."""
 
     cluster: str = ""
     voters: tuple[Voter, ...] = ()
@@ -14,7 +14,7 @@
 
 
 class Identity(NamedTuple):
-    """Who a disk is; `voters` is the first voter set, empty for a learner."""
+    """A disk's identity; `voters` is the initial voter set, empty for a learner."""
 
     cluster: str
     vm: str
@@ -24,7 +24,7 @@
 
 
 class Snapshot(NamedTuple):
-    """The state machine's bytes after the entry at `index`."""
+    """The state machine's serialized state after the entry at `index`."""
 
     index: int
     term: int
@@ -33,7 +33,7 @@
 
 
 class Saved(NamedTuple):
-    """Everything that the disk holds; `entries` follow the snapshot without a gap."""
+    """The disk's whole content; `entries` follow the snapshot without a gap."""
 
     identity: Identity
     term: int = 0
@@ -43,12 +43,12 @@
 
 
 class Timing(NamedTuple):
-    """Waits of the protocol; `snapshot_entries` is the log length that asks for one."""
+    """Timeouts of the protocol, and the log length that triggers a snapshot."""
 
     heartbeat_s: float
     election_min_s: float
     election_max_s: float
     snapshot_entries: int
-    # Of the first campaigns after a start; 0 for none that come sooner.
+    # Election timeout of the first elections after a start; 0 uses the normal one.
     first_election_min_s: float = 0.0
     first_election_max_s: float = 0.0
--- a/libs/quorum/src/cherryrudder/quorum/snapshots.py
+++ b/libs/quorum/src/cherryrudder/quorum/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: of the own state to keep the log short, a leader's to catch up."""
+"""Snapshots: taken locally to compact the log, or installed from the leader."""
 
 from .events import SnapshotTaken
 from .node import Node
@@ -8,7 +8,7 @@
 
 
 def on_snapshot_taken(node: Node, event: SnapshotTaken) -> None:
-    """Save the own snapshot, and keep some of the log for followers that lag."""
+    """Save a local snapshot and compact the log, except a tail for slow followers."""
     node.snapshot_requested = False
     newest = node.snapshot.index if node.snapshot else 0
     if not newest < event.index <= node.applied_index:
@@ -25,7 +25,7 @@
 
 
 def on_install_snapshot(node: Node, message: dict, now_s: float) -> None:
-    """Take a leader's snapshot if it is ahead of what is committed here."""
+    """Install a leader's snapshot if it is ahead of the local commit index."""
     if message["term"] < node.term:
         reject_stale_leader(node, message)
         return
@@ -36,7 +36,7 @@
             index, message["index_term"], message["voter_set"], message["data"]
         )
         install_snapshot(node, snapshot)
-    # Up to a committed index all logs agree.
+    # All logs match up to a committed index.
     node.verified_index = max(node.verified_index, index)
     acknowledge(node)
 
@@ -46,6 +46,6 @@
 
 
 def _drop_old_voter_sets(node):
-    """Forget voter sets that no truncation can bring back."""
+    """Drop voter sets that no truncation can bring back into force."""
     while len(node.voter_sets) > 1 and node.voter_sets[1][0] <= node.snapshot.index:
         node.voter_sets.pop(0)
--- a/libs/quorum/src/cherryrudder/quorum/voters.py
+++ b/libs/quorum/src/cherryrudder/quorum/voters.py
@@ -1,9 +1,9 @@
-"""The voter set: who counts towards a majority, and one change at a time to it.
+"""Voter set: the members that count towards a majority, changed one at a time.
 
-A voter is a VM together with its disk. A VM that comes back with an empty or another
-disk has forgotten its votes and its part of the log; if its name alone counted, it
-could vote twice in one term or help to elect a leader without accepted entries, and
-two majorities would disagree. So both names are compared wherever a vote counts.
+A voter is a VM together with its disk. A VM that returns with an empty or another disk
+has lost its votes and its log. If only the VM's name were compared, it could vote twice
+in one term or help to elect a leader without accepted entries, and two majorities could
+disagree. So VM and disk id are both compared wherever a vote counts.
 """
 
 import msgspec
@@ -18,29 +18,29 @@
 
 
 def quorum_size(voter_set: VoterSet) -> int:
-    """Return how many voters make a majority."""
+    """Return the size of a majority of the voters."""
     return len(voter_set.voters) // 2 + 1
 
 
 def members(voter_set: VoterSet) -> tuple[Voter, ...]:
-    """Return voters and learners."""
+    """Return all voters and learners."""
     return voter_set.voters + voter_set.learners
 
 
 def is_voter(voter_set: VoterSet, vm: str, disk_id: str) -> bool:
-    """Tell whether a VM with this very disk votes."""
+    """Return whether a VM with this disk is a voter."""
     return any(v.vm == vm and v.disk_id == disk_id for v in voter_set.voters)
 
 
 def majority_value(values: list[int], voter_set: VoterSet) -> int:
-    """Return the highest number that a majority has reached; one value per voter."""
+    """Return the highest value that a majority has reached, given one per voter."""
     if not values:
         return 0
     return sorted(values, reverse=True)[quorum_size(voter_set) - 1]
 
 
 def change(voter_set: VoterSet, action: str, voter: Voter) -> Result[VoterSet, str]:
-    """Return the voter set after one change, or why it cannot be made."""
+    """Return the voter set after one change, or the reason why it is invalid."""
     if action == ADD_LEARNER:
         return _add_learner(voter_set, voter)
     if action == PROMOTE:
@@ -51,12 +51,12 @@
 
 
 def encode(voter_set: VoterSet) -> str:
-    """Return the payload of a voters entry."""
+    """Return the log payload for a voter set."""
     return msgspec.json.encode(voter_set).decode()
 
 
 def decode(payload: str) -> VoterSet:
-    """Return the voter set of a voters entry."""
+    """Return the voter set from a log payload."""
     return msgspec.json.decode(payload, type=VoterSet)
 
 
@@ -95,5 +95,5 @@
 
 
 def to_lists(voter_set: VoterSet) -> list:
-    """Return a voter set as bare lists, the form that messages carry."""
+    """Return a voter set as nested lists, the form used in messages."""
     return msgspec.to_builtins(voter_set)
--- a/libs/quorum/src/cherryrudder/quorum/writes.py
+++ b/libs/quorum/src/cherryrudder/quorum/writes.py
@@ -1,7 +1,7 @@
-"""What is written to the disk, and when: one write at a time, all that waits in it.
+"""Disk writes with group commit: one write at a time, with everything pending.
 
-An fsync costs the same for one entry as for a hundred. While one write is under way,
-everything that comes in waits and goes into the next one together (group commit).
+An fsync costs the same for one entry as for a hundred. Entries that arrive while a
+write is in progress go into the next one together.
 """
 
 from . import voters
@@ -12,7 +12,7 @@
 
 
 def flush(node: Node) -> None:
-    """Start the next write if the disk is idle and something waits."""
+    """Start the next write if the disk is idle and something is pending."""
     if node.write is not None:
         return
     if node.unsaved_snapshot is not None:
@@ -22,7 +22,7 @@
 
 
 def complete_write(node: Node, write_id: int) -> bool:
-    """Take note that a write is synced; tell whether it was the one under way."""
+    """Record that a write is synced; return whether it was the one in progress."""
     write = node.write
     if write is None or write.write_id != write_id:
         return False
@@ -37,14 +37,14 @@
 
 
 def append(node: Node, entry) -> None:
-    """Add an entry to the log; a voter set counts from here on, committed or not."""
+    """Append an entry to the log; a voter set takes effect at once, uncommitted."""
     node.log.append(entry)
     if is_voter_set_entry(entry):
         node.voter_sets.append((entry.index, voters.decode(entry.payload)))
 
 
 def truncate(node: Node, first: int) -> None:
-    """Drop the log from `first` on, and forget what of it was synced."""
+    """Drop the log from `first` on, and lower the persisted index accordingly."""
     written = node.persisted_index
     if node.write is not None:
         written = max(written, node.write.last_index)
@@ -60,11 +60,11 @@
 
 
 def install_snapshot(node: Node, snapshot: Snapshot) -> None:
-    """Replace log and state by a leader's snapshot that is ahead of both."""
+    """Replace log and state by a leader's snapshot, which is ahead of both."""
     index = snapshot.index
     log = node.log
     if log.holds(index) and log.term_at(index) == snapshot.term:
-        # What follows agrees with the leader's log up to here, so it may stay.
+        # The log matches the leader's up to here, so the entries after it may stay.
         log.compact(index)
         later = [pair for pair in node.voter_sets if pair[0] > index]
     else:
@@ -79,8 +79,8 @@
 
 def _reset_log(node, log: Log, snapshot):
     log.reset(snapshot.index, snapshot.term)
-    # Nothing that the disk has or is about to have counts for the new log, and the
-    # disk must drop whatever it holds past the snapshot: those are another leader's.
+    # Nothing on disk or being written belongs to the new log, and the disk must drop
+    # the entries past the snapshot, which come from another leader.
     node.persisted_index = 0
     if node.write is not None:
         node.write = node.write._replace(last_index=0)
@@ -91,7 +91,7 @@
     snapshot = node.unsaved_snapshot
     node.unsaved_snapshot = None
     node.write_id += 1
-    # The disk keeps its own term and vote through a snapshot, so those stay as saved.
+    # A snapshot doesn't change the term and vote on disk, so those stay as persisted.
     node.write = Write(
         node.write_id, node.persisted_term, node.persisted_vote, snapshot.index
     )
--- a/libs/replica/src/cherryrudder/replica/__init__.py
+++ b/libs/replica/src/cherryrudder/replica/__init__.py
@@ -1,1 +1,1 @@
-"""Drives the replicated log: its disk, its messages and its clock."""
+"""Runs a voter of the replicated log: its disk, messages and clock."""
--- a/libs/replica/src/cherryrudder/replica/clock.py
+++ b/libs/replica/src/cherryrudder/replica/clock.py
@@ -1,25 +1,25 @@
-"""The only place where the processes read a clock or make up a random name."""
+"""Clocks and random ids; no other module reads a clock or makes random ids."""
 
 import secrets
 import time
 
 
 def now_s() -> float:
-    """Return the monotonic time that deciding functions are given.
+    """Return the monotonic time that is passed to all deciding functions.
 
-    It goes on while the VM is suspended: a lease or a confirmation would otherwise
-    still seem fresh after a suspension of any length.
+    It includes time during which the VM is suspended. Otherwise a lease or confirmation
+    would still seem fresh after a suspension of any length.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_s() -> float:
-    """Return the time of day, for the log's own time entries and incarnations."""
+    """Return the wall-clock time, for the log's `Clock` commands and incarnations."""
     return time.time()
 
 
 def new_incarnation() -> str:
-    """Return a name for this run of the process; later runs sort after it."""
+    """Return an id for this run of the process; ids of later runs sort after it."""
     return f"{int(wall_s() * 1000):014d}-{secrets.token_hex(4)}"
 
 
--- a/libs/replica/src/cherryrudder/replica/errors.py
+++ b/libs/replica/src/cherryrudder/replica/errors.py
@@ -1,10 +1,10 @@
-"""Errors of driving the replicated log."""
+"""Errors of running a voter."""
 
 from cherryrudder.model.errors import CherryrudderError
 
 
 class ReplicaError(CherryrudderError):
-    """Base of the driver's own errors."""
+    """Base of the errors of this library."""
 
 
 class NoQuorum(ReplicaError):
@@ -12,4 +12,4 @@
 
 
 class VoterFailed(ReplicaError):
-    """The voter's disk failed or another voter broke the protocol: it must stop."""
+    """The voter must stop: its disk failed or another voter broke the protocol."""
--- a/libs/replica/src/cherryrudder/replica/peers.py
+++ b/libs/replica/src/cherryrudder/replica/peers.py
@@ -1,7 +1,7 @@
-"""The control VMs' links to one another: the log's messages and calls to the leader.
+"""Links between control VMs: messages of the log and calls to the leader.
 
-They go over frame links and not HTTP: a change takes four such messages in a row, and
-each HTTP call costs some milliseconds of two processes (docs/design/state.md).
+They use frame links instead of HTTP: a change takes four such messages in sequence,
+and each HTTP call costs some milliseconds in both processes (docs/design/state.md).
 """
 
 from collections.abc import Awaitable, Callable
@@ -24,14 +24,14 @@
 
 
 class QuorumMessage(NamedTuple):
-    """A message of the log's core, as a voter sends it to another."""
+    """A message from one voter's core to another's."""
 
     sender: str
     message: dict
 
 
 class LeaderCall(NamedTuple):
-    """A call to the VM that leads; `reply_to` is the caller's frame address."""
+    """A call to the leader; `reply_to` is the caller's frame address."""
 
     call_id: str
     reply_to: str
@@ -40,14 +40,14 @@
 
 
 class LeaderReply(NamedTuple):
-    """The answer to a call; `value` is JSON, null when the VM does not lead."""
+    """The reply to a call; `value` is JSON, null if the VM is not the leader."""
 
     call_id: str
     value: str
 
 
 class Peers:
-    """The links of one control VM."""
+    """Links of one control VM to the others."""
 
     def __init__(
         self,
@@ -77,11 +77,11 @@
         )
 
     def send(self, address: str, message: dict) -> None:
-        """Send a message of the log's core; it may be lost."""
+        """Send a message of the voter's core; it may be lost."""
         self.links.send(address, QuorumMessage(self._seat.vm, message))
 
     async def call(self, address: str, kind: str, value, deadline_s: float) -> Any:
-        """Return the leader's answer, or None when there was none in time."""
+        """Call the leader and return its answer, or None at the deadline."""
         call_id = new_id()
         pending = self._waiting[call_id] = Pending(address)
         text = jsoncodec.encode(value).decode()
@@ -92,7 +92,7 @@
             del self._waiting[call_id]
 
     def _link_down(self, address):
-        # Callers of a killed leader try again now and not when their time is up.
+        # If the leader was killed, its callers retry now instead of after a timeout.
         for pending in self._waiting.values():
             if pending.address == address:
                 pending.resolve(None)
--- a/libs/replica/src/cherryrudder/replica/pending.py
+++ b/libs/replica/src/cherryrudder/replica/pending.py
@@ -1,4 +1,4 @@
-"""An answer that is yet to come, by whichever task gets it."""
+"""Pending answers: one task waits until another one sets the answer."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class Pending:
-    """A question's answer; None when there was none in time."""
+    """The future answer to one request."""
 
     def __init__(self, address: str = ""):
         self.address = address
@@ -16,12 +16,12 @@
         self._done = anyio.Event()
 
     def resolve(self, answer: Any) -> None:
-        """Give the answer to the task that waits."""
+        """Set the answer and wake the waiting task."""
         self.answer = answer
         self._done.set()
 
     async def wait(self, deadline_s: float) -> Any:
-        """Wait for the answer until a deadline and return it."""
+        """Wait for the answer and return it, or None at the deadline."""
         with anyio.move_on_after(max(0.0, deadline_s - now_s())):
             await self._done.wait()
         return self.answer
--- a/libs/replica/src/cherryrudder/replica/seat.py
+++ b/libs/replica/src/cherryrudder/replica/seat.py
@@ -1,4 +1,4 @@
-"""What the driver is told: who the voter is, and the state machine that it drives."""
+"""Configuration of a voter: its identity and timing, and its state machine."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -7,13 +7,13 @@
 
 
 class Seat(NamedTuple):
-    """One voter: its VM, its frame address IP:PORT, its key and its timing."""
+    """Configuration of a voter; `address` is its frame address as IP:PORT."""
 
     vm: str
     address: str
     key: str
     timing: Timing
-    # Differs between voters, so that they don't campaign at the same moments.
+    # Differs between voters, so that they don't campaign at the same time.
     seed: str
 
 
@@ -21,7 +21,7 @@
     """A deterministic state machine, as functions over its state."""
 
     new_state: Callable[[], Any]
-    # Takes the state, the entry's index and its payload; returns the answer.
+    # Called with the state, the entry's index and its payload; returns the answer.
     apply: Callable[[Any, int, str], Any]
     snapshot: Callable[[Any], str]
     restore: Callable[[str], Any]
--- a/libs/replica/src/cherryrudder/replica/voter.py
+++ b/libs/replica/src/cherryrudder/replica/voter.py
@@ -1,7 +1,7 @@
-"""Drives the replicated log's core: its disk, its messages and its clock.
+"""Runs the core of the replicated log with its disk, messages and clock.
 
-Effects are carried out strictly in order. A `Persist` waits for one turn of the loop
-first, so that all requests that arrived in the meantime share its fsync.
+Effects are executed strictly in order. Before a `Persist`, other tasks run for one
+turn of the event loop, so that the requests that have arrived share its fsync.
 """
 
 import random
@@ -24,11 +24,12 @@
 from .pending import Pending
 from .seat import Machine, Seat
 
-# One try at a leader, some ten times a change's usual time. A frozen one is asked
-# again and again until its followers have elected another, in about a second.
+# Timeout of one attempt at a leader, about ten times the usual time of a change. A
+# frozen leader is retried until its followers have elected another, which takes about
+# a second.
 ATTEMPT_TIMEOUT_S = 0.4
 RETRY_DELAY_S = 0.05
-# Answers to proposals that nobody here waits for, kept in case of a late waiter.
+# Answers to proposals that no task here waits for, kept in case one does later.
 MAX_KEPT_ANSWERS = 4096
 NO_QUORUM = "no majority of the control VMs answered in time"
 
@@ -36,7 +37,7 @@
 
 
 class Voter:
-    """The control VM's part of the replicated log, and the state that it drives."""
+    """A control VM's voter, and the state machine's state that its log produces."""
 
     def __init__(self, seat: Seat, disk: Disk, machine: Machine, group: TaskGroup):
         self.group = group
@@ -55,32 +56,32 @@
         self._waiting: dict[str, Pending] = {}
 
     def start(self, stopping: anyio.Event) -> None:
-        """Start the tasks that drive the core; `stopping` closes the listener."""
+        """Start the voter's tasks; `stopping` closes the listener."""
         self.peers.start(stopping)
         self.group.start_soon(self._run_effects)
         self.group.start_soon(self._tick)
 
     def feed(self, event) -> None:
-        """Give the core an event; raises VoterFailed."""
+        """Pass an event to the core. Raises VoterFailed."""
         try:
             self._effects.extend(core.handle(self.node, event, now_s()))
         except ProtocolError as error:
-            # The core is half through an event. One request's handler must not be all
-            # that ends: `_carry_out` ends the process on it.
+            # The core has processed only part of the event. Failing the current
+            # request is not enough: `_run_effects` ends the process with this error.
             self._failure = VoterFailed(str(error))
         self._effects_added.set()
         if self._failure is not None:
             raise self._failure
 
     def status(self) -> dict:
-        """Return the core's view of itself."""
+        """Return the core's status with the index applied to this VM's state."""
         return core.status(self.node) | {"applied": self.applied_index}
 
     async def propose(self, payload: str, timeout_s: float) -> Any:
-        """Commit a command through whichever VM leads; raises NoQuorum.
+        """Commit a command through the current leader. Raises NoQuorum.
 
-        A command carries an id that makes it idempotent in the state, so that it is
-        safe to propose it again when a leader was lost before it answered.
+        Every command carries an id that makes it idempotent, so it is safe to propose
+        it again if the leader was lost before it answered.
         """
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
@@ -91,7 +92,10 @@
         raise NoQuorum(NO_QUORUM)
 
     async def confirm(self, timeout_s: float) -> int:
-        """Wait until the state here is as fresh as the call; raises NoQuorum."""
+        """Wait until the local state has every change accepted before this call.
+
+        Returns the applied index. Raises NoQuorum.
+        """
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
             index = await self._call_leader("read-index", "", deadline_s)
@@ -102,7 +106,7 @@
         raise NoQuorum(NO_QUORUM)
 
     async def change_voters(self, action, voter, timeout_s: float) -> bool:
-        """Change the voters by one; false when the leader refused; raises NoQuorum."""
+        """Change one voter; return False if the leader refused. Raises NoQuorum."""
         value = {"action": action, "voter": voter}
         done = await self._call_leader("voters", value, now_s() + timeout_s)
         if done is None:
@@ -110,7 +114,7 @@
         return done
 
     async def _call_leader(self, kind, value, deadline_s):
-        """Return the answer of this VM if it leads, or of the one that it knows."""
+        """Return the answer of this VM if it leads, or else of the known leader."""
         deadline_s = min(deadline_s, now_s() + ATTEMPT_TIMEOUT_S)
         answer = await self._call_here(kind, value, deadline_s)
         address = core.status(self.node)["leader_address"]
@@ -130,7 +134,8 @@
             case events.ReadReady():
                 return result.index
             case events.Rejected() if kind == "voters" and result.reason:
-                # The leader itself refused; without a reason this VM does not lead.
+                # A reason means that the leader refused; without one this VM does
+                # not lead.
                 return False
         return None
 
@@ -175,8 +180,8 @@
             case events.Send():
                 self.peers.send(effect.address, effect.message)
             case events.Persist():
-                # Requests that are ready share the next fsync as one group, and what
-                # was sent before this effect leaves while the disk works.
+                # Requests that are ready share the next fsync, and messages sent
+                # before this effect go out before the disk write blocks.
                 await anyio.lowlevel.checkpoint()
                 self._write(self.disk.persist, effect)
             case events.SaveSnapshot():
@@ -198,7 +203,7 @@
         try:
             write(effect)
         except DiskError as error:
-            # What is on the disk is unknown now; only opening it again can tell.
+            # The disk's content is unknown now until it is opened again.
             raise VoterFailed(str(error)) from error
         self.feed(events.Persisted(effect.write_id))
 
@@ -224,7 +229,10 @@
 
 
 def make_event_factory(kind: str, value):
-    """Return a function from a name to the core's event, None for an unknown kind."""
+    """Return a function that makes the core's event with an id.
+
+    Returns None for an unknown kind.
+    """
     if kind == "propose":
         return lambda name: events.Propose(name, value)
     if kind == "read-index":
@@ -236,7 +244,7 @@
 
 
 def open_core(seat: Seat, disk: Disk):
-    """Return the log's core as the disk left it."""
+    """Return a core that resumes from the disk's content."""
     identity = disk.saved.identity
     me = events.Voter(identity.vm, identity.disk_id, seat.address)
     rng = random.Random(seat.seed)
--- a/libs/state/src/cherryrudder/state/changes.py
+++ b/libs/state/src/cherryrudder/state/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes by id: a resend gets the first answer and changes nothing."""
+"""Idempotent operator changes: a resend gets the first answer and has no effect."""
 
 import hashlib
 from collections.abc import Callable
@@ -7,18 +7,21 @@
 from .commands import Answer
 from .records import KeptAnswer, State
 
-# An operator or a deployment script resends within minutes; a week also covers a
-# job that is started again after a weekend. A resend that comes later still cannot
-# apply twice: contracts and settings answer conflict by version, stops by their id.
+# Operators and deployment scripts resend within minutes; a week also covers a job that
+# is restarted after a weekend. A later resend still cannot apply twice: contracts and
+# settings then conflict by version, stops by id.
 CHANGE_RETENTION_S = 7 * 24 * 3600.0
-# 260 contracts changed five times a day make 9,100 in a week.
+# 260 contracts that change five times a day make 9,100 changes in a week.
 MAX_KEPT_CHANGES = 10_000
 
 
 def apply_once(
     state: State, change_id: str, body: bytes, decide: Callable[[], Answer]
 ) -> Answer:
-    """Decide a change the first time and repeat that answer ever after."""
+    """Apply a change the first time, and return the same answer for each resend.
+
+    The same id with another body gets the answer `reused`.
+    """
     if fault := check_ids(change_id=change_id):
         return Answer("invalid", fault, revision=state.revision)
     digest = hashlib.sha256(body).hexdigest()[:32]
@@ -35,7 +38,7 @@
 
 
 def expire_changes(state: State) -> None:
-    """Drop the answers that are past their retention."""
+    """Drop answers that are older than the retention time."""
     limit_s = state.now_s - CHANGE_RETENTION_S
     old = []
     for change_id, kept in state.changes.items():
--- a/libs/state/src/cherryrudder/state/claims.py
+++ b/libs/state/src/cherryrudder/state/claims.py
@@ -1,7 +1,7 @@
 """Claims: at most one attempt at a time may run a non-idempotent call.
 
-An attempt is bound to one incarnation of one sidecar. Only a recorded `not-run`, for
-which that sidecar put a tombstone on the attempt, makes room for another attempt.
+An attempt is bound to one incarnation of one sidecar. Another attempt is granted only
+after the outcome `not-run`, for which that sidecar recorded a tombstone of the attempt.
 """
 
 from cherryrudder.model.outcomes import Outcome
@@ -10,23 +10,23 @@
 from .commands import Answer, Claim, ClaimAnswer, CloseClaim, OpenClaim
 from .records import HeldClaim, State
 
-# A client that lost its answer resends within minutes, and a batch job that is
-# started again within the day. A resend after this time finds no claim and would
-# run: the promise holds for resends within a day of the claim's last change.
+# A client that lost its answer resends within minutes, a batch job that is restarted
+# within a day. A later resend finds no claim and runs again: the guarantee covers
+# resends within a day of the claim's last change.
 CLAIM_RETENTION_S = 24 * 3600.0
-# Bounds the memory and the snapshot of a voter to about 50 MB on disk.
-# Dropping the oldest claims at the bound would let a resend run twice, so a new claim
-# is refused instead: "full". A claim weighs one, and one more per so much of its body.
+# Limits a voter's memory, and its snapshot to about 50 MB on disk. Dropping the oldest
+# claims at the limit would let a resend run twice, so new claims are refused instead
+# ("full"). A claim has weight 1, plus 1 per `BODY_CHARS_PER_WEIGHT` of its body.
 MAX_WEIGHT = 100_000
 BODY_CHARS_PER_WEIGHT = 512
-# A receipt or confirmation takes hundreds of characters.
+# A receipt or confirmation has some hundred characters.
 MAX_BODY_CHARS = 64 * 1024
-# A caller that meets not-run this often in a day has a fault of its own.
+# A caller that gets not-run this often in a day is itself faulty.
 MAX_ATTEMPTS = 64
 
 
 def open_claim(state: State, index: int, command: OpenClaim) -> ClaimAnswer | Answer:
-    """Grant the call to this attempt, or tell what became of an earlier one."""
+    """Grant the call to this attempt, or return the claim of an earlier one."""
     if fault := _check_ids(command):
         return Answer("invalid", fault, revision=state.revision)
     wanted = Claim(**command._asdict(), index=index)
@@ -35,9 +35,10 @@
         return _grant_first(state, wanted)
     if held.claim.body_sha256 != command.body_sha256:
         return ClaimAnswer("body-differs", held.claim)
-    # The answer to the first grant was lost. Granting the same attempt to the same
-    # incarnation again is safe, since the sidecar runs an attempt id once; the same
-    # id with another sidecar is no resend and could run twice, so it is not granted.
+    # A resend: the answer to the first grant was lost. Granting the same attempt to the
+    # same incarnation again is safe, since a sidecar runs each attempt id once. The
+    # same id with another sidecar is not a resend and could run twice, so it is not
+    # granted.
     if held.claim._replace(index=index) == wanted:
         return ClaimAnswer("granted", held.claim)
     if _is_retry_allowed(held, command.attempt_id):
@@ -47,10 +48,10 @@
 
 
 def close_claim(state: State, command: CloseClaim) -> Answer:
-    """Record an attempt's outcome; what was recorded first stays.
+    """Record an attempt's outcome; the first one recorded is kept.
 
-    `unknown` alone may still become `done`: that adds what was learned late and
-    contradicts nothing that a caller was told.
+    Only `unknown` may still become `done`: it adds information that arrived late and
+    does not contradict any answer to a caller.
     """
     if fault := _check_outcome(command):
         return Answer("invalid", fault, revision=state.revision)
@@ -66,8 +67,8 @@
     )
     if closed == claim:
         return Answer("ok", "", revision=state.revision)
-    # A late not-run over done would let another attempt run the call again; a late
-    # done over not-run would belie an answer that the caller may already have.
+    # If not-run replaced done, another attempt could run the call again. If done
+    # replaced not-run, it would contradict an answer the caller may already have.
     learned = claim.outcome == Outcome.UNKNOWN and command.outcome == Outcome.DONE
     if claim.outcome and not learned:
         message = f"the outcome is already recorded: {claim.outcome}"
@@ -77,18 +78,18 @@
 
 
 def find_claim(state: State, customer: str, key: str) -> Claim | None:
-    """Return the claim on a customer's key, if there is one."""
+    """Return the claim for a customer's key, or None."""
     held = state.claims.get((customer, key))
     return held.claim if held else None
 
 
 def weight_of(claim: Claim) -> int:
-    """Return how much a claim counts towards the bound."""
+    """Return a claim's weight, which counts towards `MAX_WEIGHT`."""
     return 1 + len(claim.body) // BODY_CHARS_PER_WEIGHT
 
 
 def expire_claims(state: State) -> None:
-    """Drop the claims that are past their retention."""
+    """Drop claims whose last change is older than the retention time."""
     limit_s = state.now_s - CLAIM_RETENTION_S
     old = []
     for place, held in state.claims.items():
@@ -101,8 +102,8 @@
 
 
 def _grant_first(state, wanted):
-    # One customer may fill the table only down to as much room as it holds itself
-    # (a dynamic threshold): a flood of keys leaves half of the table to others.
+    # Dynamic threshold: a customer's weight may not exceed the free room, so a flood
+    # of keys from one customer leaves half of the table to others.
     room = MAX_WEIGHT - sum(state.claim_weights.values())
     if state.claim_weights.get(wanted.customer, 0) >= room:
         return ClaimAnswer("full", wanted)
@@ -111,8 +112,8 @@
 
 
 def _is_retry_allowed(held, attempt_id):
-    # The tombstone of a not-run attempt stands in one sidecar's memory only. Were its
-    # id granted again, a delayed packet could run what the caller was told had not.
+    # The tombstone of a not-run attempt exists only in one sidecar's memory. If its id
+    # were granted again, a delayed packet could run a call reported as not run.
     if held.claim.outcome != Outcome.NOT_RUN:
         return False
     if attempt_id == held.claim.attempt_id or attempt_id in held.not_run_attempts:
--- a/libs/state/src/cherryrudder/state/clock.py
+++ b/libs/state/src/cherryrudder/state/clock.py
@@ -1,7 +1,7 @@
-"""Time as the log sees it; claims and kept answers leave the state by it alone.
+"""Time recorded in the log; claims and kept answers expire by it alone.
 
-A voter's own clock would drop a claim earlier on one VM than on another, and the two
-would answer the same command differently from then on.
+If voters used their own clocks, a claim would expire on one VM earlier than on another,
+and the two would answer the same command differently from then on.
 """
 
 from .changes import expire_changes
@@ -10,17 +10,17 @@
 from .fences import expire_fence_requests
 from .records import State
 
-# The most that one Clock command moves time by. A leader whose wall clock is days
-# ahead would otherwise drop every claim at once, and a late resend of a filing would
-# run again. Leaders propose a Clock about every 30 s; longer gaps (no quorum for a
-# while) only lengthen what is kept.
+# Maximum step of one Clock command. Otherwise a leader whose wall clock is days ahead
+# would expire every claim at once, and a late resend of a filing would run again.
+# Leaders propose a Clock about every 30 s; longer gaps (no quorum for a while) only
+# extend the retention.
 MAX_STEP_S = 60.0
 
 
 def advance(state: State, command: Clock) -> Answer:
-    """Move the state's time on by what the leader's clock has moved since the last."""
-    # The last reading is kept even when it is lower. Keeping the highest would stop
-    # time for as long as one faulty leader was ahead, and nothing would ever expire.
+    """Advance the state's time by the leader's clock change since the last command."""
+    # The last reading is stored even if it is lower. If the highest were kept, a leader
+    # whose clock was far ahead would stop time, and nothing would expire.
     last_s = command.now_s if state.clock_s is None else state.clock_s
     state.clock_s = command.now_s
     state.now_s += min(max(0.0, command.now_s - last_s), MAX_STEP_S)
--- a/libs/state/src/cherryrudder/state/commands.py
+++ b/libs/state/src/cherryrudder/state/commands.py
@@ -1,6 +1,6 @@
-"""The commands that the replicated log carries, and the answers to them.
+"""Commands in the replicated log, and their answers.
 
-`machine.apply(state, index, command)` is deterministic: the same log gives the same
+`machine.apply(state, index, payload)` is deterministic: the same log gives the same
 state on every voter. Time comes from the log too, as `Clock` commands by the leader.
 """
 
@@ -11,7 +11,7 @@
 
 
 class PutContract(NamedTuple):
-    """Create (`expected_version` 0) or change a contract by compare-and-set."""
+    """Create (`expected_version` 0) or change a contract by compare-and-swap."""
 
     change_id: str
     expected_version: int
@@ -26,14 +26,14 @@
 
 
 class CancelStop(NamedTuple):
-    """Take a planned stop back."""
+    """Cancel a planned stop."""
 
     change_id: str
     stop_id: str
 
 
 class PutSetting(NamedTuple):
-    """Set one platform-wide configuration value by compare-and-set."""
+    """Set one platform-wide configuration value by compare-and-swap."""
 
     change_id: str
     expected_version: int
@@ -66,20 +66,20 @@
 
 
 class TakeFence(NamedTuple):
-    """Take the next fencing number of an endpoint."""
+    """Request the next fencing token of an endpoint."""
 
     request_id: str
     endpoint: str
 
 
 class Clock(NamedTuple):
-    """The leader's time; claims and change answers leave the state by it alone."""
+    """The leader's wall-clock time; claims and kept answers expire by it alone."""
 
     now_s: float
 
 
 class Answer(NamedTuple):
-    """What a command came to; `code` is ok, conflict, invalid, unknown or reused."""
+    """Result of a command; `code` is ok, conflict, invalid, unknown or reused."""
 
     code: str
     message: str = ""
@@ -88,9 +88,10 @@
 
 
 class Claim(NamedTuple):
-    """A claim as the state holds it; `outcome` is empty while the call is open.
+    """A claim in the state; `outcome` is empty while the call is open.
 
-    `index` is the log's at which the attempt was granted; the sidecar's gate needs it.
+    `index` is the log index at which the attempt was granted; the sidecar's gate
+    needs it.
     """
 
     customer: str
@@ -108,9 +109,9 @@
 
 
 class ClaimAnswer(NamedTuple):
-    """Answer to `OpenClaim`: `granted` says that this very attempt may run.
+    """Answer to `OpenClaim`; `granted` means that exactly this attempt may run.
 
-    `code` is granted, exists (see `claim`) or body-differs.
+    `code` is granted, exists (see `claim`), body-differs or full.
     """
 
     code: str
--- a/libs/state/src/cherryrudder/state/contracts.py
+++ b/libs/state/src/cherryrudder/state/contracts.py
@@ -1,4 +1,4 @@
-"""Contracts: created, changed and retired by compare-and-set, never deleted."""
+"""Contracts: created, changed and retired by compare-and-swap, never deleted."""
 
 from cherryrudder.model.contractfiles import INTEGERS, check_contract
 from cherryrudder.model.revisions import VersionedContract
@@ -6,13 +6,13 @@
 from .commands import Answer, PutContract
 from .records import State
 
-# JSON has no bound on integers. One of 400 digits overflows the first float that an
-# entry multiplies it with, and would stop every entry of the platform.
+# JSON does not limit integers. One of 400 digits overflows the first float that an
+# entry multiplies it with, and would crash every entry of the platform.
 MAX_COUNT = 10**9
 
 
 def put_contract(state: State, index: int, command: PutContract) -> Answer:
-    """Set a contract if its version is still the one that the operator saw."""
+    """Set a contract if its version is still the one that the operator expects."""
     contract = command.contract
     held = state.contracts.get(contract.customer)
     version = held.version if held else 0
@@ -20,8 +20,8 @@
     faults = faults or _check_key(state, contract)
     if faults:
         return Answer("invalid", "; ".join(faults), version, state.revision)
-    # Two operators who read the same version both write it back; without this
-    # comparison the second would silently undo the first.
+    # Lost update: if two operators edit the same version, the second write would
+    # silently undo the first.
     if command.expected_version != version:
         return _reject_version(
             state, contract.customer, command.expected_version, version
@@ -32,7 +32,7 @@
 
 
 def list_contracts(state: State) -> tuple[VersionedContract, ...]:
-    """Return every contract by customer, retired ones too."""
+    """Return all contracts, including retired ones, sorted by customer."""
     return tuple(state.contracts[name] for name in sorted(state.contracts))
 
 
@@ -53,8 +53,8 @@
 
 
 def _check_key(state, contract):
-    # A caller is known by its key alone: with one key on two contracts the work of
-    # one customer would be charged to the other.
+    # Callers are identified by their key alone. If two contracts had the same key, one
+    # customer's requests would be charged to the other.
     if contract.retired:
         return []
     for held in state.contracts.values():
--- a/libs/state/src/cherryrudder/state/deltas.py
+++ b/libs/state/src/cherryrudder/state/deltas.py
@@ -1,4 +1,4 @@
-"""Configuration as readers get it: what changed after the revision they hold."""
+"""Configuration deltas: the changes since the revision that a reader holds."""
 
 from cherryrudder.model.revisions import ConfigDelta
 
@@ -6,10 +6,10 @@
 
 
 def delta(state: State, since_revision: int) -> ConfigDelta:
-    """Return what changed after a revision, or everything for one too far behind.
+    """Return the changes after a revision, or everything if it is too old.
 
-    A reader that is ahead of this voter gets an empty delta of a lower revision,
-    which it ignores; it must never be taken back.
+    A reader that is ahead of this voter gets an empty delta of a lower revision. It
+    ignores that, since its configuration must never go back.
     """
     full = since_revision <= 0 or since_revision < state.cancelled_floor
     since = 0 if full else since_revision
--- a/libs/state/src/cherryrudder/state/errors.py
+++ b/libs/state/src/cherryrudder/state/errors.py
@@ -4,8 +4,8 @@
 
 
 class StateError(CherryrudderError):
-    """Base of the state machine's errors."""
+    """Base of the errors of this library."""
 
 
 class SnapshotError(StateError):
-    """A snapshot that this version cannot read."""
+    """The snapshot is damaged or in a format that this version cannot read."""
--- a/libs/state/src/cherryrudder/state/fences.py
+++ b/libs/state/src/cherryrudder/state/fences.py
@@ -1,20 +1,20 @@
-"""Fencing numbers: the higher number of an endpoint belongs to the newer holder."""
+"""Fencing tokens: a newer holder of an endpoint has a higher number."""
 
 from .changes import CHANGE_RETENTION_S
 from .checks import check_ids
 from .commands import Answer, FenceAnswer, TakeFence
 from .records import KeptFence, State
 
-# A holder resends within seconds. One whose request was dropped takes a new number,
-# which supersedes no one but itself and those before it.
+# A holder resends within seconds. If its request was dropped from here, it gets a new
+# number, which supersedes only its own number and older ones.
 MAX_KEPT_REQUESTS = 10_000
 
 
 def take_fence(state: State, index: int, command: TakeFence) -> FenceAnswer | Answer:
-    """Give an endpoint's next number; a resent request gets the same one.
+    """Return the next number of an endpoint; a resent request gets the same one.
 
-    The number is the log index. It rises for every endpoint without a counter that
-    could be lost, and the numbers need not be consecutive.
+    The number is the log index, which increases without a counter that could be lost.
+    Numbers need not be consecutive.
     """
     fault = check_ids(request_id=command.request_id, endpoint=command.endpoint)
     if fault:
@@ -33,12 +33,12 @@
 
 
 def fence_of(state: State, endpoint: str) -> int:
-    """Return the highest number given for an endpoint, 0 if none was."""
+    """Return the highest number issued for an endpoint, or 0 if there is none."""
     return state.fences.get(endpoint, 0)
 
 
 def expire_fence_requests(state: State) -> None:
-    """Drop the answers that are past their retention; the numbers stay."""
+    """Drop answers that are older than the retention time, but keep the numbers."""
     limit_s = state.now_s - CHANGE_RETENTION_S
     old = []
     for request_id, kept in state.fence_requests.items():
--- a/libs/state/src/cherryrudder/state/machine.py
+++ b/libs/state/src/cherryrudder/state/machine.py
@@ -1,6 +1,6 @@
-"""The state machine: the same log gives the same state and answers on every voter.
+"""State machine: the same log gives the same state and answers on every voter.
 
-This module decodes a record of the log and hands it to the module whose job it is.
+This module decodes the records of the log and dispatches them to the other modules.
 """
 
 import msgspec
@@ -52,7 +52,7 @@
     | Clock
 )
 
-# Over the caller's largest body; a longer record is a fault of the proposer.
+# Larger than the largest body of a caller; a longer record is a proposer's fault.
 MAX_PAYLOAD_CHARS = 1024 * 1024
 
 CHANGE_HANDLERS = {
@@ -67,7 +67,7 @@
     TakeFence: take_fence,
     Clock: lambda state, index, command: advance(state, command),
 }
-# Types are strict here: what one version of the codec coerces another may not.
+# Strict types: a value that one version of the codec coerces, another may reject.
 DECODERS = {
     kind.__name__: msgspec.json.Decoder(kind)
     for kind in (*CHANGE_HANDLERS, *OTHER_HANDLERS)
@@ -76,19 +76,19 @@
 
 
 def new_state() -> State:
-    """Return the state before the first record of the log."""
+    """Return the initial state, before the first record of the log."""
     return State()
 
 
 def encode_command(command: Command) -> str:
-    """Return the log record that carries a command."""
+    """Return a command as a log record."""
     return _encode(command).decode()
 
 
 def apply(state: State, index: int, payload: str) -> Answer | ClaimAnswer | FenceAnswer:
-    """Carry out one record of the log; never raises, whatever the record holds."""
-    # A record that is handed over twice, after a restart or by a resent batch, must
-    # not take a second fencing number or open a claim that has left since.
+    """Apply one record of the log; never raises, whatever the record contains."""
+    # A record that is delivered twice, after a restart or by a resent batch, must not
+    # issue a second fencing number or reopen a claim that has expired.
     if index <= state.applied:
         message = f"record {index} was applied before"
         return Answer("invalid", message, revision=state.revision)
@@ -96,8 +96,8 @@
     try:
         command, body = _decode(payload)
     except (ValueError, RecursionError, OverflowError) as error:
-        # A voter that stopped here would stop on every restart, and all the others
-        # with it. They all refuse the record alike and go on.
+        # If this raised, every voter would crash here, again after each restart. All
+        # voters reject the record in the same way instead.
         return Answer("invalid", f"unreadable record: {error}", 0, state.revision)
     kind = type(command)
     if kind in OTHER_HANDLERS:
@@ -113,15 +113,15 @@
 
 
 def _decode(payload):
-    """Return the command and its canonical bytes.
+    """Return the command and its canonical encoding.
 
-    Encoding it again gives two spellings of one change the same digest, and finds
-    here, not in a later snapshot, a value that cannot be written.
+    Encoding it again gives different spellings of a change the same digest. It also
+    detects values that cannot be encoded here and not in a later snapshot.
     """
     if len(payload) > MAX_PAYLOAD_CHARS:
         raise ValueError("the record is too long")
     name, raw = ENVELOPE.decode(payload)
     if name not in DECODERS:
-        raise ValueError(f"no command is named {name[:50]!r}")
+        raise ValueError(f"unknown command {name[:50]!r}")
     command = DECODERS[name].decode(raw)
     return command, _encode(command)
--- a/libs/state/src/cherryrudder/state/records.py
+++ b/libs/state/src/cherryrudder/state/records.py
@@ -1,4 +1,4 @@
-"""What the state holds between two commands."""
+"""State of the state machine, and the records in it."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 
 
 class KeptAnswer(NamedTuple):
-    """The first answer to a change id and the digest of what was asked."""
+    """The first answer to a change id, and the digest of its request."""
 
     digest: str
     answer: Answer
@@ -20,14 +20,14 @@
 
 
 class KeptFence(NamedTuple):
-    """The first answer to a fence's request id."""
+    """The first answer to the request id of a `TakeFence`."""
 
     answer: FenceAnswer
     at_s: float
 
 
 class HeldClaim(NamedTuple):
-    """A claim, its last change and the attempts that ended as not-run."""
+    """A claim, the time of its last change, and earlier attempts that did not run."""
 
     claim: Claim
     touched_s: float
@@ -35,12 +35,12 @@
 
 
 class State:
-    """Everything that the log has decided so far.
+    """The whole state after the records applied so far.
 
-    `revision` is the log index of the last configuration change. `now_s` counts the
-    time that the log has seen pass; `clock_s` is the last reading of a leader's clock.
-    The dicts of claims, changes and fence requests are in order of their last change,
-    oldest first, so that what leaves by age or by number leaves from the front.
+    `revision` is the log index of the last configuration change. `now_s` is the time
+    elapsed according to the log; `clock_s` is the last reading of a leader's clock.
+    Claims, changes and fence requests are ordered by their last change, oldest first,
+    so that expired and surplus ones are dropped from the front.
     """
 
     def __init__(self):
--- a/libs/state/src/cherryrudder/state/settings.py
+++ b/libs/state/src/cherryrudder/state/settings.py
@@ -1,4 +1,4 @@
-"""Platform-wide values, set by compare-and-set."""
+"""Platform-wide settings, changed by compare-and-swap."""
 
 from cherryrudder.model.revisions import VersionedSetting
 
@@ -6,12 +6,12 @@
 from .commands import Answer, PutSetting
 from .records import State
 
-# A value is a number, a name or a short list; each reader holds all of them.
+# A value is a number, a name or a short list. Each reader holds all values in memory.
 MAX_VALUE_CHARS = 10_000
 
 
 def put_setting(state: State, index: int, command: PutSetting) -> Answer:
-    """Set a value if its version is still the one that the operator saw."""
+    """Set a value if its version is still the one that the operator expects."""
     held = state.settings.get(command.name)
     version = held.version if held else 0
     fault = check_ids(name=command.name)
--- a/libs/state/src/cherryrudder/state/snapshots.py
+++ b/libs/state/src/cherryrudder/state/snapshots.py
@@ -1,4 +1,4 @@
-"""The whole state as text and back; a restored state behaves as the first did."""
+"""Serialization of the whole state; a restored state behaves like the original."""
 
 from typing import NamedTuple
 
@@ -14,12 +14,12 @@
 from .errors import SnapshotError
 from .records import HeldClaim, KeptAnswer, KeptFence, State
 
-# Raised whenever an older daemon could not read the text.
+# Incremented whenever an older daemon could not read the text.
 FORMAT = 1
 
 
 class Snapshot(NamedTuple):
-    """The text's content; lists keep the order by which records leave the state."""
+    """Content of the text; the lists keep the order in which records expire."""
 
     format: int
     applied: int
@@ -38,7 +38,7 @@
 
 
 def snapshot(state: State) -> str:
-    """Return the state as text; equal states give equal texts."""
+    """Serialize the state; equal states give equal texts."""
     content = Snapshot(
         FORMAT,
         state.applied,
@@ -59,7 +59,7 @@
 
 
 def restore(text: str) -> State:
-    """Return the state that a snapshot holds; raises SnapshotError."""
+    """Deserialize the state from a snapshot. Raises SnapshotError."""
     try:
         content = msgspec.json.decode(text, type=Snapshot)
     except (ValueError, RecursionError) as error:
--- a/libs/state/src/cherryrudder/state/stops.py
+++ b/libs/state/src/cherryrudder/state/stops.py
@@ -1,4 +1,4 @@
-"""Planned stops: announced and cancelled by id; an id is used once."""
+"""Planned stops: announced and cancelled by id; an id is never reused."""
 
 from cherryrudder.model.endpoints import STOP_SCOPES
 from cherryrudder.model.revisions import VersionedStop
@@ -7,13 +7,13 @@
 from .commands import AnnounceStop, Answer, CancelStop
 from .records import State
 
-# Cancelled ids are kept for readers that are behind and against late resends. A
-# reader further behind than this is given the whole configuration.
+# Cancelled ids are kept for readers that are behind, and to reject late resends. A
+# reader that is further behind gets the whole configuration.
 MAX_CANCELLED = 1_000
 
 
 def announce_stop(state: State, index: int, command: AnnounceStop) -> Answer:
-    """Add a planned stop; the same stop again is no change."""
+    """Add a planned stop; announcing the same stop again has no effect."""
     stop = command.stop
     fault = check_ids(stop_id=stop.stop_id, target=stop.target)
     fault = fault or check_lengths(reason=stop.reason)
@@ -21,8 +21,8 @@
         fault = f"scope: not one of {', '.join(STOP_SCOPES)}"
     if fault:
         return Answer("invalid", fault, revision=state.revision)
-    # A delayed announcement that came after its own cancellation would otherwise
-    # bring the stop back and drain VMs that the operator has released.
+    # Otherwise an announcement that is delayed past its own cancellation would restore
+    # the stop and drain VMs that the operator has released.
     if stop.stop_id in state.cancelled:
         message = f"stop {stop.stop_id} was cancelled; announce it under a new id"
         return Answer("conflict", message, revision=state.revision)
@@ -38,7 +38,7 @@
 
 
 def cancel_stop(state: State, index: int, command: CancelStop) -> Answer:
-    """Take a planned stop back."""
+    """Cancel a planned stop."""
     if command.stop_id in state.cancelled:
         return Answer("ok", "", revision=state.cancelled[command.stop_id])
     if command.stop_id not in state.stops:
