--- a/libs/quorum/src/cherryrudder/quorum/commit.py
+++ b/libs/quorum/src/cherryrudder/quorum/commit.py
@@ -51,8 +51,8 @@
 
 def _request_snapshot(node):
     start = node.snapshot.index if node.snapshot else 0
-    long = node.applied_index - start >= node.timing.snapshot_entries
-    if long and not node.snapshot_requested:
+    is_due = node.applied_index - start >= node.timing.snapshot_entries
+    if is_due and not node.snapshot_requested:
         node.snapshot_requested = True
         emit(node, TakeSnapshot())
 
--- a/libs/quorum/src/cherryrudder/quorum/logfile.py
+++ b/libs/quorum/src/cherryrudder/quorum/logfile.py
@@ -88,8 +88,8 @@
         accepted entry would be dropped. This write needs no fsync: a lost or stale
         value only weakens the check and is never too large.
         """
-        mark = encode_record(SYNCED_FORMAT.pack(self.generation, self._end))
-        self._fs.write(self._synced_fd, 0, mark)
+        record = encode_record(SYNCED_FORMAT.pack(self.generation, self._end))
+        self._fs.write(self._synced_fd, 0, record)
 
 
 def create(
@@ -156,5 +156,5 @@
     found = scan(read_bytes(fs, f"{folder}/{SYNCED}"))
     if not found.payloads or len(found.payloads[0]) != SYNCED_FORMAT.size:
         return 0
-    marked_generation, synced_bytes = SYNCED_FORMAT.unpack(found.payloads[0])
-    return synced_bytes if marked_generation == generation else 0
+    recorded_generation, synced_bytes = SYNCED_FORMAT.unpack(found.payloads[0])
+    return synced_bytes if recorded_generation == generation else 0
--- a/libs/quorum/src/cherryrudder/quorum/proposals.py
+++ b/libs/quorum/src/cherryrudder/quorum/proposals.py
@@ -72,8 +72,8 @@
     With two changes in progress, or one of an earlier term that may still be
     committed, two leaders could each have a majority of their own.
     """
-    settled = node.voter_sets[-1][0] <= node.commit_index
-    return settled and node.log.term_at(node.commit_index) == node.term
+    is_committed = node.voter_sets[-1][0] <= node.commit_index
+    return is_committed and node.log.term_at(node.commit_index) == node.term
 
 
 def _has_live_majority(node, voter_set, now_s):
--- a/libs/quorum/src/cherryrudder/quorum/reads.py
+++ b/libs/quorum/src/cherryrudder/quorum/reads.py
@@ -21,8 +21,8 @@
 
 def needs_round(node: Node) -> bool:
     """Return whether a read waits for a new round and none is in progress."""
-    waits = any(read.round > node.round for read in node.reads)
-    return waits and _confirmed_round(node) == node.round
+    is_waiting = any(read.round > node.round for read in node.reads)
+    return is_waiting and _confirmed_round(node) == node.round
 
 
 def complete_reads(node: Node) -> None:
--- a/libs/quorum/src/cherryrudder/quorum/replication.py
+++ b/libs/quorum/src/cherryrudder/quorum/replication.py
@@ -30,14 +30,14 @@
 
 def update_peers(node: Node, now_s: float) -> None:
     """Update the leader's peers after a change of the voter set."""
-    wanted = {
+    members = {
         member.disk_id: member
         for member in voters.members(node.voter_set)
         if member.disk_id != node.me.disk_id
     }
-    for disk_id in set(node.peers) - set(wanted):
+    for disk_id in set(node.peers) - set(members):
         del node.peers[disk_id]
-    for disk_id, member in wanted.items():
+    for disk_id, member in members.items():
         if disk_id not in node.peers:
             node.peers[disk_id] = Peer(member, node.log.last_index + 1, now_s)
 
@@ -60,10 +60,10 @@
     and the round-trip time.
     """
     for peer in node.peers.values():
-        waits = peer.in_flight_index and now_s < peer.resend_at_s
-        if not waits:
+        is_waiting = peer.in_flight_index and now_s < peer.resend_at_s
+        if not is_waiting:
             peer.is_resent = bool(peer.in_flight_index)
-        if waits or peer.match_index >= node.log.last_index:
+        if is_waiting or peer.match_index >= node.log.last_index:
             continue
         if node.log.holds(peer.next_index - 1):
             _send_batch(node, peer, now_s)
--- a/libs/replica/src/cherryrudder/replica/voter.py
+++ b/libs/replica/src/cherryrudder/replica/voter.py
@@ -140,13 +140,13 @@
         return None
 
     async def _request(self, make_event, deadline_s):
-        name = new_id()
-        pending = self._waiting[name] = Pending()
+        request_id = new_id()
+        pending = self._waiting[request_id] = Pending()
         try:
-            self.feed(make_event(name))
+            self.feed(make_event(request_id))
             return await pending.wait(deadline_s)
         finally:
-            del self._waiting[name]
+            del self._waiting[request_id]
 
     async def _on_call(self, kind, value):
         return await self._call_here(kind, value, now_s() + ATTEMPT_TIMEOUT_S)
@@ -222,8 +222,8 @@
         self.applied.set()
         self.applied = anyio.Event()
 
-    def _resolve(self, name, effect):
-        pending = self._waiting.get(name)
+    def _resolve(self, request_id, effect):
+        pending = self._waiting.get(request_id)
         if pending is not None:
             pending.resolve(effect)
 
--- a/libs/state/src/cherryrudder/state/changes.py
+++ b/libs/state/src/cherryrudder/state/changes.py
@@ -16,7 +16,7 @@
 
 
 def apply_once(
-    state: State, change_id: str, body: bytes, decide: Callable[[], Answer]
+    state: State, change_id: str, body: bytes, apply_change: Callable[[], Answer]
 ) -> Answer:
     """Apply a change the first time, and return the same answer for each resend.
 
@@ -27,7 +27,7 @@
     digest = hashlib.sha256(body).hexdigest()[:32]
     kept = state.changes.get(change_id)
     if kept is None:
-        answer = decide()
+        answer = apply_change()
         state.changes[change_id] = KeptAnswer(digest, answer, state.now_s)
         _drop_oldest(state)
         return answer
@@ -40,12 +40,12 @@
 def expire_changes(state: State) -> None:
     """Drop answers that are older than the retention time."""
     limit_s = state.now_s - CHANGE_RETENTION_S
-    old = []
+    expired = []
     for change_id, kept in state.changes.items():
         if kept.at_s > limit_s:
             break
-        old.append(change_id)
-    for change_id in old:
+        expired.append(change_id)
+    for change_id in expired:
         del state.changes[change_id]
 
 
--- a/libs/state/src/cherryrudder/state/claims.py
+++ b/libs/state/src/cherryrudder/state/claims.py
@@ -29,21 +29,21 @@
     """Grant the call to this attempt, or return the claim of an earlier one."""
     if fault := _check_ids(command):
         return Answer("invalid", fault, revision=state.revision)
-    wanted = Claim(**command._asdict(), index=index)
+    requested = Claim(**command._asdict(), index=index)
     held = state.claims.get((command.customer, command.key))
     if held is None:
-        return _grant_first(state, wanted)
+        return _grant_first(state, requested)
     if held.claim.body_sha256 != command.body_sha256:
         return ClaimAnswer("body-differs", held.claim)
     # A resend: the answer to the first grant was lost. Granting the same attempt to the
     # same incarnation again is safe, since a sidecar runs each attempt id once. The
     # same id with another sidecar is not a resend and could run twice, so it is not
     # granted.
-    if held.claim._replace(index=index) == wanted:
+    if held.claim._replace(index=index) == requested:
         return ClaimAnswer("granted", held.claim)
     if _is_retry_allowed(held, command.attempt_id):
-        _store(state, wanted, (*held.not_run_attempts, held.claim.attempt_id))
-        return ClaimAnswer("granted", wanted)
+        _store(state, requested, (*held.not_run_attempts, held.claim.attempt_id))
+        return ClaimAnswer("granted", requested)
     return ClaimAnswer("exists", held.claim)
 
 
@@ -69,8 +69,10 @@
         return Answer("ok", "", revision=state.revision)
     # If not-run replaced done, another attempt could run the call again. If done
     # replaced not-run, it would contradict an answer the caller may already have.
-    learned = claim.outcome == Outcome.UNKNOWN and command.outcome == Outcome.DONE
-    if claim.outcome and not learned:
+    is_late_result = (
+        claim.outcome == Outcome.UNKNOWN and command.outcome == Outcome.DONE
+    )
+    if claim.outcome and not is_late_result:
         message = f"the outcome is already recorded: {claim.outcome}"
         return Answer("conflict", message, revision=state.revision)
     _store(state, closed, held.not_run_attempts)
@@ -91,24 +93,24 @@
 def expire_claims(state: State) -> None:
     """Drop claims whose last change is older than the retention time."""
     limit_s = state.now_s - CLAIM_RETENTION_S
-    old = []
-    for place, held in state.claims.items():
+    expired = []
+    for claim_id, held in state.claims.items():
         if held.touched_s > limit_s:
             break
-        old.append(place)
-    for place in old:
-        held = state.claims.pop(place)
-        _add_weight(state, place[0], -weight_of(held.claim))
+        expired.append(claim_id)
+    for claim_id in expired:
+        held = state.claims.pop(claim_id)
+        _add_weight(state, claim_id[0], -weight_of(held.claim))
 
 
-def _grant_first(state, wanted):
+def _grant_first(state, requested):
     # Dynamic threshold: a customer's weight may not exceed the free room, so a flood
     # of keys from one customer leaves half of the table to others.
     room = MAX_WEIGHT - sum(state.claim_weights.values())
-    if state.claim_weights.get(wanted.customer, 0) >= room:
-        return ClaimAnswer("full", wanted)
-    _store(state, wanted, ())
-    return ClaimAnswer("granted", wanted)
+    if state.claim_weights.get(requested.customer, 0) >= room:
+        return ClaimAnswer("full", requested)
+    _store(state, requested, ())
+    return ClaimAnswer("granted", requested)
 
 
 def _is_retry_allowed(held, attempt_id):
@@ -121,16 +123,16 @@
     return len(held.not_run_attempts) + 1 < MAX_ATTEMPTS
 
 
-def _store(state, claim, spent):
-    place = (claim.customer, claim.key)
-    before = state.claims.pop(place, None)
-    state.claims[place] = HeldClaim(claim, state.now_s, spent)
-    added = weight_of(claim) - (weight_of(before.claim) if before else 0)
-    _add_weight(state, claim.customer, added)
+def _store(state, claim, not_run_attempts):
+    claim_id = (claim.customer, claim.key)
+    previous = state.claims.pop(claim_id, None)
+    state.claims[claim_id] = HeldClaim(claim, state.now_s, not_run_attempts)
+    weight_change = weight_of(claim) - (weight_of(previous.claim) if previous else 0)
+    _add_weight(state, claim.customer, weight_change)
 
 
-def _add_weight(state, customer, added):
-    weight = state.claim_weights.get(customer, 0) + added
+def _add_weight(state, customer, weight_change):
+    weight = state.claim_weights.get(customer, 0) + weight_change
     state.claim_weights[customer] = weight
     if not weight:
         del state.claim_weights[customer]
--- a/libs/state/src/cherryrudder/state/fences.py
+++ b/libs/state/src/cherryrudder/state/fences.py
@@ -40,12 +40,12 @@
 def expire_fence_requests(state: State) -> None:
     """Drop answers that are older than the retention time, but keep the numbers."""
     limit_s = state.now_s - CHANGE_RETENTION_S
-    old = []
+    expired = []
     for request_id, kept in state.fence_requests.items():
         if kept.at_s > limit_s:
             break
-        old.append(request_id)
-    for request_id in old:
+        expired.append(request_id)
+    for request_id in expired:
         del state.fence_requests[request_id]
 
 
