--- a/libs/quorum/test/builders.py
+++ b/libs/quorum/test/builders.py
@@ -5,7 +5,7 @@
 import json
 import random
 
-from fakedisk import FakeDisk, PowerCut
+from fakedisk import FakeDisk, PowerLoss
 
 from cherryrudder.quorum import events as ev
 from cherryrudder.quorum.core import handle, open_node, status
@@ -85,8 +85,8 @@
         self.now_s = 0.0
         self.network = []
         # VMs that are cut off, and pairs of VMs that don't hear each other.
-        self.cut = set()
-        self.cut_links = set()
+        self.isolated = set()
+        self.broken_links = set()
         self.frozen = set()
         self.members = {}
         self.numbers = itertools.count(1)
@@ -98,7 +98,7 @@
         self.reasons = {}
         self.reads = {}
         self.ready = {}
-        self.installed = []
+        self.restored = []
         # With slow disks a write ends by `finish_writes`, now and then in `run`.
         self.slow_disks = False
         self.pending_writes = collections.defaultdict(list)
@@ -117,7 +117,7 @@
         member = self.members[vm]
         try:
             disk = open_disk(FOLDER, vm, member.fake.filesystem())
-        except PowerCut:
+        except PowerLoss:
             self.crash(vm)
             return
         if disk.is_error():
@@ -137,7 +137,7 @@
         member.fake.crash(self.rng)
         self.frozen.discard(vm)
 
-    def wipe(self, vm, again=False, naive=False):
+    def wipe(self, vm, recreate=False, naive=False):
         """Give a VM that has stopped an empty disk, to join as a learner.
 
         Or create the founder's disk again, under the same id. The naive version takes
@@ -146,7 +146,7 @@
         member = self.members[vm]
         member.fake = FakeDisk()
         fs = member.fake.filesystem()
-        if not again:
+        if not recreate:
             identity = join_disk(FOLDER, vm, f"new-{vm}:1", fs).ok
         else:
             voters = make_voters(len(self.members))
@@ -170,9 +170,9 @@
             while pending and member.node is not None:
                 effects = handle(member.node, pending.pop(0), self.now_s)
                 for effect in effects:
-                    pending += self._carry_out(member, effect)
-                self._watch(member)
-        except PowerCut:
+                    pending += self._run_effect(member, effect)
+                self._check_single_leader(member)
+        except PowerLoss:
             self.crash(vm)
 
     def finish_writes(self, vm):
@@ -182,7 +182,7 @@
         for effect in self.pending_writes.pop(vm, []):
             try:
                 write(self.members[vm].disk, effect)
-            except PowerCut:
+            except PowerLoss:
                 self.crash(vm)
                 return
             self.feed(vm, ev.Persisted(effect.write_id))
@@ -206,7 +206,7 @@
         self.feed(self.leader(), ev.ChangeVoters(name, action, voter))
         return name
 
-    def run(self, wait_s, loss=0.0, doubled=0.0):
+    def run(self, wait_s, loss=0.0, duplicated=0.0):
         """Let time pass, with messages lost, doubled and in any order."""
         end_s = self.now_s + wait_s
         while self.now_s < end_s:
@@ -215,13 +215,13 @@
                 self.feed(vm, ev.Tick())
                 if not self.slow_disks or self.rng.random() < 0.2:
                     self.finish_writes(vm)
-            self.deliver(loss, doubled)
+            self.deliver(loss, duplicated)
 
-    def deliver(self, loss=0.0, doubled=0.0):
+    def deliver(self, loss=0.0, duplicated=0.0):
         """Deliver what is on the network, and what comes of it, for a few hops."""
         for _ in range(4):
             batch, self.network = self.network, []
-            if loss or doubled:
+            if loss or duplicated:
                 self.rng.shuffle(batch)
             for sender, send in batch:
                 if send.vm in self.frozen:
@@ -229,14 +229,18 @@
                     continue
                 if self.rng.random() < loss:
                     continue
-                if self.rng.random() < doubled:
+                if self.rng.random() < duplicated:
                     self.network.append((sender, send))
-                self.pass_on(sender, send)
+                self.deliver_message(sender, send)
 
-    def pass_on(self, sender, send):
+    def deliver_message(self, sender, send):
         """Give one message to the VM that it is for, through JSON."""
         link = frozenset((sender, send.vm))
-        if send.vm not in self.members or link & self.cut or link in self.cut_links:
+        if (
+            send.vm not in self.members
+            or link & self.isolated
+            or link in self.broken_links
+        ):
             return
         message = json.loads(json.dumps(send.message))
         self.feed(send.vm, ev.Received(sender, message))
@@ -257,7 +261,7 @@
         while self.now_s < end_s:
             self.run(0.5)
             leader = self.leader()
-            if leader is None or leader in self.cut or leader in self.frozen:
+            if leader is None or leader in self.isolated or leader in self.frozen:
                 continue
             name = self.propose(leader)
             self.run(0.5)
@@ -268,7 +272,7 @@
     def status(self, vm):
         return status(self.members[vm].node)
 
-    def fill(self, count):
+    def commit_commands(self, count):
         """Accept a number of commands, and return their names."""
         names = []
         while len(names) < count:
@@ -278,7 +282,7 @@
         self.run(0.3)
         return names
 
-    def check(self):
+    def check_no_loss(self):
         """Fail unless every accepted command is in the leader's state."""
         state = self.members[self.leader()].state
         lost = set(self.accepted) - {payload for _, payload in state}
@@ -287,7 +291,7 @@
 
     # Effects.
 
-    def _carry_out(self, member, effect):
+    def _run_effect(self, member, effect):
         match effect:
             case ev.Send():
                 self.network.append((member.vm, effect))
@@ -299,7 +303,7 @@
             case ev.Apply():
                 self._apply(member, effect.entries)
             case ev.RestoreSnapshot():
-                self.installed.append(member.vm)
+                self.restored.append(member.vm)
                 member.state = [tuple(pair) for pair in json.loads(effect.data)]
                 self._check_prefix(member)
             case ev.TakeSnapshot():
@@ -311,7 +315,7 @@
                 self.rejected[effect.proposal_id] = effect.certain
                 self.reasons[effect.proposal_id] = effect.reason
             case ev.ReadReady():
-                self._read(member, effect)
+                self._check_read(member, effect)
         return []
 
     def _apply(self, member, entries):
@@ -327,13 +331,13 @@
         for index, payload in member.state[-50:]:
             assert self.committed[index].payload == payload
 
-    def _read(self, member, effect):
+    def _check_read(self, member, effect):
         floor = self.reads[effect.read_id]
         assert effect.index >= floor, f"{effect} misses accepted entry {floor}"
         assert member.node.applied_index >= effect.index
         self.ready[effect.read_id] = effect.index
 
-    def _watch(self, member):
+    def _check_single_leader(self, member):
         if member.node.role != "leader":
             return
         key = member.node.term
--- a/libs/quorum/test/fakedisk.py
+++ b/libs/quorum/test/fakedisk.py
@@ -5,7 +5,7 @@
 from cherryrudder.quorum.filesystem import FileSystem
 
 
-class PowerCut(Exception):
+class PowerLoss(Exception):
     """The fake disk has reached the operation at which it fails."""
 
 
@@ -55,7 +55,7 @@
         self.locked = set()
         self.numbers = itertools.count()
         self.operations = 0
-        self.cut_at = None
+        self.power_loss_at = None
 
     def filesystem(self):
         return FileSystem(
@@ -83,7 +83,7 @@
         self.durable = dict(self.names)
         self.handles.clear()
         self.locked.clear()
-        self.cut_at = None
+        self.power_loss_at = None
 
     def _revert(self, name):
         if name in self.durable:
@@ -93,14 +93,14 @@
 
     def _do(self, operation, *arguments):
         self.operations += 1
-        if self.cut_at is not None and self.operations >= self.cut_at:
-            raise PowerCut
+        if self.power_loss_at is not None and self.operations >= self.power_loss_at:
+            raise PowerLoss
         return operation(*arguments)
 
     def _write(self, fd, offset, data):
         try:
             self._do(self.handles[fd].write, offset, data)
-        except PowerCut:
+        except PowerLoss:
             # Part of it was on its way; `crash` decides how much arrives.
             self.handles[fd].write(offset, data)
             raise
--- a/libs/quorum/test/test_core.py
+++ b/libs/quorum/test/test_core.py
@@ -8,13 +8,13 @@
 
 
 class ElectionTest(unittest.TestCase):
-    def test_one_voter_serves_alone(self):
+    def test_single_voter_commits_and_reads_alone(self):
         cluster = Cluster(1)
         cluster.settle()
         read = cluster.read("a")
         self.assertEqual(cluster.ready[read], cluster.accepted["p1"])
 
-    def test_voter_that_misses_only_the_leader_does_not_unseat_it(self):
+    def test_voter_without_link_to_the_leader_does_not_depose_it(self):
         """Callers see no pause when one link breaks, nor when it is mended.
 
         A follower hears the other one but not the leader, and has all entries. The
@@ -24,14 +24,14 @@
         leader = cluster.settle()
         term = cluster.status(leader)["term"]
         follower = next(vm for vm in "abc" if vm != leader)
-        cluster.cut_links.add(frozenset((leader, follower)))
+        cluster.broken_links.add(frozenset((leader, follower)))
         cluster.run(20)
-        cluster.cut_links.clear()
+        cluster.broken_links.clear()
         cluster.run(2)
         self.assertEqual(cluster.leader(), leader)
         self.assertEqual(cluster.status(leader)["term"], term)
 
-    def test_leader_that_stops_hands_over_at_once(self):
+    def test_stopping_leader_transfers_leadership_at_once(self):
         """A planned stop costs callers a round trip, not an election time.
 
         The leader asks its best follower to campaign and rejects what comes later;
@@ -45,7 +45,7 @@
         late = cluster.propose(leader)
         self.assertTrue(cluster.rejected[late])
 
-    def test_voters_that_lost_power_together_have_a_leader_soon(self):
+    def test_leader_is_elected_soon_after_a_common_power_loss(self):
         """Callers wait for the first leader after a loss of power.
 
         All voters stop and start again; none has anybody to wait for. With the usual
@@ -89,7 +89,7 @@
 
 
 class IsolationTest(unittest.TestCase):
-    def test_isolated_leader_serves_no_reads_and_accepts_nothing(self):
+    def test_isolated_leader_serves_no_reads_and_accepts_no_changes(self):
         """An operator at a leader that is cut off reads nothing stale.
 
         The leader is cut off; the others elect another and accept a change. Before
@@ -99,7 +99,7 @@
         """
         cluster = Cluster(3)
         old = cluster.settle()
-        cluster.cut.add(old)
+        cluster.isolated.add(old)
         early = cluster.read(old)
         uncertain = cluster.propose(old)
         cluster.run(0.1)
@@ -113,7 +113,7 @@
         late = cluster.read(old), cluster.propose(old)
         self.assertTrue(all(cluster.rejected[name] for name in late))
 
-    def test_frozen_and_thawed_leader_serves_nothing_old(self):
+    def test_leader_that_was_frozen_serves_no_stale_reads(self):
         """A read at a leader that was frozen doesn't miss what came meanwhile.
 
         The leader is frozen with answers to its heartbeats in its sockets; another is
@@ -128,7 +128,7 @@
         cluster.deliver()
         cluster.frozen.add(old)
         cluster.settle()
-        cluster.fill(30)
+        cluster.commit_commands(30)
         cluster.frozen.clear()
         self.assertLess(
             naive_read(cluster.members[old].node), max(cluster.accepted.values())
@@ -137,9 +137,9 @@
         cluster.run(1)
         self.assertTrue(cluster.rejected[read])
         self.assertTrue(cluster.rejected[change])
-        cluster.check()
+        cluster.check_no_loss()
 
-    def test_no_majority_refuses(self):
+    def test_requests_are_rejected_without_a_majority(self):
         """Two of three disks are lost: the last VM says no and stays alone.
 
         It must not serve reads, accept changes or make a cluster of its own, nor may
@@ -158,7 +158,7 @@
             self.assertTrue(cluster.rejected[cluster.read(vm)])
         self.assertEqual(cluster.accepted, accepted)
 
-    def test_rejoins_after_hundreds_of_changes(self):
+    def test_voter_rejoins_after_hundreds_of_changes(self):
         """A voter is away for hundreds of changes and undoes none of them.
 
         It has entries of its own that were never committed. It comes back once within
@@ -168,21 +168,21 @@
             with self.subTest(count=count):
                 cluster = Cluster(3)
                 old = cluster.settle()
-                cluster.cut.add(old)
+                cluster.isolated.add(old)
                 lost = [cluster.propose(old) for _ in range(70)]
                 cluster.settle()
-                cluster.fill(count)
-                before = len(cluster.installed)
-                cluster.cut.clear()
+                cluster.commit_commands(count)
+                before = len(cluster.restored)
+                cluster.isolated.clear()
                 cluster.run(2)
                 state = cluster.members[old].state
                 self.assertEqual(state, cluster.members[cluster.leader()].state)
                 self.assertFalse(set(lost) & {payload for _, payload in state})
-                self.assertEqual(len(cluster.installed) > before, by_snapshot)
+                self.assertEqual(len(cluster.restored) > before, by_snapshot)
 
 
 class WriteTest(unittest.TestCase):
-    def test_entries_that_wait_share_one_write(self):
+    def test_pending_entries_share_one_write(self):
         """Changes that come while the disk is busy cost one fsync together.
 
         Otherwise each caller would wait for the fsyncs of all before it.
@@ -198,7 +198,7 @@
         self.assertTrue(set(names) <= set(cluster.accepted))
         self.assertEqual(cluster.pending_writes["a"], [])
 
-    def test_copies_count_only_once_synced(self):
+    def test_entry_counts_only_once_synced(self):
         """A change is neither accepted nor shown on one synced copy of three.
 
         One follower is down. Either the leader or the other follower has the entry on
@@ -225,7 +225,7 @@
                 cluster.deliver()
                 self.assertIn(name, cluster.accepted)
 
-    def test_vote_is_given_only_once_synced(self):
+    def test_vote_is_sent_only_once_synced(self):
         """A voter that loses power doesn't vote twice in one term.
 
         Two candidates ask in turn; power is cut while the first vote is on its way to
--- a/libs/quorum/test/test_files.py
+++ b/libs/quorum/test/test_files.py
@@ -12,7 +12,7 @@
     new_disk,
     save_snapshot,
 )
-from fakedisk import PowerCut
+from fakedisk import PowerLoss
 
 from cherryrudder.quorum.events import Persist
 from cherryrudder.quorum.files import init_disk, join_disk, open_disk
@@ -35,7 +35,7 @@
             self.assertIn("not empty", str(join_disk(folder, "a", "").error))
             self.assertIn("not of b", str(open_disk(folder, "b").error))
 
-    def test_second_process_is_kept_out(self):
+    def test_second_process_cannot_open_the_folder(self):
         """Two daemons on one folder would write over each other's records."""
         with tempfile.TemporaryDirectory() as folder:
             join_disk(folder, "a", "10.0.0.1:1")
@@ -44,7 +44,7 @@
             disk.close()
             open_disk(folder, "a").ok.close()
 
-    def test_real_folder_keeps_all(self):
+    def test_real_folder_keeps_the_saved_state(self):
         with tempfile.TemporaryDirectory() as folder:
             init_disk(folder, "a", "10.0.0.1:1")
             disk = open_disk(folder, "a").ok
@@ -71,7 +71,7 @@
         self.fake.crash(random.Random(1))
         return open_disk(FOLDER, "a", self.fake.filesystem())
 
-    def test_torn_tail_is_cut(self):
+    def test_torn_tail_is_dropped(self):
         """A power cut in a write leaves part of a record, which was never answered.
 
         At each length of the part the voter starts with what was synced, and what it
@@ -83,8 +83,8 @@
                 append_to(disk, 1, 5)
                 log = fake.names["log"]
                 size = len(log.data)
-                fake.cut_at = fake.operations + 1
-                with self.assertRaises(PowerCut):
+                fake.power_loss_at = fake.operations + 1
+                with self.assertRaises(PowerLoss):
                     append_to(disk, 6, 2, term=2)
                 self.assertGreater(len(log.data), size + kept)
                 del log.data[size + kept :]
@@ -97,7 +97,7 @@
                 disk = open_disk(FOLDER, "a", fake.filesystem()).ok
                 self.assertEqual(len(disk.saved.entries), 6)
 
-    def test_damage_before_the_tail_stops(self):
+    def test_damage_before_the_tail_prevents_opening(self):
         """A voter with a damaged record among accepted ones doesn't start.
 
         Cutting there would take accepted entries back; the error says where to look.
@@ -108,7 +108,7 @@
         error = str(self.reopen().error)
         self.assertRegex(error, r"data/log: damaged at offset \d+, before an intact")
 
-    def test_damage_to_the_last_synced_record_stops(self):
+    def test_damage_to_the_last_synced_record_prevents_opening(self):
         """The last record was synced and answered; it is no torn tail.
 
         Both a changed byte and a cut-off end are seen, since the synced length is
@@ -120,7 +120,7 @@
             self.fake.names["synced"].sync()
             self.assertIn("though synced up to", str(self.reopen().error))
 
-    def test_damaged_snapshot_or_identity_stops(self):
+    def test_damaged_snapshot_or_identity_prevents_opening(self):
         save_snapshot(self.disk, 3)
         for name in ("snapshot", "identity"):
             file = self.fake.names[name]
@@ -130,15 +130,15 @@
             file.data[-1] ^= 1
             file.sync()
 
-    def test_lost_snapshot_stops(self):
+    def test_lost_snapshot_prevents_opening(self):
         """Without its snapshot a log begins in the middle of the history."""
         save_snapshot(self.disk, 3)
         del self.fake.names["snapshot"], self.fake.durable["snapshot"]
         self.assertIn("the log begins after 3", str(self.reopen().error))
 
 
-class PowerCutTest(unittest.TestCase):
-    def test_crash_at_every_operation(self):
+class PowerLossTest(unittest.TestCase):
+    def test_power_loss_at_every_operation(self):
         """Whatever was answered is there after a power cut at any disk operation.
 
         Each write, sync, rename and folder sync in turn is the last one. Unsynced
@@ -148,29 +148,29 @@
         for sync in (True, False):
             with self.subTest(sync=sync):
                 failures = [
-                    (cut_at, seed)
+                    (power_loss_at, seed)
                     for seed in range(6)
-                    for cut_at in range(1, 60)
-                    if not self.survives(cut_at, seed, sync)
+                    for power_loss_at in range(1, 60)
+                    if not self.survives(power_loss_at, seed, sync)
                 ]
                 # The naive version doesn't sync, and loses what it answered.
                 self.assertEqual(bool(failures), not sync, failures)
 
-    def survives(self, cut_at, seed, sync):
+    def survives(self, power_loss_at, seed, sync):
         rng = random.Random(seed)
         fake, disk = new_disk(sync)
-        fake.cut_at = fake.operations + cut_at
+        fake.power_loss_at = fake.operations + power_loss_at
         answered = [disk.saved]
         try:
             self.work(disk, answered)
-        except PowerCut:
+        except PowerLoss:
             pass
         fake.crash(rng)
         # Power may fail again while the folder is opened.
-        fake.cut_at = fake.operations + 1 + seed % 3
+        fake.power_loss_at = fake.operations + 1 + seed % 3
         try:
             opened = open_disk(FOLDER, "a", fake.filesystem())
-        except PowerCut:
+        except PowerLoss:
             fake.crash(rng)
             opened = open_disk(FOLDER, "a", fake.filesystem())
         if opened.is_error():
@@ -205,7 +205,7 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    def test_tail_stays_only_if_it_follows_the_snapshot(self):
+    def test_log_tail_is_kept_only_if_it_follows_the_snapshot(self):
         """A voter opens no log that mixes two leaders' entries (see test_replication).
 
         Power may be cut before the entries after the snapshot are truncated.
@@ -220,7 +220,7 @@
 
 
 class FailedWriteTest(unittest.TestCase):
-    def test_failed_sync_stops_the_disk(self):
+    def test_failed_sync_makes_the_disk_unusable(self):
         """After a failed fsync nothing more is answered, also if the next succeeds.
 
         The system may have dropped the data, and reports the failure only once.
--- a/libs/quorum/test/test_histories.py
+++ b/libs/quorum/test/test_histories.py
@@ -25,8 +25,10 @@
     @initialize(count=st.sampled_from((3, 5)), seed=st.integers(0, 1 << 16))
     def begin(self, count, seed):
         # Half of them campaign sooner after a start, as the processes do.
-        hurried = TIMING._replace(first_election_min_s=0.06, first_election_max_s=0.15)
-        self.cluster = Cluster(count, seed, hurried if seed % 2 else TIMING)
+        fast_timing = TIMING._replace(
+            first_election_min_s=0.06, first_election_max_s=0.15
+        )
+        self.cluster = Cluster(count, seed, fast_timing if seed % 2 else TIMING)
         self.cluster.settle()
         self.repairs = []
         self.wiped = set()
@@ -36,7 +38,7 @@
 
     def work(self, work):
         """Propose and read at whoever leads, old leaders included."""
-        count, wait_s, loss, doubled = work
+        count, wait_s, loss, duplicated = work
         for _ in range(4):
             leaders = [
                 vm
@@ -47,7 +49,7 @@
                 self.cluster.read(vm)
                 for _ in range(count // 4):
                     self.cluster.propose(vm)
-            self.cluster.run(wait_s / 4, loss, doubled)
+            self.cluster.run(wait_s / 4, loss, duplicated)
 
     @rule(work=WORK)
     def work_on(self, work):
@@ -56,17 +58,19 @@
     @rule(first=VMS, second=VMS, work=WORK)
     def cut_off(self, first, second, work):
         vms = {self.vm(first), self.vm(second)}
-        self.cluster.cut = vms if len(self.cluster.members) == 5 else {self.vm(first)}
+        self.cluster.isolated = (
+            vms if len(self.cluster.members) == 5 else {self.vm(first)}
+        )
         self.work(work)
 
     @rule(work=WORK)
     def cut_leader_off(self, work):
-        self.cluster.cut = {self.cluster.leader() or "a"}
+        self.cluster.isolated = {self.cluster.leader() or "a"}
         self.work(work)
 
     @rule(first=VMS, second=VMS, work=WORK)
     def cut_link(self, first, second, work):
-        self.cluster.cut_links = {frozenset((self.vm(first), self.vm(second)))}
+        self.cluster.broken_links = {frozenset((self.vm(first), self.vm(second)))}
         self.work(work)
 
     @rule(work=WORK)
@@ -97,18 +101,18 @@
     @rule(number=VMS, operations=st.integers(1, 12), work=WORK)
     def cut_power_soon(self, number, operations, work):
         fake = self.cluster.members[self.vm(number)].fake
-        fake.cut_at = fake.operations + operations
+        fake.power_loss_at = fake.operations + operations
         self.work(work)
 
     @rule(work=WORK)
     def mend(self, work):
-        self.cluster.cut = set()
-        self.cluster.cut_links = set()
+        self.cluster.isolated = set()
+        self.cluster.broken_links = set()
         self.start_all()
         self.work(work)
 
-    @rule(number=VMS, again=st.booleans(), mend=st.booleans(), work=WORK)
-    def lose_disk(self, number, again, mend, work):
+    @rule(number=VMS, recreate=st.booleans(), mend=st.booleans(), work=WORK)
+    def lose_disk(self, number, recreate, mend, work):
         vm = self.vm(number)
         # One disk at a time of three voters, two of five: a majority is left.
         most = (len(self.cluster.members) - 1) // 2
@@ -117,8 +121,8 @@
         self.wiped.add(vm)
         old = next(v for v in make_voters(5) if v.vm == vm)
         self.cluster.crash(vm)
-        if again:
-            self.cluster.wipe(vm, again=True)
+        if recreate:
+            self.cluster.wipe(vm, recreate=True)
             self.work(work)
             self.cluster.crash(vm)
         self.repairs.append((old, self.cluster.wipe(vm)))
@@ -152,7 +156,7 @@
 
     def start_all(self):
         for vm, member in self.cluster.members.items():
-            member.fake.cut_at = None
+            member.fake.power_loss_at = None
             if member.node is None:
                 self.cluster.start(vm)
 
@@ -163,11 +167,11 @@
         self.mend((0, 2.0, 0.0, 0.0))
         self.cluster.settle(20)
         self.cluster.run(2)
-        self.cluster.check()
+        self.cluster.check_no_loss()
 
 
 class HistoriesTest(unittest.TestCase):
-    def test_histories(self):
+    def test_random_histories(self):
         """Nothing accepted is lost, changed or missed by a read, whatever happens.
 
         Messages are lost, doubled and reordered; VMs are cut off, frozen, lose power
--- a/libs/quorum/test/test_voters.py
+++ b/libs/quorum/test/test_voters.py
@@ -27,7 +27,7 @@
 
 
 class VoterTest(unittest.TestCase):
-    def test_wiped_vm_under_its_old_name_has_no_vote(self):
+    def test_vm_with_a_replaced_disk_has_no_vote(self):
         """A change that was accepted is still there after one VM lost its disk.
 
         c is cut off while a and b accept a change. b loses its disk and comes back; a
@@ -35,20 +35,20 @@
         never saw the change, and would go on without it: two majorities disagree.
         With the disk in the voter set, c and the new disk of b elect nobody.
         """
-        cluster = self.lose_b(again=True, naive=True)
+        cluster = self.lose_b(recreate=True, naive=True)
         with self.assertRaisesRegex(AssertionError, "another|accepted, then lost"):
             cluster.settle()
-            cluster.check()
-        for again in (False, True):
-            cluster = self.lose_b(again)
+            cluster.check_no_loss()
+        for recreate in (False, True):
+            cluster = self.lose_b(recreate)
             cluster.run(20)
             self.assertIsNone(cluster.leader())
-            cluster.cut.clear()
+            cluster.isolated.clear()
             cluster.settle()
-            cluster.check()
-            self.assertEqual(cluster.status("b")["founded"], not again)
+            cluster.check_no_loss()
+            self.assertEqual(cluster.status("b")["founded"], not recreate)
 
-    def test_founder_created_again_never_counts(self):
+    def test_recreated_disk_of_an_initial_voter_never_counts(self):
         """A founder's disk that was lost and created again adds to no majority.
 
         It would sync what the leader sends and acknowledge it, and vote in terms in
@@ -59,24 +59,24 @@
         cluster.settle()
         cluster.crash("b")
         cluster.settle()
-        cluster.fill(60)
-        cluster.wipe("b", again=True)
+        cluster.commit_commands(60)
+        cluster.wipe("b", recreate=True)
         cluster.run(5)
-        cluster.cut = {next(vm for vm in "ac" if vm != cluster.leader())}
+        cluster.isolated = {next(vm for vm in "ac" if vm != cluster.leader())}
         late = cluster.propose(cluster.leader())
         cluster.run(20)
         self.assertNotIn(late, cluster.accepted)
         self.assertEqual(cluster.status("b")["term"], 0)
-        cluster.cut.clear()
+        cluster.isolated.clear()
         cluster.settle()
-        cluster.check()
+        cluster.check_no_loss()
 
-    def test_cluster_begins_once_all_founders_are_up(self):
+    def test_cluster_starts_once_all_initial_voters_run(self):
         cluster = Cluster(3)
-        cluster.cut = {"c"}
+        cluster.isolated = {"c"}
         cluster.run(10)
         self.assertIsNone(cluster.leader())
-        cluster.cut.clear()
+        cluster.isolated.clear()
         cluster.settle()
 
     def test_learner_never_campaigns(self):
@@ -94,22 +94,22 @@
         cluster.run(2)
         self.assertEqual(cluster.status("a")["learners"], [learner._asdict()])
         cluster.crash(cluster.leader())
-        cluster.cut = set("bc")
+        cluster.isolated = set("bc")
         cluster.run(10)
         self.assertEqual(cluster.status("a")["role"], "follower")
 
-    def lose_b(self, again, naive=False):
+    def lose_b(self, recreate, naive=False):
         cluster = Cluster(3)
         cluster.settle()
-        cluster.cut.add("c")
+        cluster.isolated.add("c")
         cluster.settle()
-        cluster.fill(20)
+        cluster.commit_commands(20)
         cluster.crash("b")
-        cluster.wipe("b", again, naive)
-        cluster.cut = {"a"}
+        cluster.wipe("b", recreate, naive)
+        cluster.isolated = {"a"}
         return cluster
 
-    def test_lost_disk_repair_and_another_lost(self):
+    def test_changes_survive_a_repair_and_a_second_lost_disk(self):
         """After lose-disk, repair, lose another, each accepted change is there.
 
         Changes go on between the steps while one voter is cut off and behind. The
@@ -120,27 +120,27 @@
             with self.subTest(voters=count):
                 cluster = Cluster(count)
                 cluster.settle()
-                cluster.fill(30)
+                cluster.commit_commands(30)
                 first, second, *others = "abcde"[:count]
                 cluster.crash(first)
                 cluster.settle()
                 if count == 5:
-                    cluster.cut.add(others[0])
+                    cluster.isolated.add(others[0])
                     cluster.settle()
-                cluster.fill(90)
+                cluster.commit_commands(90)
                 for name in repair(cluster, first):
                     self.assertIn(name, cluster.accepted)
                 cluster.crash(second)
-                cluster.cut.clear()
+                cluster.isolated.clear()
                 cluster.settle()
-                cluster.check()
+                cluster.check_no_loss()
                 for name in repair(cluster, second):
                     self.assertIn(name, cluster.accepted)
                 cluster.settle()
-                cluster.check()
+                cluster.check_no_loss()
                 self.assertEqual(len(cluster.status(cluster.leader())["voters"]), count)
 
-    def test_second_change_in_flight_is_refused(self):
+    def test_second_voter_change_in_flight_is_rejected(self):
         """Of two voter changes at once the second is rejected, as certain.
 
         Two sets that differ by two voters can have majorities that don't meet.
@@ -154,7 +154,7 @@
         self.assertTrue(cluster.rejected[second])
         self.assertIn("another change", cluster.reasons[second])
 
-    def test_change_that_would_leave_no_working_majority_is_refused(self):
+    def test_change_that_leaves_no_live_majority_is_rejected(self):
         """A repair in the wrong order doesn't end the service.
 
         With one of three dead, removing a live one would leave one live voter of two;
@@ -164,7 +164,7 @@
         cluster.settle()
         absent = ev.Voter("x", "disk-x", "x:1")
         cluster.change("add-learner", absent)
-        cluster.fill(70)
+        cluster.commit_commands(70)
         refused = cluster.change("promote", absent)
         self.assertTrue(cluster.rejected[refused])
         self.assertIn("the whole log", cluster.reasons[refused])
@@ -180,7 +180,7 @@
         )
         cluster.settle()
 
-    def test_absent_learner_is_not_promoted_while_its_silence_is_short(self):
+    def test_learner_that_never_replied_is_not_promoted(self):
         """A learner with a mistyped disk id is not promoted right after it was added.
 
         An operator replaces a lost disk and names the wrong new one. Nobody has that
@@ -200,7 +200,7 @@
         self.assertTrue(cluster.rejected.get(promoted))
         cluster.settle()
 
-    def test_leader_that_is_removed_steps_down(self):
+    def test_removed_leader_steps_down(self):
         cluster = Cluster(3)
         leader = cluster.settle()
         name = cluster.change("remove", old_voter(cluster, leader))
--- a/libs/state/test/test_claims.py
+++ b/libs/state/test/test_claims.py
@@ -79,7 +79,7 @@
     def held(self):
         return find_claim(self.voter.state, "petra-tours", "k1")
 
-    def test_each_call_runs_once_at_most(self):
+    def test_each_call_runs_at_most_once(self):
         """A filing is stamped once, or the caller is told truly that it was not.
 
         Entries open claims, lose answers, resend, and give up with or without a
@@ -96,7 +96,7 @@
         with self.assertRaises(AssertionError):
             find_failure(lambda: ClaimMachine(NaiveVoter()))
 
-    def test_a_lost_grant_is_given_again_to_the_same_incarnation_only(self):
+    def test_lost_grant_is_repeated_only_to_the_same_incarnation(self):
         """The entry lost the answer to its claim and proposes it again.
 
         It must go on with its own attempt. The same attempt id for another sidecar
@@ -110,14 +110,14 @@
         answer = self.voter.apply(an_open("a2", body_sha256="other"))
         self.assertEqual(answer.code, "body-differs")
 
-    def test_a_spent_attempt_is_never_granted_again(self):
+    def test_not_run_attempt_is_never_granted_again(self):
         self.voter.apply(an_open("a1"))
         for attempt, following in (("a1", "a2"), ("a2", "a3")):
             self.voter.apply(a_close("not-run", attempt))
             self.assertEqual(self.voter.apply(an_open("a1")).code, "exists")
             self.assertEqual(self.voter.apply(an_open(following)).code, "granted")
 
-    def test_the_first_outcome_stays_but_unknown_may_become_done(self):
+    def test_first_outcome_is_kept_but_unknown_may_become_done(self):
         outcomes = ("done", "not-run", "unknown")
         for first, second in [(a, b) for a in outcomes for b in outcomes]:
             with self.subTest(first=first, second=second):
@@ -129,7 +129,7 @@
                 self.assertEqual(answer.code, "ok" if learned else "conflict")
                 self.assertEqual(self.held().body, "second" if learned else "first")
 
-    def test_the_result_is_kept_for_a_day_of_the_logs_time(self):
+    def test_result_is_kept_for_a_day_of_log_time(self):
         self.voter.apply(an_open())
         self.voter.apply(an_open(key="k2"))
         self.voter.pass_time(1)
@@ -140,7 +140,7 @@
         self.voter.pass_time(1)
         self.assertEqual(self.voter.state.claim_weights, {})
 
-    def test_a_flood_of_keys_leaves_half_of_the_table_to_others(self):
+    def test_flood_of_keys_leaves_half_of_the_table_to_others(self):
         """A partner floods the platform with new keys.
 
         Its claims stop at half of the table and are refused, not run; other customers'
--- a/libs/state/test/test_clock.py
+++ b/libs/state/test/test_clock.py
@@ -18,7 +18,7 @@
             self.voter.apply(Clock(now_s))
         return self.voter.state.now_s
 
-    def test_time_never_goes_back_and_goes_on_after_a_fast_leader(self):
+    def test_time_never_goes_back_and_continues_after_a_fast_leader(self):
         """A leader whose clock is years ahead gives way to one whose clock is right.
 
         Time has moved one step too far. It then goes on with the right clock, rather
@@ -29,7 +29,7 @@
         self.assertEqual(self.tick(1060.0), 90.0)
         self.assertEqual(self.tick(1090.0), 120.0)
 
-    def test_a_wrong_clock_drops_no_claim(self):
+    def test_wrong_clock_expires_no_claim(self):
         """A leader with a clock a week ahead takes over; a client resends its filing.
 
         Had the claim left by that clock, the resend would file it a second time.
@@ -38,7 +38,7 @@
         self.tick(1000.0, 1000.0 + 7 * 24 * 3600)
         self.assertEqual(self.voter.apply(an_open("a2")).code, "exists")
 
-    def test_a_late_resend_of_a_change_conflicts_even_after_its_answer_left(self):
+    def test_late_resend_of_a_change_conflicts_after_its_answer_expired(self):
         self.voter.apply(a_put())
         self.voter.pass_time(changes.CHANGE_RETENTION_S + 1)
         self.assertEqual(self.voter.state.changes, {})
--- a/libs/state/test/test_contracts.py
+++ b/libs/state/test/test_contracts.py
@@ -52,7 +52,7 @@
     def put(self, *arguments, **changes):
         return self.voter.apply(a_put(*arguments, **changes))
 
-    def test_races_and_resends_end_as_the_first_answers_said(self):
+    def test_races_and_resends_keep_the_first_answers(self):
         """Operators race on equal versions and resend what got no answer.
 
         Of two with the same version one wins and the other is told the conflict and
@@ -61,12 +61,12 @@
         """
         fuzz(lambda: ContractMachine(Voter()))
 
-    def test_last_writer_wins_undoes_a_change(self):
+    def test_last_writer_wins_loses_a_change(self):
         """The naive version takes the second writer's contract and says ok to both."""
         with self.assertRaises(AssertionError):
             find_failure(lambda: ContractMachine(NaiveVoter()))
 
-    def test_a_retired_contract_stays_and_is_not_created_anew(self):
+    def test_retired_contract_is_kept_and_not_recreated(self):
         self.put("c1", 0)
         self.put("c2", 1, retired=True)
         self.assertTrue(list_contracts(self.voter.state)[0].contract.retired)
--- a/libs/state/test/test_machine.py
+++ b/libs/state/test/test_machine.py
@@ -36,7 +36,7 @@
 class MachineTest(unittest.TestCase):
     @SETTINGS
     @given(st.one_of(st.text(st.characters()), lists, damaged))
-    def test_no_record_raises_or_spoils_the_state(self, payload):
+    def test_no_record_raises_or_corrupts_the_state(self, payload):
         """One unreadable record must not stop every voter at each restart.
 
         Whatever the record holds it gets an answer, and the state can still be
@@ -48,7 +48,7 @@
         answer = apply(state, 2, encode_command(PutSetting("own-id", 0, "own", "1")))
         self.assertEqual(answer.code, "ok")
 
-    def test_records_that_generators_miss_are_invalid(self):
+    def test_malformed_records_are_invalid(self):
         for payload in INVALID:
             with self.subTest(payload=payload[:40].encode(errors="replace")):
                 answer = apply(machine.new_state(), 1, payload)
@@ -56,7 +56,7 @@
 
     @SETTINGS
     @given(st.lists(commands, min_size=10), st.integers(0, 20))
-    def test_a_voter_restored_in_the_middle_goes_on_alike(self, log, cut):
+    def test_restored_voter_continues_identically(self, log, cut):
         """A voter restarts from a snapshot, or a new one gets it from the leader.
 
         From there on it answers each record as the others do and ends in the same
@@ -70,7 +70,7 @@
         self.assertEqual(snapshot(first.state), snapshot(second.state))
         self.assertEqual(first.state.claim_weights, second.state.claim_weights)
 
-    def test_a_record_handed_over_twice_changes_nothing(self):
+    def test_record_delivered_twice_has_no_effect(self):
         state = machine.new_state()
         apply(state, 4, encode_command(TakeFence("r1", "desk-1")))
         before = snapshot(state)
@@ -79,13 +79,13 @@
             self.assertEqual(apply(state, index, again).code, "invalid")
         self.assertEqual(snapshot(state), before)
 
-    def test_spelling_does_not_make_another_change(self):
+    def test_other_encoding_is_the_same_change(self):
         voter = Voter()
         first = voter.apply(a_put())
         spaced = json.dumps(json.loads(encode_command(a_put())), indent=1)
         self.assertEqual(apply(voter.state, 2, spaced), first)
 
-    def test_a_snapshot_that_cannot_be_read_is_one_error(self):
+    def test_unreadable_snapshot_raises_snapshot_error(self):
         voter = Voter()
         voter.apply(an_open())
         text = snapshot(voter.state)
@@ -93,7 +93,7 @@
             with self.assertRaises(SnapshotError):
                 restore(bad)
 
-    def test_fences_rise_and_a_resend_gets_the_same(self):
+    def test_fences_increase_and_a_resend_gets_the_same(self):
         """Two holders order one engine, and the older one resends its request.
 
         The resend must not overtake the newer holder, so it gets its old number.
--- a/libs/state/test/test_stops.py
+++ b/libs/state/test/test_stops.py
@@ -18,7 +18,7 @@
         self.voter = Voter()
         self.first = self.voter.apply(AnnounceStop("c1", STOP))
 
-    def test_a_cancelled_stop_does_not_come_back(self):
+    def test_cancelled_stop_is_not_restored(self):
         """An operator announces a stop, cancels it and releases the VM.
 
         The announcement's resend arrives last, under a new change id since the tool
@@ -31,7 +31,7 @@
         self.assertEqual(self.voter.apply(CancelStop("c5", "s9")).code, "unknown")
         self.assertEqual(self.voter.state.stops, {})
 
-    def test_a_reader_behind_the_kept_cancellations_gets_everything(self):
+    def test_reader_behind_the_kept_cancellations_gets_everything(self):
         """A reader was cut off while more stops were cancelled than are remembered.
 
         A delta could no longer name them all, and its table would keep a cancelled
