--- a/libs/quorum/test/builders.py
+++ b/libs/quorum/test/builders.py
@@ -1,4 +1,4 @@
-"""Disks with contents, and voters joined by a lossy network."""
+"""Test data: disks with content, and a cluster of voters on a lossy network."""
 
 import collections
 import itertools
@@ -18,7 +18,7 @@
 
 
 def new_disk(sync=True):
-    """Return a fake disk and the folder on it; the naive version never syncs."""
+    """Return a fake disk and the opened folder on it; the naive version never syncs."""
     fake = FakeDisk()
     init_disk(FOLDER, "a", "10.0.0.1:1", make_voters(1), fake.filesystem())
     fs = fake.filesystem()
@@ -52,7 +52,7 @@
 
 
 def write(disk, effect):
-    """Carry out a write effect."""
+    """Execute a write effect."""
     if isinstance(effect, ev.Persist):
         disk.persist(effect)
     else:
@@ -60,13 +60,13 @@
 
 
 def naive_read(node):
-    """Return the index that a leader would read at if it trusted its own office."""
+    """Return the index that a leader would read at without confirming leadership."""
     assert node.role == "leader"
     return node.commit_index
 
 
 class Member:
-    """One VM: its disk, its core while it runs, and the state that it applied."""
+    """One VM: its disk, its core while it runs, and its applied state."""
 
     def __init__(self, vm, disk):
         self.vm = vm
@@ -77,20 +77,20 @@
 
 
 class Cluster:
-    """Voters on fake disks, and the oracle that watches what they promise."""
+    """Voters on fake disks, and an oracle that checks the protocol's guarantees."""
 
     def __init__(self, count=3, seed=1, timing=TIMING):
         self.rng = random.Random(seed)
         self.timing = timing
         self.now_s = 0.0
         self.network = []
-        # VMs that are cut off, and pairs of VMs that don't hear each other.
+        # Partitioned VMs, and pairs of VMs without a link.
         self.isolated = set()
         self.broken_links = set()
         self.frozen = set()
         self.members = {}
         self.numbers = itertools.count(1)
-        # The oracle.
+        # State of the oracle.
         self.committed = {}
         self.leaders = {}
         self.accepted = {}
@@ -99,7 +99,7 @@
         self.reads = {}
         self.ready = {}
         self.restored = []
-        # With slow disks a write ends by `finish_writes`, now and then in `run`.
+        # With slow disks a write ends in `finish_writes`, which `run` calls at random.
         self.slow_disks = False
         self.pending_writes = collections.defaultdict(list)
         voters = make_voters(count)
@@ -113,7 +113,7 @@
     # Faults.
 
     def start(self, vm):
-        """Start a VM's process on what its disk holds; power may fail meanwhile."""
+        """Start a VM's process from its disk; power may fail meanwhile."""
         member = self.members[vm]
         try:
             disk = open_disk(FOLDER, vm, member.fake.filesystem())
@@ -130,7 +130,7 @@
         member.node = open_node(me, saved, self.timing, rng, self.now_s)
 
     def crash(self, vm):
-        """Cut a VM's power."""
+        """Stop a VM by a power loss."""
         member = self.members[vm]
         member.node = None
         self.pending_writes.pop(vm, None)
@@ -138,10 +138,10 @@
         self.frozen.discard(vm)
 
     def wipe(self, vm, recreate=False, naive=False):
-        """Give a VM that has stopped an empty disk, to join as a learner.
+        """Give a stopped VM an empty disk and start it as a learner.
 
-        Or create the founder's disk again, under the same id. The naive version takes
-        that for the old one, which has voted before.
+        With `recreate`, create the initial voter's disk again under the same id. The
+        naive version treats that as the old disk, which has voted before.
         """
         member = self.members[vm]
         member.fake = FakeDisk()
@@ -161,7 +161,7 @@
     # Events.
 
     def feed(self, vm, event):
-        """Give a VM one event and carry out the effects."""
+        """Pass an event to a VM and execute the effects."""
         member = self.members[vm]
         if member.node is None or vm in self.frozen:
             return
@@ -176,7 +176,7 @@
             self.crash(vm)
 
     def finish_writes(self, vm):
-        """Let a slow disk finish what it was given so far."""
+        """Complete the pending writes of a slow disk."""
         if vm in self.frozen:
             return
         for effect in self.pending_writes.pop(vm, []):
@@ -188,26 +188,26 @@
             self.feed(vm, ev.Persisted(effect.write_id))
 
     def propose(self, vm):
-        """Propose a command of its own name, and return that."""
+        """Propose a command with a unique name, and return the name."""
         name = f"p{next(self.numbers)}"
         self.feed(vm, ev.Propose(name, name))
         return name
 
     def read(self, vm):
-        """Ask for a read, and note what it must see."""
+        """Request a read, record the index that it must see, and return its name."""
         name = f"r{next(self.numbers)}"
         self.reads[name] = max(self.accepted.values(), default=0)
         self.feed(vm, ev.ReadIndex(name))
         return name
 
     def change(self, action, voter):
-        """Ask the leader to change the voter set, and return the proposal's name."""
+        """Propose a change of the voter set to the leader, and return its name."""
         name = f"c{next(self.numbers)}"
         self.feed(self.leader(), ev.ChangeVoters(name, action, voter))
         return name
 
     def run(self, wait_s, loss=0.0, duplicated=0.0):
-        """Let time pass, with messages lost, doubled and in any order."""
+        """Advance the time, with messages lost, duplicated and reordered."""
         end_s = self.now_s + wait_s
         while self.now_s < end_s:
             self.now_s += TICK_S
@@ -218,7 +218,7 @@
             self.deliver(loss, duplicated)
 
     def deliver(self, loss=0.0, duplicated=0.0):
-        """Deliver what is on the network, and what comes of it, for a few hops."""
+        """Deliver the messages in flight and the replies to them, for a few hops."""
         for _ in range(4):
             batch, self.network = self.network, []
             if loss or duplicated:
@@ -234,7 +234,7 @@
                 self.deliver_message(sender, send)
 
     def deliver_message(self, sender, send):
-        """Give one message to the VM that it is for, through JSON."""
+        """Deliver one message to its VM, encoded and decoded as JSON."""
         link = frozenset((sender, send.vm))
         if (
             send.vm not in self.members
@@ -256,7 +256,7 @@
         return max(leading, key=lambda member: member.node.term).vm
 
     def settle(self, wait_s=5.0):
-        """Run until a leader that can reach a majority has committed something new."""
+        """Run until a reachable leader commits a new command; return the leader."""
         end_s = self.now_s + wait_s
         while self.now_s < end_s:
             self.run(0.5)
@@ -273,7 +273,7 @@
         return status(self.members[vm].node)
 
     def commit_commands(self, count):
-        """Accept a number of commands, and return their names."""
+        """Commit a number of commands, and return their names."""
         names = []
         while len(names) < count:
             names.append(self.propose(self.leader()))
--- a/libs/quorum/test/fakedisk.py
+++ b/libs/quorum/test/fakedisk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses what wasn't synced."""
+"""In-memory disk that loses unsynced data when power fails."""
 
 import itertools
 
@@ -6,11 +6,11 @@
 
 
 class PowerLoss(Exception):
-    """The fake disk has reached the operation at which it fails."""
+    """The fake disk has reached the operation at which power fails."""
 
 
 class FakeFile:
-    """Bytes as a process sees them, and the writes since the last sync."""
+    """A file's content as a process reads it, and the writes since the last sync."""
 
     def __init__(self):
         self.data = bytearray()
@@ -30,7 +30,7 @@
         self.pending = []
 
     def crash(self, rng):
-        """Keep any of the unsynced writes, the last kept one perhaps torn."""
+        """Keep a random part of the unsynced writes; the last one may be torn."""
         self.data = bytearray(self.synced)
         kept = [write for write in self.pending if rng.random() < 0.5]
         for number, (offset, data) in enumerate(kept):
@@ -46,7 +46,7 @@
 
 
 class FakeDisk:
-    """One folder; a rename lasts only once the folder is synced."""
+    """One folder; a rename is durable only once the folder is synced."""
 
     def __init__(self):
         self.names = {}
@@ -73,7 +73,7 @@
         )
 
     def crash(self, rng):
-        """Lose power: unsynced writes and renames each last or don't."""
+        """Simulate a power loss: each unsynced write and rename is kept or lost."""
         for name in set(self.names) | set(self.durable):
             if rng.random() < 0.5 or self.names.get(name) is None:
                 self._revert(name)
@@ -101,7 +101,7 @@
         try:
             self._do(self.handles[fd].write, offset, data)
         except PowerLoss:
-            # Part of it was on its way; `crash` decides how much arrives.
+            # The write was in progress; `crash` decides how much of it is kept.
             self.handles[fd].write(offset, data)
             raise
 
--- a/libs/quorum/test/test_core.py
+++ b/libs/quorum/test/test_core.py
@@ -1,4 +1,4 @@
-"""Focused tests of failures on a few voters."""
+"""Tests of single failures in a small cluster."""
 
 import unittest
 
@@ -15,10 +15,10 @@
         self.assertEqual(cluster.ready[read], cluster.accepted["p1"])
 
     def test_voter_without_link_to_the_leader_does_not_depose_it(self):
-        """Callers see no pause when one link breaks, nor when it is mended.
+        """A broken link between a follower and the leader causes no election.
 
-        A follower hears the other one but not the leader, and has all entries. The
-        other one still hears the leader and refuses the pre-vote, so no term rises.
+        The follower has all entries and still reaches the other one. That one is in
+        contact with the leader and refuses the pre-vote, so the term doesn't rise.
         """
         cluster = Cluster(3)
         leader = cluster.settle()
@@ -32,10 +32,10 @@
         self.assertEqual(cluster.status(leader)["term"], term)
 
     def test_stopping_leader_transfers_leadership_at_once(self):
-        """A planned stop costs callers a round trip, not an election time.
+        """A planned stop delays callers by a round trip, not by an election timeout.
 
-        The leader asks its best follower to campaign and rejects what comes later;
-        that one leads before any election wait could have ended.
+        The leader asks its best follower to campaign and rejects later requests. The
+        follower leads before any election timeout could have expired.
         """
         cluster = Cluster(3)
         leader = cluster.settle()
@@ -46,11 +46,10 @@
         self.assertTrue(cluster.rejected[late])
 
     def test_leader_is_elected_soon_after_a_common_power_loss(self):
-        """Callers wait for the first leader after a loss of power.
+        """After a power loss of all voters the first election timeout is shorter.
 
-        All voters stop and start again; none has anybody to wait for. With the usual
-        election time before the first campaign the leader was there 0.3 s later. A
-        voter that starts again beside a leader must still not unseat it.
+        With the usual timeout the leader was elected 0.3 s later. A voter that
+        restarts while there is a leader must still not depose it.
         """
         timing = TIMING._replace(first_election_min_s=0.06, first_election_max_s=0.15)
         cluster = Cluster(3, timing=timing)
@@ -71,10 +70,10 @@
         self.assertEqual(cluster.status(leader)["term"], term)
 
     def test_message_for_the_old_disk_or_another_cluster_is_ignored(self):
-        """A message that is not for this disk, or is broken, changes nothing.
+        """A message for another disk or cluster, or a malformed one, has no effect.
 
-        A VM with a new disk still gets what was meant for its old one, and a wrong
-        address in some settings brings another cluster's messages with high terms.
+        A VM with a new disk still receives messages for its old one, and a wrong
+        address in the settings leads to another cluster's messages with high terms.
         """
         cluster = Cluster(3)
         leader = cluster.settle()
@@ -90,12 +89,12 @@
 
 class IsolationTest(unittest.TestCase):
     def test_isolated_leader_serves_no_reads_and_accepts_no_changes(self):
-        """An operator at a leader that is cut off reads nothing stale.
+        """A partitioned leader serves no stale read.
 
-        The leader is cut off; the others elect another and accept a change. Before
-        the old leader notices, a read comes: answered from its own state (the naive
-        way) it would miss the change. It waits for a round of heartbeats instead,
-        and is rejected when check-quorum makes the leader step down.
+        The others elect another leader and accept a change. A read at the old leader,
+        answered from its own state (the naive way), would miss the change. It waits
+        for a heartbeat round instead, and is rejected when check-quorum makes the
+        leader step down.
         """
         cluster = Cluster(3)
         old = cluster.settle()
@@ -114,12 +113,12 @@
         self.assertTrue(all(cluster.rejected[name] for name in late))
 
     def test_leader_that_was_frozen_serves_no_stale_reads(self):
-        """A read at a leader that was frozen doesn't miss what came meanwhile.
+        """A read at a leader that was frozen doesn't miss changes made meanwhile.
 
-        The leader is frozen with answers to its heartbeats in its sockets; another is
-        elected and accepts changes. Thawed, it gets a read and a change before
-        anything else, then the old answers. Those count from when their questions
-        were sent, so it steps down first.
+        The leader is frozen with heartbeat replies in its sockets; another is elected
+        and accepts changes. When it resumes, it receives a read and a change before
+        the old replies. Replies count from when their requests were sent, so it steps
+        down first.
         """
         cluster = Cluster(3)
         old = cluster.settle()
@@ -140,10 +139,10 @@
         cluster.check_no_loss()
 
     def test_requests_are_rejected_without_a_majority(self):
-        """Two of three disks are lost: the last VM says no and stays alone.
+        """After the loss of two of three disks all requests are rejected.
 
-        It must not serve reads, accept changes or make a cluster of its own, nor may
-        the two wiped VMs, which have no voter set at all.
+        The remaining VM must not serve reads, accept changes or form a cluster alone,
+        nor may the two wiped VMs, which have no voter set.
         """
         cluster = Cluster(3)
         cluster.settle()
@@ -159,10 +158,10 @@
         self.assertEqual(cluster.accepted, accepted)
 
     def test_voter_rejoins_after_hundreds_of_changes(self):
-        """A voter is away for hundreds of changes and undoes none of them.
+        """A voter that was partitioned for hundreds of changes undoes none of them.
 
-        It has entries of its own that were never committed. It comes back once within
-        the leader's log, and once so late that only a snapshot helps.
+        It has uncommitted entries of its own. It returns once while the leader's log
+        still has the entries it lacks, and once when it needs a snapshot.
         """
         for count, by_snapshot in ((30, False), (500, True)):
             with self.subTest(count=count):
@@ -183,9 +182,9 @@
 
 class WriteTest(unittest.TestCase):
     def test_pending_entries_share_one_write(self):
-        """Changes that come while the disk is busy cost one fsync together.
+        """Changes that arrive while the disk is busy share one fsync.
 
-        Otherwise each caller would wait for the fsyncs of all before it.
+        Otherwise each caller would wait for the fsyncs of all earlier ones.
         """
         cluster = Cluster(1)
         cluster.settle()
@@ -199,11 +198,11 @@
         self.assertEqual(cluster.pending_writes["a"], [])
 
     def test_entry_counts_only_once_synced(self):
-        """A change is neither accepted nor shown on one synced copy of three.
+        """A change with one synced copy of three is neither accepted nor applied.
 
-        One follower is down. Either the leader or the other follower has the entry on
-        its way to a busy disk, while heartbeats go on and are answered. Lost then, the
-        entry would be on no disk of the next majority.
+        One follower is down. The leader or the other follower is still writing the
+        entry to a busy disk, while heartbeats continue and are answered. After a power
+        loss the next majority might have no copy of the entry.
         """
         for busy_leader in (True, False):
             with self.subTest(busy_leader=busy_leader):
@@ -228,8 +227,8 @@
     def test_vote_is_sent_only_once_synced(self):
         """A voter that loses power doesn't vote twice in one term.
 
-        Two candidates ask in turn; power is cut while the first vote is on its way to
-        the disk. Had the first answer been sent, two leaders could stand in the term.
+        Two candidates request its vote in turn, and power fails while the first vote
+        is being written. If that vote had been sent, the term could have two leaders.
         """
         cluster = Cluster(3)
         cluster.slow_disks = True
--- a/libs/quorum/test/test_files.py
+++ b/libs/quorum/test/test_files.py
@@ -1,4 +1,4 @@
-"""What the data folder keeps through power cuts, and what it refuses to open."""
+"""Tests of the data folder: power loss, damage, and folders that must not open."""
 
 import random
 import tempfile
@@ -20,9 +20,9 @@
 
 class CreationTest(unittest.TestCase):
     def test_creation_is_explicit_and_happens_once(self):
-        """A folder that isn't there, or is empty, is never opened as a fresh voter.
+        """A missing or empty folder is never opened as a new voter.
 
-        A mount that is missing after a restart would otherwise look like a new disk.
+        Otherwise a mount that is missing after a restart would look like a new disk.
         """
         with tempfile.TemporaryDirectory() as folder:
             self.assertIn("no identity", str(open_disk(folder, "a").error))
@@ -36,7 +36,7 @@
             self.assertIn("not of b", str(open_disk(folder, "b").error))
 
     def test_second_process_cannot_open_the_folder(self):
-        """Two daemons on one folder would write over each other's records."""
+        """Two daemons on one folder would overwrite each other's records."""
         with tempfile.TemporaryDirectory() as folder:
             join_disk(folder, "a", "10.0.0.1:1")
             disk = open_disk(folder, "a").ok
@@ -72,10 +72,10 @@
         return open_disk(FOLDER, "a", self.fake.filesystem())
 
     def test_torn_tail_is_dropped(self):
-        """A power cut in a write leaves part of a record, which was never answered.
+        """A power loss during a write leaves part of an unacknowledged record.
 
-        At each length of the part the voter starts with what was synced, and what it
-        writes next is read back.
+        For each length of that part the voter starts with the synced records, and its
+        next write is read back.
         """
         for kept in range(0, 80, 7):
             with self.subTest(kept=kept):
@@ -98,9 +98,9 @@
                 self.assertEqual(len(disk.saved.entries), 6)
 
     def test_damage_before_the_tail_prevents_opening(self):
-        """A voter with a damaged record among accepted ones doesn't start.
+        """A voter with a damaged record before accepted ones doesn't start.
 
-        Cutting there would take accepted entries back; the error says where to look.
+        Truncating there would undo accepted entries; the error names the offset.
         """
         middle = len(self.before) // 2
         self.log.data[middle] ^= 1
@@ -109,10 +109,10 @@
         self.assertRegex(error, r"data/log: damaged at offset \d+, before an intact")
 
     def test_damage_to_the_last_synced_record_prevents_opening(self):
-        """The last record was synced and answered; it is no torn tail.
+        """Damage to the last record, which was synced and answered, is no torn tail.
 
-        Both a changed byte and a cut-off end are seen, since the synced length is
-        noted next to the log.
+        A changed byte and a truncated end are both detected, since the synced size is
+        stored next to the log.
         """
         for change in (lambda d: d[:-1] + b"?", lambda d: d[:-3], lambda d: d[:-90]):
             self.log.data = bytearray(change(self.before))
@@ -131,7 +131,7 @@
             file.sync()
 
     def test_lost_snapshot_prevents_opening(self):
-        """Without its snapshot a log begins in the middle of the history."""
+        """Without its snapshot a compacted log lacks the entries before its base."""
         save_snapshot(self.disk, 3)
         del self.fake.names["snapshot"], self.fake.durable["snapshot"]
         self.assertIn("the log begins after 3", str(self.reopen().error))
@@ -139,11 +139,11 @@
 
 class PowerLossTest(unittest.TestCase):
     def test_power_loss_at_every_operation(self):
-        """Whatever was answered is there after a power cut at any disk operation.
+        """All acknowledged writes survive a power loss at any disk operation.
 
-        Each write, sync, rename and folder sync in turn is the last one. Unsynced
-        writes are then lost, kept, reordered or torn. The run covers appends, a
-        truncation, snapshots with and without a log tail, and the cut of a torn tail.
+        Power fails at each write, sync, rename and folder sync in turn. Unsynced writes
+        are then lost, kept, reordered or torn. The run covers appends, a truncation,
+        snapshots with and without a log tail, and dropping a torn tail.
         """
         for sync in (True, False):
             with self.subTest(sync=sync):
@@ -153,7 +153,7 @@
                     for power_loss_at in range(1, 60)
                     if not self.survives(power_loss_at, seed, sync)
                 ]
-                # The naive version doesn't sync, and loses what it answered.
+                # The naive version doesn't sync, and loses acknowledged writes.
                 self.assertEqual(bool(failures), not sync, failures)
 
     def survives(self, power_loss_at, seed, sync):
@@ -166,7 +166,7 @@
         except PowerLoss:
             pass
         fake.crash(rng)
-        # Power may fail again while the folder is opened.
+        # Power may fail a second time while the folder is opened.
         fake.power_loss_at = fake.operations + 1 + seed % 3
         try:
             opened = open_disk(FOLDER, "a", fake.filesystem())
@@ -175,7 +175,7 @@
             opened = open_disk(FOLDER, "a", fake.filesystem())
         if opened.is_error():
             return False
-        # The last operation may have taken effect without having been answered.
+        # The last operation may have taken effect without being acknowledged.
         return opened.ok.saved in answered[-2:] + self.expected(answered)
 
     def work(self, disk, answered):
@@ -196,7 +196,7 @@
         )
 
     def expected(self, answered):
-        """Return what the disk holds if the step under way took effect."""
+        """Return the disk's content if the step in progress took effect."""
         _, disk = new_disk()
         done = len(answered)
         for step in self.steps()[:done]:
@@ -208,7 +208,7 @@
     def test_log_tail_is_kept_only_if_it_follows_the_snapshot(self):
         """A voter opens no log that mixes two leaders' entries (see test_replication).
 
-        Power may be cut before the entries after the snapshot are truncated.
+        Power may fail before the entries after the snapshot are truncated.
         """
         for term, count in ((1, 3), (2, 0)):
             fake, disk = new_disk()
@@ -221,9 +221,9 @@
 
 class FailedWriteTest(unittest.TestCase):
     def test_failed_sync_makes_the_disk_unusable(self):
-        """After a failed fsync nothing more is answered, also if the next succeeds.
+        """After a failed fsync every write fails, even if the next fsync succeeds.
 
-        The system may have dropped the data, and reports the failure only once.
+        The operating system may have dropped the data, and reports the failure once.
         """
         fake, disk = new_disk()
 
--- a/libs/quorum/test/test_histories.py
+++ b/libs/quorum/test/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of faults against an oracle (see `builders.Cluster`)."""
+"""Random sequences of faults, checked by an oracle (see `builders.Cluster`)."""
 
 import unittest
 
@@ -13,18 +13,18 @@
 
 VMS = st.integers(0, 4)
 RATES = st.sampled_from((0.0, 0.0, 0.1, 0.3))
-# Each fault is followed by some work under it: changes, wait, loss, doubling.
+# Each fault is followed by work: changes, waiting time, loss and duplication rates.
 WORK = st.tuples(
     st.integers(0, 60), st.sampled_from((0.05, 0.7, 1.5, 3.0)), RATES, RATES
 )
 
 
 class Histories(RuleBasedStateMachine):
-    """What is accepted stays; one leader a term; one history; no stale reads."""
+    """Checks that accepted changes stay, terms have one leader and reads are fresh."""
 
     @initialize(count=st.sampled_from((3, 5)), seed=st.integers(0, 1 << 16))
     def begin(self, count, seed):
-        # Half of them campaign sooner after a start, as the processes do.
+        # Half of the clusters use short first election timeouts, as the daemons do.
         fast_timing = TIMING._replace(
             first_election_min_s=0.06, first_election_max_s=0.15
         )
@@ -37,7 +37,7 @@
         return sorted(self.cluster.members)[number % len(self.cluster.members)]
 
     def work(self, work):
-        """Propose and read at whoever leads, old leaders included."""
+        """Propose and read at every VM in the leader role, including stale leaders."""
         count, wait_s, loss, duplicated = work
         for _ in range(4):
             leaders = [
@@ -114,7 +114,7 @@
     @rule(number=VMS, recreate=st.booleans(), mend=st.booleans(), work=WORK)
     def lose_disk(self, number, recreate, mend, work):
         vm = self.vm(number)
-        # One disk at a time of three voters, two of five: a majority is left.
+        # At most one of three disks or two of five at a time, so a majority is left.
         most = (len(self.cluster.members) - 1) // 2
         if vm in self.wiped or len(self.repairs) == most:
             return
@@ -172,10 +172,10 @@
 
 class HistoriesTest(unittest.TestCase):
     def test_random_histories(self):
-        """Nothing accepted is lost, changed or missed by a read, whatever happens.
+        """No accepted change is lost, altered or missed by a read under any faults.
 
-        Messages are lost, doubled and reordered; VMs are cut off, frozen, lose power
-        at any disk operation, lose their disk and are replaced.
+        Messages are lost, duplicated and reordered; VMs are partitioned, frozen, lose
+        power at any disk operation, lose their disk and are replaced.
         """
         run_state_machine_as_test(
             Histories,
--- a/libs/quorum/test/test_replication.py
+++ b/libs/quorum/test/test_replication.py
@@ -1,4 +1,4 @@
-"""What one leader of five makes of single answers, given by harness."""
+"""Tests of one voter of five whose peers' messages are scripted."""
 
 import random
 import unittest
@@ -11,7 +11,7 @@
 
 
 class Harness:
-    """A core whose peers are played by the test."""
+    """A core whose peers are simulated by the test."""
 
     def __init__(self, entries=()):
         self.voters = make_voters(5)
@@ -21,7 +21,7 @@
         self.now_s = 1.0
 
     def feed(self, event):
-        """Feed an event, and say of each write at once that it is done."""
+        """Pass in an event, and complete each write at once."""
         effects = handle(self.node, event, self.now_s)
         for effect in list(effects):
             if isinstance(effect, ev.Persist):
@@ -29,7 +29,7 @@
         return effects
 
     def answer(self, vm, kind, **fields):
-        """Feed an answer of a voter in the present term."""
+        """Pass in a message from a voter, by default in the current term."""
         message = {"type": kind, "cluster": "x", "term": self.node.term, "vm": vm}
         message |= {"disk_id": f"disk-{vm}", "address": "", "to": "disk-a"}
         return self.feed(ev.Received(vm, message | fields))
@@ -63,7 +63,7 @@
 
 class LeadershipTest(unittest.TestCase):
     def test_vote_from_another_disk_of_a_voter_does_not_count(self):
-        """A VM that came back with another disk elects nobody."""
+        """Votes from a VM that returned with another disk don't count."""
         harness = Harness(make_entries(1))
         harness.feed(ev.Tick())
         for disk_id in ("disk-new", "disk-b"):
@@ -81,7 +81,7 @@
         self.assertEqual(harness.node.role, "leader")
 
     def test_reply_counts_from_the_send_time_of_its_request(self):
-        """A leader whose answers come late doesn't stay in office on old ones."""
+        """Late replies to old requests don't keep a leader in its role."""
         harness = Harness(make_entries(1)).elect()
         harness.now_s += TIMING.election_min_s * 0.9
         for vm in "bcde":
@@ -94,10 +94,10 @@
 
 class InstallTest(unittest.TestCase):
     def test_log_tail_is_kept_only_if_it_follows_the_snapshot(self):
-        """Entries of a leader that lost don't survive behind a newer snapshot.
+        """Entries of a deposed leader are not kept after a newer snapshot.
 
-        Kept, they would give this voter a log that no leader ever had, with an old
-        term at its end: it would help to elect a leader without accepted entries.
+        Otherwise this voter would have a log that no leader ever had, with an old term
+        at its end, and could help to elect a leader without accepted entries.
         """
         for term, last_index in ((1, 8), (2, 5)):
             harness = Harness(make_entries(*[1] * 8))
@@ -110,11 +110,12 @@
 
 class FollowerTest(unittest.TestCase):
     def test_heartbeat_acknowledges_only_compared_entries(self):
-        """A follower's entries of another leader are neither acknowledged nor applied.
+        """A follower's entries from another leader are not acknowledged or applied.
 
-        They agreed with the leader before, but not with this one, which has only sent
-        a heartbeat so far. Acknowledged, they would count for entries that this
-        leader has at the same indexes, and an accepted one would be on too few disks.
+        They matched the previous leader's log, but the current leader has only sent a
+        heartbeat. If they were acknowledged, they would count as copies of the current
+        leader's entries at the same indexes, and an accepted entry would be on too few
+        disks.
         """
         harness = Harness(make_entries(2, 2, 2))
         for vm, term, place, synced in (("b", 3, (3, 2), 3), ("c", 4, (0, 0), 0)):
@@ -125,10 +126,10 @@
 
 
 class LostBatchTest(unittest.TestCase):
-    """Guards against voters that lack entries for long after all lost power."""
+    """Guards against voters that lack entries for long after a common power loss."""
 
     def batches_to(self, vm, effects):
-        """Return the batches of entries among effects that go to a voter."""
+        """Return the appends with entries to a voter among the effects."""
         sends = [e.message for e in effects if isinstance(e, ev.Send)]
         appends = [m for m in sends if m["type"] == "append" and m["entries"]]
         return [m for m in appends if m["to"] == f"disk-{vm}"]
@@ -156,11 +157,11 @@
 
 class CommitTest(unittest.TestCase):
     def test_entry_of_an_earlier_term_is_not_committed_by_copies_alone(self):
-        """A change that is answered as accepted can't be overwritten afterwards.
+        """An accepted change can't be overwritten later.
 
-        Three of five have an entry of term 2, but another voter may hold one of a
-        later term at its index and still win an election. Only an entry of the
-        leader's own term on a majority rules that out.
+        Three of five voters have an entry of term 2, but another voter may have one of
+        a later term at the same index and still win an election. Only an entry of the
+        leader's own term on a majority prevents that.
         """
         harness = Harness(make_entries(1, 2)).elect()
         for vm in "bc":
@@ -169,10 +170,10 @@
         self.assertIn("Apply", kinds(harness.acknowledge("c", 3)))
 
     def test_new_leader_reads_only_after_an_entry_of_its_own_term(self):
-        """A read just after an election sees what the last leader had accepted.
+        """A read just after an election sees all changes the last leader accepted.
 
-        The new leader has those entries but can't tell yet that they are committed;
-        a confirmed round of heartbeats alone would let it read too old an index.
+        The new leader has those entries but can't determine yet whether they are
+        committed; after a heartbeat round alone it would read at too low an index.
         """
         harness = Harness(make_entries(1, 2)).elect()
         effects = harness.feed(ev.ReadIndex("r"))
@@ -184,7 +185,7 @@
         self.assertIn(ev.ReadReady("r", 3), effects)
 
     def test_reply_from_another_disk_of_a_voter_does_not_count(self):
-        """A VM that came back with another disk adds nothing to a majority."""
+        """Replies from a VM that returned with another disk don't count."""
         harness = Harness(make_entries(1)).elect()
         harness.acknowledge("b", 2)
         wrong = {"disk_id": "disk-new"}, {"disk_id": "disk-d"}, {"term": 2}
@@ -194,10 +195,10 @@
         self.assertIn("Apply", kinds(harness.acknowledge("c", 2)))
 
     def test_conflicts_are_skipped_by_whole_terms(self):
-        """A voter with hundreds of entries of a lost leader is caught up at once.
+        """A voter with hundreds of entries of a deposed leader catches up at once.
 
-        One step back for each entry would take hundreds of round trips. An answer to
-        an append that was superseded is ignored.
+        Stepping back one entry at a time would take hundreds of round trips. A reply
+        to an append that was superseded is ignored.
         """
         harness = Harness(make_entries(*[1] * 10, *[2] * 300)).elect()
         conflict = {"ok": False, "prev_index": 310}
@@ -208,7 +209,7 @@
             self.assertEqual(harness.node.peers["disk-b"].next_index, 11)
 
     def test_batches_are_limited(self):
-        """Catching up doesn't hold up heartbeats behind one long message."""
+        """Catching up doesn't delay heartbeats by one long message."""
         harness = Harness(make_entries(*[1] * 200)).elect()
         conflict = {"ok": False, "prev_index": 200, "conflict_index": 1}
         sends = harness.acknowledge("b", 0, **conflict)
--- a/libs/quorum/test/test_voters.py
+++ b/libs/quorum/test/test_voters.py
@@ -1,4 +1,4 @@
-"""Tests of the voter set: lost disks, learners, and one change at a time."""
+"""Tests of the voter set: lost disks, learners, and single changes."""
 
 import unittest
 
@@ -8,12 +8,12 @@
 
 
 def old_voter(cluster, vm):
-    """Return the voter that a VM was when the cluster began."""
+    """Return the initial voter of a VM."""
     return next(v for v in make_voters(len(cluster.members)) if v.vm == vm)
 
 
 def repair(cluster, vm):
-    """Replace a lost disk: learner, promote, remove the old one."""
+    """Replace a lost disk: add a learner, promote it, remove the old disk."""
     learner = cluster.wipe(vm)
     names = []
     for action, voter in (
@@ -28,12 +28,12 @@
 
 class VoterTest(unittest.TestCase):
     def test_vm_with_a_replaced_disk_has_no_vote(self):
-        """A change that was accepted is still there after one VM lost its disk.
+        """An accepted change survives the loss of one VM's disk.
 
-        c is cut off while a and b accept a change. b loses its disk and comes back; a
-        is cut off. Were b still counted by its name, b and c would be a majority that
-        never saw the change, and would go on without it: two majorities disagree.
-        With the disk in the voter set, c and the new disk of b elect nobody.
+        c is partitioned while a and b accept a change. Then b returns with an empty
+        disk and a is partitioned. If b were counted by its name alone, b and c would be
+        a majority without the change, and two majorities would disagree. With the disk
+        in the voter set, c and the new disk of b elect no leader.
         """
         cluster = self.lose_b(recreate=True, naive=True)
         with self.assertRaisesRegex(AssertionError, "another|accepted, then lost"):
@@ -49,11 +49,11 @@
             self.assertEqual(cluster.status("b")["founded"], not recreate)
 
     def test_recreated_disk_of_an_initial_voter_never_counts(self):
-        """A founder's disk that was lost and created again adds to no majority.
+        """An initial voter's disk that was lost and recreated counts for no majority.
 
-        It would sync what the leader sends and acknowledge it, and vote in terms in
-        which it has voted before. It hears a leader without ever having voted, so it
-        knows, and says nothing for as long as it lives.
+        Otherwise it would acknowledge entries and vote again in terms in which it has
+        voted before. It detects this by messages from a leader although it has never
+        voted, and then answers nothing.
         """
         cluster = Cluster(3)
         cluster.settle()
@@ -82,8 +82,8 @@
     def test_learner_never_campaigns(self):
         """A wiped VM that has its log back but isn't promoted yet stays a follower.
 
-        Its name is still in the voter set, with the old disk. The leader is gone, and
-        the other voter is cut off, so nobody may lead.
+        The voter set still has its name with the old disk. The leader is down and the
+        other voter is partitioned, so no VM may lead.
         """
         cluster = Cluster(3)
         cluster.settle()
@@ -110,11 +110,11 @@
         return cluster
 
     def test_changes_survive_a_repair_and_a_second_lost_disk(self):
-        """After lose-disk, repair, lose another, each accepted change is there.
+        """Accepted changes survive a lost disk, its repair and a second lost disk.
 
-        Changes go on between the steps while one voter is cut off and behind. The
-        repaired VM counts only once it holds the log, and the change that makes it a
-        voter is itself committed by the new majority.
+        Changes continue between the steps while one voter is partitioned and behind.
+        The repaired VM counts only once it has the log, and its promotion is itself
+        committed by the new majority.
         """
         for count in (3, 5):
             with self.subTest(voters=count):
@@ -141,9 +141,9 @@
                 self.assertEqual(len(cluster.status(cluster.leader())["voters"]), count)
 
     def test_second_voter_change_in_flight_is_rejected(self):
-        """Of two voter changes at once the second is rejected, as certain.
+        """Of two concurrent voter changes the second is rejected, as certain.
 
-        Two sets that differ by two voters can have majorities that don't meet.
+        Two sets that differ by two voters can have majorities without overlap.
         """
         cluster = Cluster(3)
         cluster.settle()
@@ -155,10 +155,10 @@
         self.assertIn("another change", cluster.reasons[second])
 
     def test_change_that_leaves_no_live_majority_is_rejected(self):
-        """A repair in the wrong order doesn't end the service.
+        """A repair in the wrong order doesn't cause an outage.
 
-        With one of three dead, removing a live one would leave one live voter of two;
-        and a learner that never answered must not become a voter.
+        With one of three voters dead, removing a live one would leave one live voter
+        of two. A learner that never answered must not become a voter.
         """
         cluster = Cluster(3)
         cluster.settle()
@@ -183,9 +183,9 @@
     def test_learner_that_never_replied_is_not_promoted(self):
         """A learner with a mistyped disk id is not promoted right after it was added.
 
-        An operator replaces a lost disk and names the wrong new one. Nobody has that
-        disk, so as a voter it never answers: with two of four voters gone no change
-        would be accepted ever again.
+        An operator replaces a lost disk and mistypes the id of the new one. That disk
+        doesn't exist, so as a voter it would never answer: with two of four voters
+        missing, no change could be committed any more.
         """
         cluster = Cluster(3)
         cluster.settle()
--- a/libs/state/test/builders.py
+++ b/libs/state/test/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the state machine's tests, and its naive version."""
+"""Test data for the state machine, and a naive version of it."""
 
 from hypothesis import Phase, settings, stateful, strategies as st
 
@@ -14,7 +14,7 @@
 
 
 def find_failure(make_machine):
-    """Run a naive version until it fails; its failure need not be reduced."""
+    """Run a naive version until it fails, without shrinking the failure."""
     quick = {"phases": [Phase.generate], "report_multiple_bugs": False}
     unshrunk = settings(SETTINGS, max_examples=1000, **quick)
     stateful.run_state_machine_as_test(make_machine, settings=unshrunk)
@@ -41,7 +41,7 @@
 
 
 class Voter:
-    """The state machine behind a log, as one control VM runs it."""
+    """The state machine of one control VM, fed by a log."""
 
     def __init__(self):
         self.state = machine.new_state()
@@ -54,7 +54,7 @@
         self.state = machine.restore(machine.snapshot(self.state))
 
     def pass_time(self, wait_s):
-        """Let a time pass in steps that the clock allows."""
+        """Advance the log's time in steps that the clock allows."""
         start_s = self.state.clock_s or 0.0
         for step in range(int(wait_s // 60) + 1):
             self.apply(c.Clock(start_s + 60.0 * step))
@@ -62,7 +62,7 @@
 
 
 class NaiveVoter:
-    """Last writer wins, and claims by key alone, closed by any attempt's outcome."""
+    """Last writer wins, and claims are known by key and closed by any attempt."""
 
     def __init__(self):
         self.held = {}
--- a/libs/state/test/test_claims.py
+++ b/libs/state/test/test_claims.py
@@ -13,9 +13,9 @@
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Entries that open, resend and give up; packets late and doubled.
+    """Entries that open, resend and give up, with late and duplicated packets.
 
-    `ran` and `tombstones` are the sidecars' gates, by endpoint and attempt id.
+    `ran` and `tombstones` model the sidecars' gates, by endpoint and attempt id.
     """
 
     def __init__(self, voter):
@@ -34,7 +34,7 @@
 
     @stateful.rule(endpoint=st.sampled_from("ab"))
     def open(self, endpoint):
-        # A key ends in done or unknown before long; each dozen proposals get a new one.
+        # A key soon ends in done or unknown; every 12 proposals use a new one.
         number = len(self.sent)
         self.propose(an_open(f"attempt-{number}", f"k{number // 12}", endpoint))
 
@@ -80,7 +80,7 @@
         return find_claim(self.voter.state, "petra-tours", "k1")
 
     def test_each_call_runs_at_most_once(self):
-        """A filing is stamped once, or the caller is told truly that it was not.
+        """A filing runs once, or the caller gets a correct not-run.
 
         Entries open claims, lose answers, resend, and give up with or without a
         tombstone; grants and outcomes arrive late and twice; voters restart.
@@ -88,19 +88,20 @@
         fuzz(lambda: ClaimMachine(Voter()))
 
     def test_claims_without_attempt_ids_run_a_call_twice(self):
-        """A second coach comes to the hotel.
+        """Without attempt ids a duplicated outcome lets a call run twice.
 
-        Attempt 1 is given up, attempt 2 is granted and runs, then attempt 1's doubled
-        not-run arrives. It closes a claim known by key alone, and attempt 3 runs too.
+        Attempt 1 is given up, attempt 2 is granted and runs, then a duplicate of
+        attempt 1's not-run arrives. It closes the claim, which is known by its key
+        alone, and attempt 3 runs as well.
         """
         with self.assertRaises(AssertionError):
             find_failure(lambda: ClaimMachine(NaiveVoter()))
 
     def test_lost_grant_is_repeated_only_to_the_same_incarnation(self):
-        """The entry lost the answer to its claim and proposes it again.
+        """An entry that lost the answer to its claim can propose it again.
 
-        It must go on with its own attempt. The same attempt id for another sidecar
-        would pass both gates, since each sidecar remembers its own attempts alone.
+        It must continue with its own attempt. The same attempt id for another sidecar
+        would pass both gates, since each sidecar only stores its own attempts.
         """
         self.voter.apply(an_open())
         self.assertEqual(self.voter.apply(an_open()).code, "granted")
@@ -141,10 +142,10 @@
         self.assertEqual(self.voter.state.claim_weights, {})
 
     def test_flood_of_keys_leaves_half_of_the_table_to_others(self):
-        """A partner floods the platform with new keys.
+        """A customer that floods the platform with keys gets at most half the table.
 
-        Its claims stop at half of the table and are refused, not run; other customers'
-        are still granted, and none that is held is dropped.
+        Its further claims are refused and do not run. Other customers' claims are still
+        granted, and no stored claim is dropped.
         """
         with mock.patch.object(claims, "MAX_WEIGHT", 10):
             codes = [self.voter.apply(an_open(key=f"k{n}")).code for n in range(8)]
--- a/libs/state/test/test_clock.py
+++ b/libs/state/test/test_clock.py
@@ -1,4 +1,4 @@
-"""Tests of the log's time and of what leaves the state by it."""
+"""Tests of the log's time and of records that expire by it."""
 
 import unittest
 from unittest import mock
@@ -19,10 +19,10 @@
         return self.voter.state.now_s
 
     def test_time_never_goes_back_and_continues_after_a_fast_leader(self):
-        """A leader whose clock is years ahead gives way to one whose clock is right.
+        """A leader whose clock is years ahead is followed by one with a correct clock.
 
-        Time has moved one step too far. It then goes on with the right clock, rather
-        than stand still for years while claims pile up.
+        Time has advanced one step too far. It then continues with the correct clock
+        instead of stopping for years while claims accumulate.
         """
         self.assertEqual(self.tick(1000.0, 1030.0), 30.0)
         self.assertEqual(self.tick(9e8), 90.0)
@@ -30,9 +30,9 @@
         self.assertEqual(self.tick(1090.0), 120.0)
 
     def test_wrong_clock_expires_no_claim(self):
-        """A leader with a clock a week ahead takes over; a client resends its filing.
+        """A client resends its filing to a leader whose clock is a week ahead.
 
-        Had the claim left by that clock, the resend would file it a second time.
+        If that clock had expired the claim, the filing would run a second time.
         """
         self.voter.apply(an_open())
         self.tick(1000.0, 1000.0 + 7 * 24 * 3600)
--- a/libs/state/test/test_contracts.py
+++ b/libs/state/test/test_contracts.py
@@ -1,4 +1,4 @@
-"""Tests of contracts under racing operators, resends and restarts."""
+"""Tests of contracts with concurrent operators, resends and restarts."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class ContractMachine(stateful.RuleBasedStateMachine):
-    """Operators who race with equal versions and resend; the oracle is two dicts."""
+    """Operators that race on equal versions and resend; the oracle is two dicts."""
 
     def __init__(self, voter):
         super().__init__()
@@ -53,16 +53,16 @@
         return self.voter.apply(a_put(*arguments, **changes))
 
     def test_races_and_resends_keep_the_first_answers(self):
-        """Operators race on equal versions and resend what got no answer.
+        """Operators race on equal versions and resend unanswered changes.
 
-        Of two with the same version one wins and the other is told the conflict and
-        the version in force. Each change id keeps its first answer, over restarts
-        too; otherwise a resend would undo what another operator changed meanwhile.
+        Of two changes with the same version, one succeeds and the other gets a
+        conflict with the version in force. Each change id keeps its first answer, also
+        over restarts; otherwise a resend would undo another operator's later change.
         """
         fuzz(lambda: ContractMachine(Voter()))
 
     def test_last_writer_wins_loses_a_change(self):
-        """The naive version takes the second writer's contract and says ok to both."""
+        """The naive version accepts both writers' contracts and keeps the second."""
         with self.assertRaises(AssertionError):
             find_failure(lambda: ContractMachine(NaiveVoter()))
 
--- a/libs/state/test/test_machine.py
+++ b/libs/state/test/test_machine.py
@@ -1,4 +1,4 @@
-"""Tests of the machine: total on any record, and the same on every voter."""
+"""Tests of the state machine: accepts any record, deterministic on every voter."""
 
 import json
 import unittest
@@ -37,10 +37,10 @@
     @SETTINGS
     @given(st.one_of(st.text(st.characters()), lists, damaged))
     def test_no_record_raises_or_corrupts_the_state(self, payload):
-        """One unreadable record must not stop every voter at each restart.
+        """An unreadable record must not crash every voter at each restart.
 
-        Whatever the record holds it gets an answer, and the state can still be
-        written, read and used afterwards.
+        Every record gets an answer, and the state can still be serialized, restored
+        and changed afterwards.
         """
         state = machine.new_state()
         apply(state, 1, payload)
@@ -57,10 +57,10 @@
     @SETTINGS
     @given(st.lists(commands, min_size=10), st.integers(0, 20))
     def test_restored_voter_continues_identically(self, log, cut):
-        """A voter restarts from a snapshot, or a new one gets it from the leader.
+        """A voter restarts from a snapshot, or a new one receives it from the leader.
 
-        From there on it answers each record as the others do and ends in the same
-        state to the byte; otherwise their answers would part ways for ever.
+        It must then give the same answers as the others and end in the identical
+        state; otherwise their answers would diverge permanently.
         """
         first, second = Voter(), Voter()
         for number, command in enumerate(log):
@@ -94,9 +94,9 @@
                 restore(bad)
 
     def test_fences_increase_and_a_resend_gets_the_same(self):
-        """Two holders order one engine, and the older one resends its request.
+        """Of two holders of one engine the older one resends its request.
 
-        The resend must not overtake the newer holder, so it gets its old number.
+        The resend must not supersede the newer holder, so it gets its old number.
         """
         voter = Voter()
         first = voter.apply(TakeFence("r1", "desk-1"))
--- a/libs/state/test/test_stops.py
+++ b/libs/state/test/test_stops.py
@@ -19,10 +19,10 @@
         self.first = self.voter.apply(AnnounceStop("c1", STOP))
 
     def test_cancelled_stop_is_not_restored(self):
-        """An operator announces a stop, cancels it and releases the VM.
+        """A late resend of an announcement doesn't restore a cancelled stop.
 
-        The announcement's resend arrives last, under a new change id since the tool
-        was started again. It must not drain the VM a second time.
+        The resend has a new change id, since the tool was restarted. The operator has
+        released the VM, so it must not be drained a second time.
         """
         self.assertEqual(self.voter.apply(AnnounceStop("c2", STOP)), self.first)
         answer = self.voter.apply(CancelStop("c3", "s1"))
@@ -32,10 +32,10 @@
         self.assertEqual(self.voter.state.stops, {})
 
     def test_reader_behind_the_kept_cancellations_gets_everything(self):
-        """A reader was cut off while more stops were cancelled than are remembered.
+        """A reader was offline while more stops were cancelled than are kept.
 
-        A delta could no longer name them all, and its table would keep a cancelled
-        stop; so it is given the whole configuration.
+        A delta could not list all of them, and the reader would keep a cancelled stop.
+        So it gets the whole configuration.
         """
         with mock.patch.object(stops, "MAX_CANCELLED", 2):
             self.voter.apply(CancelStop("x", "s1"))
