--- a/libs/quorum/src/cherryrudder/quorum/node.py
+++ b/libs/quorum/src/cherryrudder/quorum/node.py
@@ -151,7 +151,7 @@
     After a power loss of all voters no leader exists, and callers would wait for a
     whole election timeout. So the first timeouts after a start are shorter. They don't
     disturb a working leader, as the other voters refuse the pre-vote, and a voter that
-    reaches nobody returns to normal timeouts after `FAST_ELECTIONS` attempts.
+    reaches no other returns to normal timeouts after `FAST_ELECTIONS` attempts.
     """
     timing = node.timing
     if node.fast_elections_left and timing.first_election_max_s:
--- a/libs/replica/src/cherryrudder/replica/peers.py
+++ b/libs/replica/src/cherryrudder/replica/peers.py
@@ -51,16 +51,18 @@
 
     def __init__(
         self,
-        seat: Seat,
+        config: Seat,
         group: TaskGroup,
         on_message: Callable[[str, dict], None],
         on_call: Callable[[str, Any], Awaitable[Any]],
     ):
-        self.address = seat.address
-        self._seat = seat
+        self.address = config.address
+        self._config = config
         self._group = group
         self._codec = FrameCodec((QuorumMessage, LeaderCall, LeaderReply))
-        self.links = Links(group, self._codec, seat.key, seat.address, self._link_down)
+        self.links = Links(
+            group, self._codec, config.key, config.address, self._link_down
+        )
         self._on_message = on_message
         self._on_call = on_call
         self._waiting: dict[str, Pending] = {}
@@ -71,14 +73,14 @@
             listen_frames,
             self.address,
             self._codec,
-            self._seat.key,
+            self._config.key,
             self._on_frames,
             stopping,
         )
 
     def send(self, address: str, message: dict) -> None:
         """Send a message of the voter's core; it may be lost."""
-        self.links.send(address, QuorumMessage(self._seat.vm, message))
+        self.links.send(address, QuorumMessage(self._config.vm, message))
 
     async def call(self, address: str, kind: str, value, deadline_s: float) -> Any:
         """Call the leader and return its answer, or None at the deadline."""
--- a/libs/replica/src/cherryrudder/replica/voter.py
+++ b/libs/replica/src/cherryrudder/replica/voter.py
@@ -39,16 +39,16 @@
 class Voter:
     """A control VM's voter, and the state machine's state that its log produces."""
 
-    def __init__(self, seat: Seat, disk: Disk, machine: Machine, group: TaskGroup):
+    def __init__(self, config: Seat, disk: Disk, machine: Machine, group: TaskGroup):
         self.group = group
         self.disk = disk
         self.machine = machine
         self.state = machine.new_state()
         self.applied_index = 0
         self.applied = anyio.Event()
-        self.peers = Peers(seat, group, self._on_message, self._on_call)
-        self.node = open_core(seat, disk)
-        self._heartbeat_s = seat.timing.heartbeat_s
+        self.peers = Peers(config, group, self._on_message, self._on_call)
+        self.node = open_core(config, disk)
+        self._heartbeat_s = config.timing.heartbeat_s
         self._effects = deque()
         self._effects_added = anyio.Event()
         self._failure: VoterFailed | None = None
@@ -243,9 +243,9 @@
     return None
 
 
-def open_core(seat: Seat, disk: Disk):
+def open_core(config: Seat, disk: Disk):
     """Return a core that resumes from the disk's content."""
     identity = disk.saved.identity
-    me = events.Voter(identity.vm, identity.disk_id, seat.address)
-    rng = random.Random(seat.seed)
-    return core.open_node(me, disk.saved, seat.timing, rng, now_s())
+    me = events.Voter(identity.vm, identity.disk_id, config.address)
+    rng = random.Random(config.seed)
+    return core.open_node(me, disk.saved, config.timing, rng, now_s())
