--- a/libs/state/src/cherryrudder/state/claims.py
+++ b/libs/state/src/cherryrudder/state/claims.py
@@ -19,7 +19,7 @@
 # ("full"). A claim has weight 1, plus 1 per `BODY_CHARS_PER_WEIGHT` of its body.
 MAX_WEIGHT = 100_000
 BODY_CHARS_PER_WEIGHT = 512
-# A receipt or confirmation has some hundred characters.
+# A receipt or confirmation has hundreds of characters.
 MAX_BODY_CHARS = 64 * 1024
 # A caller that gets not-run this often in a day is itself faulty.
 MAX_ATTEMPTS = 64
