--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -5,11 +5,11 @@
 
 from cherryrudder.layers import chains, pace, pipes
 from cherryrudder.layers.chains import Candidate, Chain, Need
-from cherryrudder.policy.roomqueue import Waiting
+from cherryrudder.policy.capacityqueue import WaitingStream
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import backoffs
 
-from . import backpressure, entrystate, ratekeeper
+from . import backpressure, entrystate, ratelimiter
 from .stream import Offer
 
 if TYPE_CHECKING:
@@ -39,17 +39,19 @@
     """Return a chain that is counted in, or None when none will be free in time."""
     job, began_s = stream.job, now_s()
     stream.refusal = ""
-    desk = stream.watch.desks.of(job.service.name)
+    desk = stream.watch.desks.get(job.service.name)
     await _acquire_permit(stream)
     if _backs_off_too_long(stream, now_s()):
         stream.refusal = BACKING_OFF
         stream.retry_after_s = _backpressure_s(stream, now_s())
         return None
     try:
-        chain = await desk.find(
+        chain = await desk.find_chain(
             _waiting(stream),
             lambda: _take_chain(stream),
-            is_picky=bool(stream.excluded(began_s) or bounding_firsts(stream)),
+            is_restricted=bool(
+                stream.excluded(began_s) or allowed_first_engines(stream)
+            ),
         )
     except BaseException:
         # A client may leave at the moment at which its stream's turn has come. The
@@ -75,7 +77,7 @@
     state, now = stream.job.state, now_s()
     if state.rates.book.limits:
         limited = _limited_firsts(stream, now, state.settings.vm_zone)
-        await ratekeeper.acquire(state, limited)
+        await ratelimiter.acquire(state, limited)
 
 
 def _limited_firsts(stream, now, vm_zone=""):
@@ -87,7 +89,7 @@
         one.engine_id
         for one in _firsts(stream, now)
         if vm_zone in ("", one.vm_zone)
-        and not ratekeeper.may_begin(state, one.engine_id, now)
+        and not ratelimiter.may_begin(state, one.engine_id, now)
         and not backoffs.is_active(state.backoffs, one.engine_id, now)
     ]
 
@@ -95,10 +97,10 @@
 def _firsts(stream, now):
     """Return the engines at which a stream could begin if they took requests."""
     state, avoided = stream.job.state, stream.excluded(now)
-    only_at = bounding_firsts(stream)
+    only_at = allowed_first_engines(stream)
     return [
         one
-        for one in entrystate.serving(state, stream.job.service.name, now)
+        for one in entrystate.serving_endpoints(state, stream.job.service.name, now)
         if one.holding.first == 0 < one.holding.end
         and one.address not in avoided
         and (not only_at or one.engine_id in only_at)
@@ -126,7 +128,7 @@
         return False
     firsts = _firsts(stream, now)
     lefts_s = [backoffs.left_s(book, one.engine_id, now) for one in firsts]
-    return min(lefts_s, default=0.0) > max(0.0, _waiting(stream).give_up_s - now)
+    return min(lefts_s, default=0.0) > max(0.0, _waiting(stream).expires_s - now)
 
 
 def _backpressure_s(stream, now):
@@ -145,18 +147,18 @@
     """
     job, route = stream.job, stream.job.route
     give_up_s = min(job.arrived_s + WAIT_SHARE * job.patience_s(), job.end_s)
-    return Waiting(
+    return WaitingStream(
         request_id=f"{job.facts.request_id}-{id(stream)}",
         account=job.admitted.account,
         tokens=stream.tokens,
         arrived_s=job.arrived_s,
-        in_time_until_s=job.arrived_s + route.objective_s - READ_S,
-        give_up_s=job.leaves_s() if stream.has_begun else give_up_s,
+        first_event_deadline_s=job.arrived_s + route.objective_s - READ_S,
+        expires_s=job.leaves_s() if stream.has_begun else give_up_s,
         has_begun=stream.has_begun,
     )
 
 
-def bounding_firsts(stream: "Stream", is_running: bool = False) -> set[str]:
+def allowed_first_engines(stream: "Stream", is_running: bool = False) -> set[str]:
     """Return the only engines at which a stream may begin again, nothing for any.
 
     Failure: parts of two chains die one after the other under one answer. The route
@@ -168,12 +170,12 @@
     enough, also of an engine that leaves: it may still be at work, and a request that
     is taken from living engines again and again is work for all of them.
     """
-    state, ran = stream.job.state, set(stream.ran_at)
+    state, ran = stream.job.state, set(stream.ran_engine_ids)
     if is_running:
         ran.add(stream.chain[0].engine_id)
     if len(ran) < stream.job.route.max_attempts:
         return set()
-    counted = {e for e in ran if not entrystate.is_certainly_dead(state, e)}
+    counted = {e for e in ran if not entrystate.is_confirmed_dead(state, e)}
     return counted if len(counted) >= stream.job.route.max_attempts else set()
 
 
@@ -211,7 +213,7 @@
     candidates = entrystate.candidates(job.state, job.service.name, now, vm_zone)
     avoided = stream.excluded(now) | lost
     left = [e for e in candidates if e.address not in avoided]
-    firsts = bounding_firsts(stream, is_running)
+    firsts = allowed_first_engines(stream, is_running)
     if not firsts:
         return left
     return [e if e.engine_id in firsts else e._replace(firsts=math.inf) for e in left]
@@ -223,7 +225,7 @@
     if chain is not None:
         stream.chain = chain
         stream.is_counted = True
-        backpressure.begin(stream.job.state, chain[0].engine_id, now_s())
+        backpressure.record_request(stream.job.state, chain[0].engine_id, now_s())
         entrystate.began(stream.job.state, chain, stream.tokens)
     return chain
 
@@ -277,10 +279,10 @@
     """Return why there is no chain, and ask for permits if these are what it lacks."""
     job = stream.job
     limited = _limited_firsts(stream, now)
-    ratekeeper.ask(job.state, limited, now)
+    ratelimiter.request_permits(job.state, limited, now)
     if _are_barred(stream, now):
         return LIMITED if limited else BACKING_OFF
-    is_whole = chains.is_whole(job.service.model, engines)
+    is_whole = chains.has_full_copy(job.service.model, engines)
     return NO_ROOM if is_whole else NO_CHAIN
 
 
@@ -296,7 +298,7 @@
         return None
     tokens = stream.job.facts.prompt_tokens
     least_s = pipes.crossing_s(model, tokens, 1)
-    if not pipes.is_open(state.pipes, least_s, state.entries, now):
+    if not pipes.has_budget(state.pipes, least_s, state.entries, now):
         # The search over all data centres is the dearest part of a choice, and those
         # that wait for room would make it again and again.
         return None
@@ -305,7 +307,7 @@
         return None
     count = chains.crossings(chain, engines)
     cost_s = pipes.crossing_s(model, tokens, count)
-    if not pipes.may_cross(state.pipes, cost_s, state.entries, now):
+    if not pipes.try_cross(state.pipes, cost_s, state.entries, now):
         return None
     stream.job.note("crossing", crossings=count, debt_s=round(state.pipes.debt_s, 3))
     return chain
@@ -315,7 +317,7 @@
     """Log what a stream lacked: which layer is held by too few, or too full."""
     job = stream.job
     engines = entrystate.candidates(job.state, job.service.name, now_s())
-    layer, free = chains.tightest(job.service.model, engines)
+    layer, free = chains.tightest_layer(job.service.model, engines)
     job.note(
         "no-chain",
         reason=stream.refusal,
@@ -324,6 +326,6 @@
         tightest_layer=layer,
         free_tokens=round(free),
         own_streams=len(stream.watch.streams),
-        only_at=sorted(bounding_firsts(stream)),
+        only_at=sorted(allowed_first_engines(stream)),
         limited=_limited_firsts(stream, now_s()),
     )
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -17,8 +17,8 @@
 from cherryrudder.routing.answertimes import Bounds
 
 from . import crashes, entrystate, reroute, stalls
+from .chainscheduler import ChainSchedulers
 from .entrystate import EntryState
-from .roomdesk import RoomDesks
 from .stalls import StallDesk
 from .stream import FIRST_LOST_S, FIRST_SILENCE_S
 
@@ -30,7 +30,7 @@
 REVIEW_S = 0.02
 # When a stream counts as silent, by its own pauses: engines read long prompts between
 # its events, and clients count a pause of some 200 ms as late.
-SILENCE_BOUNDS = Bounds(least_s=0.07, first_s=FIRST_SILENCE_S, most_s=1.0)
+SILENCE_BOUNDS = Bounds(min_s=0.07, initial_s=FIRST_SILENCE_S, max_s=1.0)
 # A chain with an engine that was found dead by another stream needs less proof.
 ACCUSED_SILENCE_S = 0.06
 # Weight of the newest pause in a stream's usual one.
@@ -58,7 +58,7 @@
 class Watch:
     """The streams of one entry that are under way."""
 
-    def __init__(self, state: EntryState, stalls: StallDesk, desks: RoomDesks):
+    def __init__(self, state: EntryState, stalls: StallDesk, desks: ChainSchedulers):
         self.state = state
         self.stalls = stalls
         self.desks = desks
@@ -81,7 +81,7 @@
                         stream.exclude(stream.chain[0].address, now + FIRST_LOST_S)
                         stream.break_off("the first engine begins nothing")
                     elif _is_to_stop(stream, now):
-                        stream.break_off(crashes.ENDS_ENGINES.reason)
+                        stream.break_off(crashes.REFUSED_AS_CRASHING.reason)
                     elif self._is_due(stream, now):
                         stream.is_looked_at = True
                         group.start_soon(self._look_after, stream, self._look)
@@ -101,10 +101,10 @@
     def _find_hung(self, now):
         """Return the engines that hang, and log those that were found now."""
         state = self.state
-        for engine_id in hangs.find(state.hangs, now):
+        for engine_id in hangs.find_hanging(state.hangs, now):
             state.metrics.beliefs.labels("engine-hung").inc()
             state.sink.write("streams", "engine-hung", True, engine_id=engine_id)
-        return {e for e in state.hangs.waiting if hangs.is_resting(state.hangs, e, now)}
+        return {e for e in state.hangs.waiting if hangs.is_ejected(state.hangs, e, now)}
 
     def _is_due(self, stream, now):
         if stream.is_looked_at or stream.connection is None:
@@ -135,7 +135,7 @@
 
     def _leaving(self, stream, now):
         """Return the parts behind the first whose engines leave soon, by address."""
-        leaving_s = self.state.leaving_s
+        leaving_s = self.state.leaving_since_s
         return {
             part.address
             for part in stream.chain[1:]
@@ -149,7 +149,7 @@
             stream.moves_s = now + self.state.rng.random() * MOVE_SPREAD_S
             return
         stream.moves_s = now + MOVE_AGAIN_S
-        chain = reroute.without(stream, self._leaving(stream, now))
+        chain = reroute.find_replacement(stream, self._leaving(stream, now))
         if chain is None or connection is None:
             return
         status, _ = await reroute.order(stream, chain, is_move=True)
@@ -160,7 +160,9 @@
         stream.complained_s = now
         table = self.state.endpoints.table.entries
         known = [table.get(part.engine_id) for part in stream.chain]
-        self.stalls.uplink.complain([e.announcement for e in known if e is not None])
+        self.stalls.uplink.report_slowness(
+            [e.announcement for e in known if e is not None]
+        )
 
     def _accused(self, stream, now):
         """Return the parts whose engines are thought dead, gone, or without the layers.
@@ -188,10 +190,10 @@
             stream.is_looked_at = False
 
     async def _look(self, stream):
-        stream.silence_s = min(SILENCE_BOUNDS.most_s, stream.silence_s * BACK_OFF)
+        stream.silence_s = min(SILENCE_BOUNDS.max_s, stream.silence_s * BACK_OFF)
         lost = await self._find_lost(stream)
         if lost and stream.connection is not None:
-            await reroute.go_on_without(stream, stream.connection, lost)
+            await reroute.replace_lost(stream, stream.connection, lost)
 
     async def _find_lost(self, stream):
         """Return the addresses of the chain's engines that are dead or cut off."""
@@ -258,7 +260,7 @@
         return False
     silent_s = now - stream.progressed_s
     expected_s = stream.expected_pause_s
-    return pace.is_slow(stream.pause_s, expected_s) or pace.is_stuck(
+    return pace.is_slow(stream.pause_s, expected_s) or pace.is_stalled(
         silent_s, expected_s
     )
 
@@ -269,8 +271,8 @@
         pause_s = now - stream.progressed_s
         stream.pause_s += PAUSE_MEMORY * (pause_s - stream.pause_s)
         # An outage is no usual pause.
-        answertimes.note(stream.pauses, min(pause_s, stream.silence_s))
-        stream.silence_s = answertimes.limit_s(stream.pauses, SILENCE_BOUNDS)
+        answertimes.record_time(stream.pauses, min(pause_s, stream.silence_s))
+        stream.silence_s = answertimes.timeout_s(stream.pauses, SILENCE_BOUNDS)
     else:
         stream.silence_s = FIRST_SILENCE_S
     stream.progressed_s = now
--- a/libs/quorum/src/cherryrudder/quorum/saved.py
+++ b/libs/quorum/src/cherryrudder/quorum/saved_state.py
@@ -32,7 +32,7 @@
     data: str
 
 
-class Saved(NamedTuple):
+class SavedState(NamedTuple):
     """The disk's whole content; `entries` follow the snapshot without a gap."""
 
     identity: Identity
--- a/libs/quorum/src/cherryrudder/quorum/snapshots.py
+++ b/libs/quorum/src/cherryrudder/quorum/snapshots.py
@@ -3,7 +3,7 @@
 from .events import SnapshotTaken
 from .node import Node
 from .replication import accept_leader, acknowledge, reject_stale_leader
-from .saved import Snapshot
+from .saved_state import Snapshot
 from .writes import install_snapshot
 
 
--- a/libs/quorum/src/cherryrudder/quorum/writes.py
+++ b/libs/quorum/src/cherryrudder/quorum/writes.py
@@ -8,7 +8,7 @@
 from .events import Persist, RestoreSnapshot, SaveSnapshot
 from .log import Log
 from .node import Node, Write, emit, is_vote_persisted, is_voter_set_entry
-from .saved import Snapshot
+from .saved_state import Snapshot
 
 
 def flush(node: Node) -> None:
--- a/libs/replica/src/cherryrudder/replica/voter.py
+++ b/libs/replica/src/cherryrudder/replica/voter.py
@@ -19,10 +19,10 @@
 from cherryrudder.quorum.files import Disk
 
 from .clock import new_id, now_s
+from .config import StateMachine, VoterConfig
 from .errors import NoQuorum, VoterFailed
 from .peers import Peers
 from .pending import Pending
-from .seat import Machine, Seat
 
 # Timeout of one attempt at a leader, about ten times the usual time of a change. A
 # frozen leader is retried until its followers have elected another, which takes about
@@ -39,13 +39,15 @@
 class Voter:
     """A control VM's voter, and the state machine's state that its log produces."""
 
-    def __init__(self, config: Seat, disk: Disk, machine: Machine, group: TaskGroup):
+    def __init__(
+        self, config: VoterConfig, disk: Disk, machine: StateMachine, group: TaskGroup
+    ):
         self.group = group
         self.disk = disk
         self.machine = machine
         self.state = machine.new_state()
         self.applied_index = 0
-        self.applied = anyio.Event()
+        self.applied_event = anyio.Event()
         self.peers = Peers(config, group, self._on_message, self._on_call)
         self.node = open_core(config, disk)
         self._heartbeat_s = config.timing.heartbeat_s
@@ -91,7 +93,7 @@
             await anyio.sleep(RETRY_DELAY_S)
         raise NoQuorum(NO_QUORUM)
 
-    async def confirm(self, timeout_s: float) -> int:
+    async def wait_for_read_index(self, timeout_s: float) -> int:
         """Wait until the local state has every change accepted before this call.
 
         Returns the applied index. Raises NoQuorum.
@@ -157,7 +159,7 @@
     async def _wait_applied(self, index, deadline_s):
         while self.applied_index < index:
             with anyio.move_on_after(deadline_s - now_s()) as scope:
-                await self.applied.wait()
+                await self.applied_event.wait()
             if scope.cancelled_caught:
                 raise NoQuorum("the log has not caught up in time")
 
@@ -219,8 +221,8 @@
 
     def _set_applied_index(self, index):
         self.applied_index = index
-        self.applied.set()
-        self.applied = anyio.Event()
+        self.applied_event.set()
+        self.applied_event = anyio.Event()
 
     def _resolve(self, request_id, effect):
         pending = self._waiting.get(request_id)
@@ -243,7 +245,7 @@
     return None
 
 
-def open_core(config: Seat, disk: Disk):
+def open_core(config: VoterConfig, disk: Disk):
     """Return a core that resumes from the disk's content."""
     identity = disk.saved.identity
     me = events.Voter(identity.vm, identity.disk_id, config.address)
--- a/libs/state/src/cherryrudder/state/machine.py
+++ b/libs/state/src/cherryrudder/state/machine.py
@@ -89,10 +89,10 @@
     """Apply one record of the log; never raises, whatever the record contains."""
     # A record that is delivered twice, after a restart or by a resent batch, must not
     # issue a second fencing number or reopen a claim that has expired.
-    if index <= state.applied:
+    if index <= state.applied_index:
         message = f"record {index} was applied before"
         return Answer("invalid", message, revision=state.revision)
-    state.applied = index
+    state.applied_index = index
     try:
         command, body = _decode(payload)
     except (ValueError, RecursionError, OverflowError) as error:
