--- a/libs/quorum/src/cherryrudder/quorum/core.py
+++ b/libs/quorum/src/cherryrudder/quorum/core.py
@@ -1,8 +1,8 @@
-"""The voter's core: events go in, effects come out; no I/O, no clock of its own.
+"""Raft voter as a pure function of events: no I/O and no clock.
 
-A voter follows Raft. The parts are `election`, `replication`, `commit`, `reads`,
-`proposals` and `snapshots`; `writes` decides what goes to the disk. The shell feeds
-events and carries out effects in order (see `events`).
+The protocol is implemented in `election`, `replication`, `commit`, `reads`,
+`proposals` and `snapshots`; `writes` decides what is written to the disk. The caller
+passes in events and executes the returned effects in order (see `events`).
 """
 
 import random
@@ -15,7 +15,7 @@
     ReadIndex,
     Received,
     RestoreSnapshot,
-    Snapshotted,
+    SnapshotTaken,
     Tick,
     TransferLeadership,
     Voter,
@@ -23,15 +23,15 @@
 from .messages import (
     APPEND,
     APPEND_REPLY,
-    INSTALL,
+    INSTALL_SNAPSHOT,
     PRE_VOTE,
     PRE_VOTE_REPLY,
     TIMEOUT_NOW,
     VOTE,
     VOTE_REPLY,
-    check,
+    check_message,
 )
-from .node import LEADER, Node, emit, reset_election, set_term
+from .node import LEADER, Node, emit, reset_election_timer, set_term
 from .saved_state import SavedState, Timing
 
 ON_MESSAGE = {
@@ -42,36 +42,37 @@
     TIMEOUT_NOW: election.on_timeout_now,
     APPEND: replication.on_append,
     APPEND_REPLY: replication.on_append_reply,
-    INSTALL: snapshots.on_install,
+    INSTALL_SNAPSHOT: snapshots.on_install_snapshot,
 }
 
 
 def open_node(
     me: Voter, saved: SavedState, timing: Timing, rng: random.Random, now_s: float
 ) -> Node:
-    """Return a voter that goes on from what its disk holds.
+    """Return a voter that resumes from its saved state.
 
-    The first `handle` gives a `RestoreSnapshot` if the disk holds a snapshot.
+    The first `handle` returns a `RestoreSnapshot` if the disk holds a snapshot.
     """
     node = Node(me, saved, timing, rng)
-    reset_election(node, now_s)
+    reset_election_timer(node, now_s)
     if saved.snapshot is not None:
         emit(node, RestoreSnapshot(saved.snapshot.index, saved.snapshot.data))
     return node
 
 
 def handle(node: Node, event, now_s: float) -> list:
-    """Take one event and return the effects, to be carried out in order.
+    """Process one event and return the effects, to be executed in order.
 
-    Raises ProtocolError when another voter breaks the protocol: then stop.
+    Raises ProtocolError if another voter breaks the protocol; the caller must then
+    stop this voter.
     """
     election.check_quorum(node, now_s)
     _dispatch(node, event, now_s)
     commit.advance(node)
-    commit.deliver(node, now_s)
+    commit.apply_committed(node, now_s)
     if node.role == LEADER:
-        _lead(node, now_s)
-    # Last, so that the followers' disks work while this one does.
+        _act_as_leader(node, now_s)
+    # Last, so that the followers write to their disks while this one does.
     writes.flush(node)
     effects = node.effects
     node.effects = []
@@ -79,7 +80,7 @@
 
 
 def status(node: Node) -> dict:
-    """Return what an operator wants to know of a voter, as plain JSON types."""
+    """Return a voter's status for operators, as plain JSON types."""
     voter_set = node.voter_set
     return {
         "vm": node.me.vm,
@@ -88,16 +89,16 @@
         "term": node.term,
         "leader": node.leader.vm if node.leader else "",
         "leader_address": node.leader.address if node.leader else "",
-        "founded": not election.is_unfounded(node),
-        "commit": node.commit,
-        "applied": node.applied,
-        "persisted": node.persisted,
+        "founded": not election.is_awaiting_bootstrap(node),
+        "commit": node.commit_index,
+        "applied": node.applied_index,
+        "persisted": node.persisted_index,
         "last": node.log.last_index,
         "snapshot": node.snapshot.index if node.snapshot else 0,
         "voters": [voter._asdict() for voter in voter_set.voters],
         "learners": [voter._asdict() for voter in voter_set.learners],
         "peers": {
-            peer.voter.disk_id: {"match": peer.match, "acked_s": peer.acked_s}
+            peer.voter.disk_id: {"match": peer.match_index, "acked_s": peer.acked_s}
             for peer in node.peers.values()
         },
     }
@@ -115,36 +116,36 @@
         case ReadIndex():
             reads.on_read_index(node, event)
         case Persisted():
-            if writes.finish(node, event.write_id):
-                election.vote_saved(node, now_s)
+            if writes.complete_write(node, event.write_id):
+                election.on_vote_persisted(node, now_s)
                 replication.acknowledge(node)
         case ChangeVoters():
             proposals.on_change_voters(node, event, now_s)
-        case Snapshotted():
-            snapshots.on_snapshotted(node, event)
+        case SnapshotTaken():
+            snapshots.on_snapshot_taken(node, event)
         case TransferLeadership():
-            election.hand_over(node, now_s)
+            election.transfer_leadership(node, now_s)
         case _:
             raise TypeError(f"not an event: {event!r}")
 
 
 def _receive(node, raw, now_s):
-    result = check(raw)
+    result = check_message(raw)
     if result.is_error():
         return
     message = result.ok
-    if not _is_for(node, message) or election.is_recreated(node, message):
+    if not _is_addressed_here(node, message) or election.is_recreated(node, message):
         return
-    if not _enter_term(node, message, now_s):
+    if not _update_term(node, message, now_s):
         return
     ON_MESSAGE[message["type"]](node, message, now_s)
 
 
-def _is_for(node, message):
-    """Tell whether a message is meant for this disk and comes from its cluster.
+def _is_addressed_here(node, message):
+    """Return whether a message is addressed to this disk and comes from its cluster.
 
-    A VM with a new disk still gets what was sent to its old one. A cluster's name is
-    empty for a disk that has yet to join one.
+    A VM with a new disk still receives messages for its old one. The cluster name is
+    empty for a disk that has not joined a cluster yet.
     """
     if message["to"] != node.me.disk_id:
         return False
@@ -153,23 +154,23 @@
     )
 
 
-def _enter_term(node, message, now_s):
-    """Follow a later term; tell whether the message is to be handled at all."""
+def _update_term(node, message, now_s):
+    """Enter a later term if the message has one; return whether to handle it."""
     if message["term"] <= node.term or message["type"] == PRE_VOTE:
         return True
     if message["type"] == PRE_VOTE_REPLY and message["granted"]:
         return True
     if message["type"] == VOTE and not message["transfer"]:
-        # A voter that was removed or cut off must not unseat a working leader.
-        if election.hears_leader(node, now_s):
+        # A voter that was removed or partitioned must not depose a working leader.
+        if election.has_live_leader(node, now_s):
             return False
     set_term(node, message["term"], now_s)
     return True
 
 
-def _lead(node, now_s):
+def _act_as_leader(node, now_s):
     if now_s >= node.heartbeat_at_s or reads.needs_round(node):
-        replication.begin_round(node, now_s)
-    # A voter alone confirms its own round.
-    reads.answer(node)
+        replication.start_heartbeat_round(node, now_s)
+    # A single voter confirms its own round, without any reply.
+    reads.complete_reads(node)
     replication.replicate(node, now_s)
--- a/libs/quorum/src/cherryrudder/quorum/messages.py
+++ b/libs/quorum/src/cherryrudder/quorum/messages.py
@@ -1,4 +1,4 @@
-"""The messages between voters, as JSON objects, checked when they come in."""
+"""Messages between voters: JSON objects, validated when received."""
 
 from typing import TypedDict
 
@@ -14,12 +14,12 @@
 VOTE_REPLY = "vote-reply"
 APPEND = "append"
 APPEND_REPLY = "append-reply"
-INSTALL = "install-snapshot"
+INSTALL_SNAPSHOT = "install-snapshot"
 TIMEOUT_NOW = "timeout-now"
 
 
 class Header(TypedDict):
-    """What each message has: its sender with its disk, and the disk it is meant for."""
+    """Fields of every message: the sender with its disk, and the disk addressed."""
 
     type: str
     cluster: str
@@ -31,7 +31,7 @@
 
 
 class VoteRequest(Header):
-    """Ask for a vote, or, as a pre-vote, whether one would be given."""
+    """Request a vote or, as a pre-vote, ask whether one would be granted."""
 
     last_index: int
     last_term: int
@@ -39,13 +39,16 @@
 
 
 class VoteReply(Header):
-    """Answer a vote or pre-vote."""
+    """Reply to a vote or pre-vote request."""
 
     granted: bool
 
 
 class Append(Header):
-    """Entries after `prev_index`; none make a heartbeat. `sent_s` is echoed."""
+    """Entries after `prev_index`; without entries it is a heartbeat.
+
+    The reply echoes `round` and `sent_s`.
+    """
 
     prev_index: int
     prev_term: int
@@ -56,7 +59,7 @@
 
 
 class AppendReply(Header):
-    """What the follower has synced, or where its log differs from the leader's."""
+    """The index a follower has synced, or where its log conflicts with the leader's."""
 
     ok: bool
     synced: int
@@ -67,8 +70,8 @@
     sent_s: float
 
 
-class Install(Header):
-    """A snapshot for a follower whose next entry the leader no longer has."""
+class InstallSnapshot(Header):
+    """A snapshot for a follower whose next entry the leader has compacted."""
 
     index: int
     index_term: int
@@ -78,24 +81,24 @@
     sent_s: float
 
 
-KINDS = {
+MESSAGE_TYPES = {
     PRE_VOTE: VoteRequest,
     PRE_VOTE_REPLY: VoteReply,
     VOTE: VoteRequest,
     VOTE_REPLY: VoteReply,
     APPEND: Append,
     APPEND_REPLY: AppendReply,
-    INSTALL: Install,
+    INSTALL_SNAPSHOT: InstallSnapshot,
     TIMEOUT_NOW: Header,
 }
 
 
-def check(message: dict) -> Result[dict, str]:
-    """Return the message with its types checked, or what is wrong with it."""
+def check_message(message: dict) -> Result[dict, str]:
+    """Return the message with its types validated, or an error text."""
     kind = message.get("type") if isinstance(message, dict) else None
-    if kind not in KINDS:
+    if kind not in MESSAGE_TYPES:
         return Error(f"unknown message type {kind!r}")
     try:
-        return Ok(msgspec.convert(message, KINDS[kind]))
+        return Ok(msgspec.convert(message, MESSAGE_TYPES[kind]))
     except msgspec.ValidationError as error:
         return Error(f"{kind}: {error}")
--- a/libs/quorum/src/cherryrudder/quorum/reads.py
+++ b/libs/quorum/src/cherryrudder/quorum/reads.py
@@ -1,8 +1,9 @@
-"""Reads that see every change accepted before they came (read index).
+"""Linearizable reads by read index: a read sees every change accepted before it.
 
-A leader that was cut off doesn't know that others accept changes meanwhile. So each
-read waits for a round of heartbeats that began after it came and that a majority
-answered. No clock is trusted: a lease would be, and a frozen VM's clock jumps.
+A partitioned leader can't detect that another leader accepts changes meanwhile. So
+each read waits for a heartbeat round that started after the read arrived and that a
+majority answered. A leader lease would rely on the clock, which jumps on a VM that was
+frozen.
 """
 
 from . import voters
@@ -11,7 +12,7 @@
 
 
 def on_read_index(node: Node, event: ReadIndex) -> None:
-    """Queue a read for the next round."""
+    """Queue a read for the next heartbeat round, or reject it if not the leader."""
     if node.role != LEADER:
         emit(node, Rejected(event.read_id, leader_address(node), True))
         return
@@ -19,38 +20,38 @@
 
 
 def needs_round(node: Node) -> bool:
-    """Tell whether a read waits for a round while none is under way."""
-    waits = any(read.round > node.round for read in node.reads)
-    return waits and _confirmed_round(node) == node.round
+    """Return whether a read waits for a new round and none is in progress."""
+    is_waiting = any(read.round > node.round for read in node.reads)
+    return is_waiting and _confirmed_round(node) == node.round
 
 
-def answer(node: Node) -> None:
-    """Answer the reads whose round is confirmed."""
+def complete_reads(node: Node) -> None:
+    """Complete the reads whose heartbeat round is confirmed by a majority."""
     if node.role != LEADER or not node.reads:
         return
-    # Until an entry of its own term is committed, a new leader doesn't know how far
-    # the one before it has committed.
-    if node.log.term_at(node.commit) != node.term:
+    # Until an entry of its own term is committed, a new leader's commit index may be
+    # behind that of the previous leader.
+    if node.log.term_at(node.commit_index) != node.term:
         return
     confirmed = _confirmed_round(node)
     reads = [
-        read._replace(index=node.commit) if read.index is None else read
+        read._replace(index=node.commit_index) if read.index is None else read
         for read in node.reads
     ]
     node.reads = []
     for read in reads:
-        if read.round <= confirmed and read.index <= node.applied:
+        if read.round <= confirmed and read.index <= node.applied_index:
             emit(node, ReadReady(read.read_id, read.index))
         else:
             node.reads.append(read)
 
 
 def _confirmed_round(node):
-    rounds = [_round(node, voter) for voter in node.voter_set.voters]
+    rounds = [_answered_round(node, voter) for voter in node.voter_set.voters]
     return voters.majority_value(rounds, node.voter_set)
 
 
-def _round(node, voter):
+def _answered_round(node, voter):
     if voter.disk_id == node.me.disk_id:
         return node.round
     peer = node.peers.get(voter.disk_id)
--- a/libs/quorum/test/builders.py
+++ b/libs/quorum/test/builders.py
@@ -1,11 +1,11 @@
-"""Disks with contents, and voters joined by a lossy network."""
+"""Test data: disks with content, and a cluster of voters on a lossy network."""
 
 import collections
 import itertools
 import json
 import random
 
-from fakedisk import FakeDisk, PowerCut
+from fakedisk import FakeDisk, PowerLoss
 
 from cherryrudder.quorum import events as ev
 from cherryrudder.quorum.core import handle, open_node, status
@@ -18,7 +18,7 @@
 
 
 def new_disk(sync=True):
-    """Return a fake disk and the folder on it; the naive version never syncs."""
+    """Return a fake disk and the opened folder on it; the naive version never syncs."""
     fake = FakeDisk()
     init_disk(FOLDER, "a", "10.0.0.1:1", make_voters(1), fake.filesystem())
     fs = fake.filesystem()
@@ -52,7 +52,7 @@
 
 
 def write(disk, effect):
-    """Carry out a write effect."""
+    """Execute a write effect."""
     if isinstance(effect, ev.Persist):
         disk.persist(effect)
     else:
@@ -60,13 +60,13 @@
 
 
 def naive_read(node):
-    """Return the index that a leader would read at if it trusted its own office."""
+    """Return the index that a leader would read at without confirming leadership."""
     assert node.role == "leader"
-    return node.commit
+    return node.commit_index
 
 
 class Member:
-    """One VM: its disk, its core while it runs, and the state that it applied."""
+    """One VM: its disk, its core while it runs, and its applied state."""
 
     def __init__(self, vm, disk):
         self.vm = vm
@@ -77,20 +77,20 @@
 
 
 class Cluster:
-    """Voters on fake disks, and the oracle that watches what they promise."""
+    """Voters on fake disks, and an oracle that checks the protocol's guarantees."""
 
     def __init__(self, count=3, seed=1, timing=TIMING):
         self.rng = random.Random(seed)
         self.timing = timing
         self.now_s = 0.0
         self.network = []
-        # VMs that are cut off, and pairs of VMs that don't hear each other.
-        self.cut = set()
-        self.cut_links = set()
+        # Partitioned VMs, and pairs of VMs without a link.
+        self.isolated = set()
+        self.broken_links = set()
         self.frozen = set()
         self.members = {}
         self.numbers = itertools.count(1)
-        # The oracle.
+        # State of the oracle.
         self.committed = {}
         self.leaders = {}
         self.accepted = {}
@@ -98,8 +98,8 @@
         self.reasons = {}
         self.reads = {}
         self.ready = {}
-        self.installed = []
-        # With slow disks a write ends by `finish_writes`, now and then in `run`.
+        self.restored = []
+        # With slow disks a write ends in `finish_writes`, which `run` calls at random.
         self.slow_disks = False
         self.pending_writes = collections.defaultdict(list)
         voters = make_voters(count)
@@ -113,11 +113,11 @@
     # Faults.
 
     def start(self, vm):
-        """Start a VM's process on what its disk holds; power may fail meanwhile."""
+        """Start a VM's process from its disk; power may fail meanwhile."""
         member = self.members[vm]
         try:
             disk = open_disk(FOLDER, vm, member.fake.filesystem())
-        except PowerCut:
+        except PowerLoss:
             self.crash(vm)
             return
         if disk.is_error():
@@ -130,23 +130,23 @@
         member.node = open_node(me, saved, self.timing, rng, self.now_s)
 
     def crash(self, vm):
-        """Cut a VM's power."""
+        """Stop a VM by a power loss."""
         member = self.members[vm]
         member.node = None
         self.pending_writes.pop(vm, None)
         member.fake.crash(self.rng)
         self.frozen.discard(vm)
 
-    def wipe(self, vm, again=False, naive=False):
-        """Give a VM that has stopped an empty disk, to join as a learner.
+    def wipe(self, vm, recreate=False, naive=False):
+        """Give a stopped VM an empty disk and start it as a learner.
 
-        Or create the founder's disk again, under the same id. The naive version takes
-        that for the old one, which has voted before.
+        With `recreate`, create the initial voter's disk again under the same id. The
+        naive version treats that as the old disk, which has voted before.
         """
         member = self.members[vm]
         member.fake = FakeDisk()
         fs = member.fake.filesystem()
-        if not again:
+        if not recreate:
             identity = join_disk(FOLDER, vm, f"new-{vm}:1", fs).ok
         else:
             voters = make_voters(len(self.members))
@@ -161,7 +161,7 @@
     # Events.
 
     def feed(self, vm, event):
-        """Give a VM one event and carry out the effects."""
+        """Pass an event to a VM and execute the effects."""
         member = self.members[vm]
         if member.node is None or vm in self.frozen:
             return
@@ -170,44 +170,44 @@
             while pending and member.node is not None:
                 effects = handle(member.node, pending.pop(0), self.now_s)
                 for effect in effects:
-                    pending += self._carry_out(member, effect)
-                self._watch(member)
-        except PowerCut:
+                    pending += self._run_effect(member, effect)
+                self._check_single_leader(member)
+        except PowerLoss:
             self.crash(vm)
 
     def finish_writes(self, vm):
-        """Let a slow disk finish what it was given so far."""
+        """Complete the pending writes of a slow disk."""
         if vm in self.frozen:
             return
         for effect in self.pending_writes.pop(vm, []):
             try:
                 write(self.members[vm].disk, effect)
-            except PowerCut:
+            except PowerLoss:
                 self.crash(vm)
                 return
             self.feed(vm, ev.Persisted(effect.write_id))
 
     def propose(self, vm):
-        """Propose a command of its own name, and return that."""
+        """Propose a command with a unique name, and return the name."""
         name = f"p{next(self.numbers)}"
         self.feed(vm, ev.Propose(name, name))
         return name
 
     def read(self, vm):
-        """Ask for a read, and note what it must see."""
+        """Request a read, record the index that it must see, and return its name."""
         name = f"r{next(self.numbers)}"
         self.reads[name] = max(self.accepted.values(), default=0)
         self.feed(vm, ev.ReadIndex(name))
         return name
 
     def change(self, action, voter):
-        """Ask the leader to change the voter set, and return the proposal's name."""
+        """Propose a change of the voter set to the leader, and return its name."""
         name = f"c{next(self.numbers)}"
         self.feed(self.leader(), ev.ChangeVoters(name, action, voter))
         return name
 
-    def run(self, wait_s, loss=0.0, doubled=0.0):
-        """Let time pass, with messages lost, doubled and in any order."""
+    def run(self, wait_s, loss=0.0, duplicated=0.0):
+        """Advance the time, with messages lost, duplicated and reordered."""
         end_s = self.now_s + wait_s
         while self.now_s < end_s:
             self.now_s += TICK_S
@@ -215,13 +215,13 @@
                 self.feed(vm, ev.Tick())
                 if not self.slow_disks or self.rng.random() < 0.2:
                     self.finish_writes(vm)
-            self.deliver(loss, doubled)
+            self.deliver(loss, duplicated)
 
-    def deliver(self, loss=0.0, doubled=0.0):
-        """Deliver what is on the network, and what comes of it, for a few hops."""
+    def deliver(self, loss=0.0, duplicated=0.0):
+        """Deliver the messages in flight and the replies to them, for a few hops."""
         for _ in range(4):
             batch, self.network = self.network, []
-            if loss or doubled:
+            if loss or duplicated:
                 self.rng.shuffle(batch)
             for sender, send in batch:
                 if send.vm in self.frozen:
@@ -229,14 +229,18 @@
                     continue
                 if self.rng.random() < loss:
                     continue
-                if self.rng.random() < doubled:
+                if self.rng.random() < duplicated:
                     self.network.append((sender, send))
-                self.pass_on(sender, send)
+                self.deliver_message(sender, send)
 
-    def pass_on(self, sender, send):
-        """Give one message to the VM that it is for, through JSON."""
+    def deliver_message(self, sender, send):
+        """Deliver one message to its VM, encoded and decoded as JSON."""
         link = frozenset((sender, send.vm))
-        if send.vm not in self.members or link & self.cut or link in self.cut_links:
+        if (
+            send.vm not in self.members
+            or link & self.isolated
+            or link in self.broken_links
+        ):
             return
         message = json.loads(json.dumps(send.message))
         self.feed(send.vm, ev.Received(sender, message))
@@ -252,12 +256,12 @@
         return max(leading, key=lambda member: member.node.term).vm
 
     def settle(self, wait_s=5.0):
-        """Run until a leader that can reach a majority has committed something new."""
+        """Run until a reachable leader commits a new command; return the leader."""
         end_s = self.now_s + wait_s
         while self.now_s < end_s:
             self.run(0.5)
             leader = self.leader()
-            if leader is None or leader in self.cut or leader in self.frozen:
+            if leader is None or leader in self.isolated or leader in self.frozen:
                 continue
             name = self.propose(leader)
             self.run(0.5)
@@ -268,8 +272,8 @@
     def status(self, vm):
         return status(self.members[vm].node)
 
-    def fill(self, count):
-        """Accept a number of commands, and return their names."""
+    def commit_commands(self, count):
+        """Commit a number of commands, and return their names."""
         names = []
         while len(names) < count:
             names.append(self.propose(self.leader()))
@@ -278,7 +282,7 @@
         self.run(0.3)
         return names
 
-    def check(self):
+    def check_no_loss(self):
         """Fail unless every accepted command is in the leader's state."""
         state = self.members[self.leader()].state
         lost = set(self.accepted) - {payload for _, payload in state}
@@ -287,7 +291,7 @@
 
     # Effects.
 
-    def _carry_out(self, member, effect):
+    def _run_effect(self, member, effect):
         match effect:
             case ev.Send():
                 self.network.append((member.vm, effect))
@@ -299,19 +303,19 @@
             case ev.Apply():
                 self._apply(member, effect.entries)
             case ev.RestoreSnapshot():
-                self.installed.append(member.vm)
+                self.restored.append(member.vm)
                 member.state = [tuple(pair) for pair in json.loads(effect.data)]
                 self._check_prefix(member)
-            case ev.WantSnapshot():
-                index = member.node.applied
-                return [ev.Snapshotted(index, json.dumps(member.state))]
-            case ev.Proposed():
+            case ev.TakeSnapshot():
+                index = member.node.applied_index
+                return [ev.SnapshotTaken(index, json.dumps(member.state))]
+            case ev.Committed():
                 self.accepted[effect.proposal_id] = effect.index
             case ev.Rejected():
                 self.rejected[effect.proposal_id] = effect.certain
                 self.reasons[effect.proposal_id] = effect.reason
             case ev.ReadReady():
-                self._read(member, effect)
+                self._check_read(member, effect)
         return []
 
     def _apply(self, member, entries):
@@ -327,13 +331,13 @@
         for index, payload in member.state[-50:]:
             assert self.committed[index].payload == payload
 
-    def _read(self, member, effect):
+    def _check_read(self, member, effect):
         floor = self.reads[effect.read_id]
         assert effect.index >= floor, f"{effect} misses accepted entry {floor}"
-        assert member.node.applied >= effect.index
+        assert member.node.applied_index >= effect.index
         self.ready[effect.read_id] = effect.index
 
-    def _watch(self, member):
+    def _check_single_leader(self, member):
         if member.node.role != "leader":
             return
         key = member.node.term
--- a/libs/quorum/test/fakedisk.py
+++ b/libs/quorum/test/fakedisk.py
@@ -1,16 +1,16 @@
-"""A disk in memory that loses what wasn't synced."""
+"""In-memory disk that loses unsynced data when power fails."""
 
 import itertools
 
 from cherryrudder.quorum.filesystem import FileSystem
 
 
-class PowerCut(Exception):
-    """The fake disk has reached the operation at which it fails."""
+class PowerLoss(Exception):
+    """The fake disk has reached the operation at which power fails."""
 
 
 class FakeFile:
-    """Bytes as a process sees them, and the writes since the last sync."""
+    """A file's content as a process reads it, and the writes since the last sync."""
 
     def __init__(self):
         self.data = bytearray()
@@ -30,7 +30,7 @@
         self.pending = []
 
     def crash(self, rng):
-        """Keep any of the unsynced writes, the last kept one perhaps torn."""
+        """Keep a random part of the unsynced writes; the last one may be torn."""
         self.data = bytearray(self.synced)
         kept = [write for write in self.pending if rng.random() < 0.5]
         for number, (offset, data) in enumerate(kept):
@@ -46,7 +46,7 @@
 
 
 class FakeDisk:
-    """One folder; a rename lasts only once the folder is synced."""
+    """One folder; a rename is durable only once the folder is synced."""
 
     def __init__(self):
         self.names = {}
@@ -55,7 +55,7 @@
         self.locked = set()
         self.numbers = itertools.count()
         self.operations = 0
-        self.cut_at = None
+        self.power_loss_at = None
 
     def filesystem(self):
         return FileSystem(
@@ -73,7 +73,7 @@
         )
 
     def crash(self, rng):
-        """Lose power: unsynced writes and renames each last or don't."""
+        """Simulate a power loss: each unsynced write and rename is kept or lost."""
         for name in set(self.names) | set(self.durable):
             if rng.random() < 0.5 or self.names.get(name) is None:
                 self._revert(name)
@@ -83,7 +83,7 @@
         self.durable = dict(self.names)
         self.handles.clear()
         self.locked.clear()
-        self.cut_at = None
+        self.power_loss_at = None
 
     def _revert(self, name):
         if name in self.durable:
@@ -93,15 +93,15 @@
 
     def _do(self, operation, *arguments):
         self.operations += 1
-        if self.cut_at is not None and self.operations >= self.cut_at:
-            raise PowerCut
+        if self.power_loss_at is not None and self.operations >= self.power_loss_at:
+            raise PowerLoss
         return operation(*arguments)
 
     def _write(self, fd, offset, data):
         try:
             self._do(self.handles[fd].write, offset, data)
-        except PowerCut:
-            # Part of it was on its way; `crash` decides how much arrives.
+        except PowerLoss:
+            # The write was in progress; `crash` decides how much of it is kept.
             self.handles[fd].write(offset, data)
             raise
 
--- a/libs/replica/src/cherryrudder/replica/voter.py
+++ b/libs/replica/src/cherryrudder/replica/voter.py
@@ -1,7 +1,7 @@
-"""Drives the replicated log's core: its disk, its messages and its clock.
+"""Runs the core of the replicated log with its disk, messages and clock.
 
-Effects are carried out strictly in order. A `Persist` waits for one turn of the loop
-first, so that all requests that arrived in the meantime share its fsync.
+Effects are executed strictly in order. Before a `Persist`, other tasks run for one
+turn of the event loop, so that the requests that have arrived share its fsync.
 """
 
 import random
@@ -24,22 +24,23 @@
 from .peers import Peers
 from .pending import Pending
 
-# One try at a leader, some ten times a change's usual time. A frozen one is asked
-# again and again until its followers have elected another, in about a second.
-TRY_S = 0.4
-RETRY_S = 0.05
-# Answers to proposals that nobody here waits for, kept in case of a late waiter.
-KEPT_ANSWERS = 4096
+# Timeout of one attempt at a leader, about ten times the usual time of a change. A
+# frozen leader is retried until its followers have elected another, which takes about
+# a second.
+ATTEMPT_TIMEOUT_S = 0.4
+RETRY_DELAY_S = 0.05
+# Answers to proposals that no task here waits for, kept in case one does later.
+MAX_KEPT_ANSWERS = 4096
 NO_QUORUM = "no majority of the control VMs answered in time"
 
 log = logger.bind(part="voter")
 
 
 class Voter:
-    """The control VM's part of the replicated log, and the state that it drives."""
+    """A control VM's voter, and the state machine's state that its log produces."""
 
     def __init__(
-        self, seat: VoterConfig, disk: Disk, machine: StateMachine, group: TaskGroup
+        self, config: VoterConfig, disk: Disk, machine: StateMachine, group: TaskGroup
     ):
         self.group = group
         self.disk = disk
@@ -47,106 +48,110 @@
         self.state = machine.new_state()
         self.applied_index = 0
         self.applied_event = anyio.Event()
-        self.peers = Peers(seat, group, self._on_message, self._on_call)
-        self.node = open_core(seat, disk)
-        self._heartbeat_s = seat.timing.heartbeat_s
+        self.peers = Peers(config, group, self._on_message, self._on_call)
+        self.node = open_core(config, disk)
+        self._heartbeat_s = config.timing.heartbeat_s
         self._effects = deque()
-        self._wake = anyio.Event()
+        self._effects_added = anyio.Event()
         self._failure: VoterFailed | None = None
         self._answers: dict[int, Any] = {}
         self._waiting: dict[str, Pending] = {}
 
     def start(self, stopping: anyio.Event) -> None:
-        """Start the tasks that drive the core; `stopping` closes the listener."""
+        """Start the voter's tasks; `stopping` closes the listener."""
         self.peers.start(stopping)
-        self.group.start_soon(self._carry_out)
+        self.group.start_soon(self._run_effects)
         self.group.start_soon(self._tick)
 
     def feed(self, event) -> None:
-        """Give the core an event; raises VoterFailed."""
+        """Pass an event to the core. Raises VoterFailed."""
         try:
             self._effects.extend(core.handle(self.node, event, now_s()))
         except ProtocolError as error:
-            # The core is half through an event. One request's handler must not be all
-            # that ends: `_carry_out` ends the process on it.
+            # The core has processed only part of the event. Failing the current
+            # request is not enough: `_run_effects` ends the process with this error.
             self._failure = VoterFailed(str(error))
-        self._wake.set()
+        self._effects_added.set()
         if self._failure is not None:
             raise self._failure
 
     def status(self) -> dict:
-        """Return the core's view of itself."""
+        """Return the core's status with the index applied to this VM's state."""
         return core.status(self.node) | {"applied": self.applied_index}
 
     async def propose(self, payload: str, timeout_s: float) -> Any:
-        """Commit a command through whichever VM leads; raises NoQuorum.
+        """Commit a command through the current leader. Raises NoQuorum.
 
-        A command carries an id that makes it idempotent in the state, so that it is
-        safe to propose it again when a leader was lost before it answered.
+        Every command carries an id that makes it idempotent, so it is safe to propose
+        it again if the leader was lost before it answered.
         """
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
-            answer = await self._at_leader("propose", payload, deadline_s)
+            answer = await self._call_leader("propose", payload, deadline_s)
             if answer is not None:
                 return answer
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
         raise NoQuorum(NO_QUORUM)
 
     async def wait_for_read_index(self, timeout_s: float) -> int:
-        """Wait until the state here is as fresh as the call; raises NoQuorum."""
+        """Wait until the local state has every change accepted before this call.
+
+        Returns the applied index. Raises NoQuorum.
+        """
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
-            index = await self._at_leader("read-index", "", deadline_s)
+            index = await self._call_leader("read-index", "", deadline_s)
             if index is not None:
                 await self._wait_applied(index, deadline_s)
                 return self.applied_index
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
         raise NoQuorum(NO_QUORUM)
 
     async def change_voters(self, action, voter, timeout_s: float) -> bool:
-        """Change the voters by one; false when the leader refused; raises NoQuorum."""
+        """Change one voter; return False if the leader refused. Raises NoQuorum."""
         value = {"action": action, "voter": voter}
-        done = await self._at_leader("voters", value, now_s() + timeout_s)
+        done = await self._call_leader("voters", value, now_s() + timeout_s)
         if done is None:
             raise NoQuorum("the change of voters was not confirmed in time")
         return done
 
-    async def _at_leader(self, kind, value, deadline_s):
-        """Return the answer of this VM if it leads, or of the one that it knows."""
-        deadline_s = min(deadline_s, now_s() + TRY_S)
-        answer = await self._here(kind, value, deadline_s)
+    async def _call_leader(self, kind, value, deadline_s):
+        """Return the answer of this VM if it leads, or else of the known leader."""
+        deadline_s = min(deadline_s, now_s() + ATTEMPT_TIMEOUT_S)
+        answer = await self._call_here(kind, value, deadline_s)
         address = core.status(self.node)["leader_address"]
         if answer is None and address not in ("", self.peers.address):
             answer = await self.peers.call(address, kind, value, deadline_s)
         return answer
 
-    async def _here(self, kind, value, deadline_s):
+    async def _call_here(self, kind, value, deadline_s):
         """Return the answer if this VM leads, else None."""
-        make_event = event_maker(kind, value)
+        make_event = make_event_factory(kind, value)
         if make_event is None:
             return None
-        result = await self._ask(make_event, deadline_s)
+        result = await self._request(make_event, deadline_s)
         match result:
-            case events.Proposed():
+            case events.Committed():
                 return self._answers.pop(result.index, True)
             case events.ReadReady():
                 return result.index
             case events.Rejected() if kind == "voters" and result.reason:
-                # The leader itself refused; without a reason this VM does not lead.
+                # A reason means that the leader refused; without one this VM does
+                # not lead.
                 return False
         return None
 
-    async def _ask(self, make_event, deadline_s):
-        name = new_id()
-        pending = self._waiting[name] = Pending()
+    async def _request(self, make_event, deadline_s):
+        request_id = new_id()
+        pending = self._waiting[request_id] = Pending()
         try:
-            self.feed(make_event(name))
+            self.feed(make_event(request_id))
             return await pending.wait(deadline_s)
         finally:
-            del self._waiting[name]
+            del self._waiting[request_id]
 
     async def _on_call(self, kind, value):
-        return await self._here(kind, value, now_s() + TRY_S)
+        return await self._call_here(kind, value, now_s() + ATTEMPT_TIMEOUT_S)
 
     def _on_message(self, sender, message):
         self.feed(events.Received(sender, message))
@@ -163,22 +168,22 @@
             self.feed(events.Tick())
             await anyio.sleep(self._heartbeat_s / 2)
 
-    async def _carry_out(self):
+    async def _run_effects(self):
         while True:
             while self._effects and self._failure is None:
-                await self._do(self._effects.popleft())
+                await self._run_effect(self._effects.popleft())
             if self._failure is not None:
                 raise self._failure
-            self._wake = anyio.Event()
-            await self._wake.wait()
+            self._effects_added = anyio.Event()
+            await self._effects_added.wait()
 
-    async def _do(self, effect):
+    async def _run_effect(self, effect):
         match effect:
             case events.Send():
                 self.peers.send(effect.address, effect.message)
             case events.Persist():
-                # Requests that are ready share the next fsync as one group, and what
-                # was sent before this effect leaves while the disk works.
+                # Requests that are ready share the next fsync, and messages sent
+                # before this effect go out before the disk write blocks.
                 await anyio.lowlevel.checkpoint()
                 self._write(self.disk.persist, effect)
             case events.SaveSnapshot():
@@ -187,11 +192,11 @@
                 self._apply(effect.entries)
             case events.RestoreSnapshot():
                 self.state = self.machine.restore(effect.data)
-                self._moved_to(effect.index)
-            case events.WantSnapshot():
+                self._set_applied_index(effect.index)
+            case events.TakeSnapshot():
                 data = self.machine.snapshot(self.state)
-                self.feed(events.Snapshotted(self.applied_index, data))
-            case events.Proposed() | events.Rejected():
+                self.feed(events.SnapshotTaken(self.applied_index, data))
+            case events.Committed() | events.Rejected():
                 self._resolve(effect.proposal_id, effect)
             case events.ReadReady():
                 self._resolve(effect.read_id, effect)
@@ -200,7 +205,7 @@
         try:
             write(effect)
         except DiskError as error:
-            # What is on the disk is unknown now; only opening it again can tell.
+            # The disk's content is unknown now until it is opened again.
             raise VoterFailed(str(error)) from error
         self.feed(events.Persisted(effect.write_id))
 
@@ -210,23 +215,26 @@
                 answer = self.machine.apply(self.state, entry.index, entry.payload)
                 if self._waiting:
                     self._answers[entry.index] = answer
-        self._moved_to(entries[-1].index)
-        while len(self._answers) > KEPT_ANSWERS:
+        self._set_applied_index(entries[-1].index)
+        while len(self._answers) > MAX_KEPT_ANSWERS:
             del self._answers[next(iter(self._answers))]
 
-    def _moved_to(self, index):
+    def _set_applied_index(self, index):
         self.applied_index = index
         self.applied_event.set()
         self.applied_event = anyio.Event()
 
-    def _resolve(self, name, effect):
-        pending = self._waiting.get(name)
+    def _resolve(self, request_id, effect):
+        pending = self._waiting.get(request_id)
         if pending is not None:
             pending.resolve(effect)
 
 
-def event_maker(kind: str, value):
-    """Return a function from a name to the core's event, None for an unknown kind."""
+def make_event_factory(kind: str, value):
+    """Return a function that makes the core's event with an id.
+
+    Returns None for an unknown kind.
+    """
     if kind == "propose":
         return lambda name: events.Propose(name, value)
     if kind == "read-index":
@@ -237,9 +245,9 @@
     return None
 
 
-def open_core(seat: VoterConfig, disk: Disk):
-    """Return the log's core as the disk left it."""
+def open_core(config: VoterConfig, disk: Disk):
+    """Return a core that resumes from the disk's content."""
     identity = disk.saved.identity
-    me = events.Voter(identity.vm, identity.disk_id, seat.address)
-    rng = random.Random(seat.seed)
-    return core.open_node(me, disk.saved, seat.timing, rng, now_s())
+    me = events.Voter(identity.vm, identity.disk_id, config.address)
+    rng = random.Random(config.seed)
+    return core.open_node(me, disk.saved, config.timing, rng, now_s())
--- a/libs/state/test/test_claims.py
+++ b/libs/state/test/test_claims.py
@@ -13,9 +13,9 @@
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Entries that open, resend and give up; packets late and doubled.
+    """Entries that open, resend and give up, with late and duplicated packets.
 
-    `ran` and `tombstones` are the sidecars' gates, by endpoint and attempt id.
+    `ran` and `tombstones` model the sidecars' gates, by endpoint and attempt id.
     """
 
     def __init__(self, voter):
@@ -34,7 +34,7 @@
 
     @stateful.rule(endpoint=st.sampled_from("ab"))
     def open(self, endpoint):
-        # A key ends in done or unknown before long; each dozen proposals get a new one.
+        # A key soon ends in done or unknown; every 12 proposals use a new one.
         number = len(self.sent)
         self.propose(an_open(f"attempt-{number}", f"k{number // 12}", endpoint))
 
@@ -79,8 +79,8 @@
     def held(self):
         return find_claim(self.voter.state, "petra-tours", "k1")
 
-    def test_each_call_runs_once_at_most(self):
-        """A filing is stamped once, or the caller is told truly that it was not.
+    def test_each_call_runs_at_most_once(self):
+        """A filing runs once, or the caller gets a correct not-run.
 
         Entries open claims, lose answers, resend, and give up with or without a
         tombstone; grants and outcomes arrive late and twice; voters restart.
@@ -88,19 +88,20 @@
         fuzz(lambda: ClaimMachine(Voter()))
 
     def test_claims_without_attempt_ids_run_a_call_twice(self):
-        """A second coach comes to the hotel.
+        """Without attempt ids a duplicated outcome lets a call run twice.
 
-        Attempt 1 is given up, attempt 2 is granted and runs, then attempt 1's doubled
-        not-run arrives. It closes a claim known by key alone, and attempt 3 runs too.
+        Attempt 1 is given up, attempt 2 is granted and runs, then a duplicate of
+        attempt 1's not-run arrives. It closes the claim, which is known by its key
+        alone, and attempt 3 runs as well.
         """
         with self.assertRaises(AssertionError):
             find_failure(lambda: ClaimMachine(NaiveVoter()))
 
-    def test_a_lost_grant_is_given_again_to_the_same_incarnation_only(self):
-        """The entry lost the answer to its claim and proposes it again.
+    def test_lost_grant_is_repeated_only_to_the_same_incarnation(self):
+        """An entry that lost the answer to its claim can propose it again.
 
-        It must go on with its own attempt. The same attempt id for another sidecar
-        would pass both gates, since each sidecar remembers its own attempts alone.
+        It must continue with its own attempt. The same attempt id for another sidecar
+        would pass both gates, since each sidecar only stores its own attempts.
         """
         self.voter.apply(an_open())
         self.assertEqual(self.voter.apply(an_open()).code, "granted")
@@ -110,14 +111,14 @@
         answer = self.voter.apply(an_open("a2", body_sha256="other"))
         self.assertEqual(answer.code, "body-differs")
 
-    def test_a_spent_attempt_is_never_granted_again(self):
+    def test_not_run_attempt_is_never_granted_again(self):
         self.voter.apply(an_open("a1"))
         for attempt, following in (("a1", "a2"), ("a2", "a3")):
             self.voter.apply(a_close("not-run", attempt))
             self.assertEqual(self.voter.apply(an_open("a1")).code, "exists")
             self.assertEqual(self.voter.apply(an_open(following)).code, "granted")
 
-    def test_the_first_outcome_stays_but_unknown_may_become_done(self):
+    def test_first_outcome_is_kept_but_unknown_may_become_done(self):
         outcomes = ("done", "not-run", "unknown")
         for first, second in [(a, b) for a in outcomes for b in outcomes]:
             with self.subTest(first=first, second=second):
@@ -129,7 +130,7 @@
                 self.assertEqual(answer.code, "ok" if learned else "conflict")
                 self.assertEqual(self.held().body, "second" if learned else "first")
 
-    def test_the_result_is_kept_for_a_day_of_the_logs_time(self):
+    def test_result_is_kept_for_a_day_of_log_time(self):
         self.voter.apply(an_open())
         self.voter.apply(an_open(key="k2"))
         self.voter.pass_time(1)
@@ -140,11 +141,11 @@
         self.voter.pass_time(1)
         self.assertEqual(self.voter.state.claim_weights, {})
 
-    def test_a_flood_of_keys_leaves_half_of_the_table_to_others(self):
-        """A partner floods the platform with new keys.
+    def test_flood_of_keys_leaves_half_of_the_table_to_others(self):
+        """A customer that floods the platform with keys gets at most half the table.
 
-        Its claims stop at half of the table and are refused, not run; other customers'
-        are still granted, and none that is held is dropped.
+        Its further claims are refused and do not run. Other customers' claims are still
+        granted, and no stored claim is dropped.
         """
         with mock.patch.object(claims, "MAX_WEIGHT", 10):
             codes = [self.voter.apply(an_open(key=f"k{n}")).code for n in range(8)]
