--- a/libs/layers/src/cherryrudder/layers/chains.py
+++ b/libs/layers/src/cherryrudder/layers/chains.py
@@ -22,7 +22,7 @@
 # How much of an engine's room counts as full. What it can't hold it pushes out in the
 # middle of a stream; but each stream counts here with its whole answer from the start,
 # about a tenth more than it holds on the average.
-FULL_SHARE = 1.0
+MAX_FILL_SHARE = 1.0
 # Cost per token of a crossing between data centres. It has to outweigh any gain of a
 # faster engine there (a whole copy on slow accelerators takes 10 to 20 ms a token),
 # since the pipe between them is shared by all requests.
@@ -35,7 +35,7 @@
 WAIT_COST = 0.04
 # Cost per token of a whole chain in another data centre. Its activations cross no
 # pipe, only the answer does: it is worth it once the home engines are two thirds full.
-FOREIGN_S = 0.02
+REMOTE_CHAIN_S = 0.02
 
 
 class Candidate(NamedTuple):
@@ -100,11 +100,11 @@
     # It rises late: with 1 - fill a fast engine at half of its room counted as twice as
     # slow, and streams went to the slowest kind while the fast ones had room. At nine
     # tenths it is 5, enough to turn to another copy before this one refuses.
-    crowd = 1.0 / max(0.05, 1.0 - fill * fill)
-    return layer_step_s(profile, engine) * crowd * engine.jitter
+    load_factor = 1.0 / max(0.05, 1.0 - fill * fill)
+    return layer_step_s(profile, engine) * load_factor * engine.jitter
 
 
-def reading_wait_s(profile: ModelProfile, engine: Candidate) -> float:
+def prefill_wait_s(profile: ModelProfile, engine: Candidate) -> float:
     """Return how long an engine reads the prompts that wait there, in seconds.
 
     It reads a part of them in each pass, and a pass takes a step of every stream that
@@ -136,7 +136,7 @@
         # It speaks of another model than this one.
         return False
     room = room_tokens(profile, kind, engine.end - engine.first)
-    return engine.tokens + tokens <= FULL_SHARE * room
+    return engine.tokens + tokens <= MAX_FILL_SHARE * room
 
 
 def choose_chain(
@@ -152,14 +152,14 @@
     by_zone = _by_zone(e for e in engines if has_room(profile, e, need.tokens))
     best = None
     for zone in sorted(by_zone, key=lambda name: (name != need.home_zone, name)):
-        away_s = FOREIGN_S if zone != need.home_zone else 0.0
-        if best is not None and best[0] <= away_s:
+        remote_s = REMOTE_CHAIN_S if zone != need.home_zone else 0.0
+        if best is not None and best[0] <= remote_s:
             break
         if not _has_all_layers(profile, by_zone[zone]):
             continue
         found = _cheapest(profile, by_zone[zone], zone)
-        if found is not None and (best is None or found[0] + away_s < best[0]):
-            best = (found[0] + away_s, found[1])
+        if found is not None and (best is None or found[0] + remote_s < best[0]):
+            best = (found[0] + remote_s, found[1])
     return best and best[1]
 
 
@@ -207,8 +207,8 @@
 def crossings(chain: Chain, engines: Iterable[Candidate]) -> int:
     """Return how often a chain goes from one data centre to another."""
     zones = {engine.address: engine.vm_zone for engine in engines}
-    way = [zones[part.address] for part in chain]
-    return sum(a != b for a, b in zip(way, way[1:], strict=False))
+    zones_in_order = [zones[part.address] for part in chain]
+    return sum(a != b for a, b in zip(zones_in_order, zones_in_order[1:], strict=False))
 
 
 def replace_parts(
@@ -282,7 +282,7 @@
             continue
         room = room_tokens(profile, kind, engine.end - engine.first)
         for layer in range(engine.first, engine.end):
-            free[layer] += max(0.0, FULL_SHARE * room - engine.tokens)
+            free[layer] += max(0.0, MAX_FILL_SHARE * room - engine.tokens)
     layer = min(range(profile.layers), key=free.__getitem__)
     return layer, free[layer]
 
@@ -298,7 +298,7 @@
     """Return, by (layer, zone), the least cost and the step that led there."""
     best = {(marks[0], home_zone): (0.0, None, None)}
     prices = {e.address: part_cost_s(profile, e) for e in engines}
-    waits = {e.address: WAIT_COST * reading_wait_s(profile, e) for e in engines}
+    waits = {e.address: WAIT_COST * prefill_wait_s(profile, e) for e in engines}
     hop_s = HOP_S + profile.activation_bytes * 8 / (profile.link_mbps * 1e6)
     for at in marks[:-1]:
         states = [(k, v[0]) for k, v in best.items() if k[0] == at]
@@ -308,18 +308,18 @@
             if at == 0 and engine.firsts >= profile.slots:
                 # It would refuse the request, which costs a retry.
                 continue
-            cost, state = _cheapest_entry(states, engine.vm_zone)
+            cost, state = _cheapest_arrival(states, engine.vm_zone)
             if state is None:
                 continue
             cost += waits[engine.address]
             for to in marks:
                 if at < to <= engine.end:
                     total = cost + hop_s + (to - at) * prices[engine.address]
-                    _offer(best, (to, engine.vm_zone), total, state, engine)
+                    _update_best(best, (to, engine.vm_zone), total, state, engine)
     return best
 
 
-def _cheapest_entry(states, zone):
+def _cheapest_arrival(states, zone):
     found = (0.0, None)
     for state, cost in states:
         cost += 0.0 if state[1] == zone else CROSSING_S
@@ -328,7 +328,7 @@
     return found
 
 
-def _offer(best, key, cost, state, engine):
+def _update_best(best, key, cost, state, engine):
     known = best.get(key)
     if known is None or cost < known[0]:
         best[key] = (cost, state, engine)
--- a/libs/layers/src/cherryrudder/layers/layout.py
+++ b/libs/layers/src/cherryrudder/layers/layout.py
@@ -22,7 +22,7 @@
     Holding,
     KindProfile,
     ModelProfile,
-    most_layers,
+    max_layers,
     room_tokens,
     token_layer_mb,
 )
@@ -30,16 +30,16 @@
 # More room than this is not worth having a single copy without any layer held twice
 # for: it is some sixty usual requests at once in one data centre. What engines have
 # beyond it holds layers a second time, and a death there leaves no hole.
-MOST_SINGLE_ROOM_TOKENS = 60_000.0
+MAX_SINGLE_COPY_ROOM_TOKENS = 60_000.0
 # Two whole copies are worth having while each engine keeps this much room, some twenty
 # usual requests. An engine that dies then leaves no hole, and its streams go on at once
 # over the other copy; without one they wait until the layers are loaded again. With
 # less room than this a burst stops all streams, which is worse than a hole.
-DOUBLE_ROOM_TOKENS = 22_000.0
+MIN_TWO_COPY_ROOM_TOKENS = 22_000.0
 # The least room that is tried; with less an engine takes hardly one request.
-LEAST_TRIED_TOKENS = 500.0
+MIN_TRIED_ROOM_TOKENS = 500.0
 # Between two rooms that are tried. Whole layers make for larger steps than this.
-TRY_STEP = 1.03
+ROOM_STEP_FACTOR = 1.03
 
 
 class Holder(NamedTuple):
@@ -71,36 +71,36 @@
     kind: KindProfile
 
 
-class Aim(NamedTuple):
+class Target(NamedTuple):
     """How many whole copies a data centre is to hold, with so much room beside each."""
 
     copies: int
     room_tokens: float
 
 
-def aim_of(profile: ModelProfile, engines: Iterable[Engine]) -> Aim:
+def choose_target(profile: ModelProfile, engines: Iterable[Engine]) -> Target:
     """Return the most room in tokens that leaves enough layers for two whole copies.
 
     For one copy where two would leave the engines too little.
     """
-    return _aim_of_kinds(profile, tuple(e.kind for e in by_size(engines)))
+    return _choose_target_for_kinds(profile, tuple(e.kind for e in by_size(engines)))
 
 
 # A plan is made four times a second, while engines come and go a few times a minute.
 @functools.lru_cache(maxsize=64)
-def _aim_of_kinds(profile, kinds):
-    room = _most_room(profile, kinds, 2)
-    if room >= DOUBLE_ROOM_TOKENS:
-        return Aim(2, room)
-    return Aim(1, min(MOST_SINGLE_ROOM_TOKENS, _most_room(profile, kinds, 1)))
+def _choose_target_for_kinds(profile, kinds):
+    room = _max_room(profile, kinds, 2)
+    if room >= MIN_TWO_COPY_ROOM_TOKENS:
+        return Target(2, room)
+    return Target(1, min(MAX_SINGLE_COPY_ROOM_TOKENS, _max_room(profile, kinds, 1)))
 
 
 def lay_out(
-    profile: ModelProfile, engines: Iterable[Engine], aim: Aim
+    profile: ModelProfile, engines: Iterable[Engine], target: Target
 ) -> list[Placement]:
     """Return the ranges of whole copies on empty engines; some engines may be left."""
     engines = by_size(engines)
-    holdings = _tile(profile, tuple(e.kind for e in engines), aim) or []
+    holdings = _tile(profile, tuple(e.kind for e in engines), target) or []
     return [
         Placement(engine.holder, holding)
         for engine, holding in zip(engines, holdings, strict=False)
@@ -131,25 +131,25 @@
     return profile.slots * usual_tokens
 
 
-def _most_room(profile, kinds, copies):
+def _max_room(profile, kinds, copies):
     """Return the most room a layer for which so many copies fit."""
     layer_mb = sum(kind.size_mb for kind in kinds) / (copies * profile.layers)
     room = (layer_mb - profile.layer_mb) / token_layer_mb(profile)
-    while room > LEAST_TRIED_TOKENS:
-        if _tile(profile, kinds, Aim(copies, room)) is not None:
+    while room > MIN_TRIED_ROOM_TOKENS:
+        if _tile(profile, kinds, Target(copies, room)) is not None:
             return room
-        room /= TRY_STEP
-    return LEAST_TRIED_TOKENS
+        room /= ROOM_STEP_FACTOR
+    return MIN_TRIED_ROOM_TOKENS
 
 
-def _tile(profile, kinds, aim):
+def _tile(profile, kinds, target):
     """Return the ranges of whole copies laid end to end, one for each engine in turn.
 
     None when the engines don't suffice. Engines beyond the last range get none.
     """
     holdings = []
-    lengths = (most_layers(profile, kind, aim.room_tokens) for kind in kinds)
-    for _ in range(aim.copies):
+    lengths = (max_layers(profile, kind, target.room_tokens) for kind in kinds)
+    for _ in range(target.copies):
         first = 0
         while first < profile.layers:
             length = next(lengths, None)
@@ -162,7 +162,7 @@
         _first_layer_room(profile, kind, holding)
         for kind, holding in zip(kinds, holdings, strict=False)
     )
-    while first_room < aim.copies * aim.room_tokens:
+    while first_room < target.copies * target.room_tokens:
         length = next(lengths, None)
         if length is None:
             return None
--- a/libs/layers/src/cherryrudder/layers/pace.py
+++ b/libs/layers/src/cherryrudder/layers/pace.py
@@ -19,11 +19,11 @@
 # times slower makes a chain 1.5 to 2 times slower.
 SLOW_FACTOR = 1.6
 # A single pause varies more than the usual one, as long prompts are read in between.
-STUCK_FACTOR = 3.0
+STALL_FACTOR = 3.0
 # Allowance for prompts that are read between the steps, or fast chains would always
 # seem slow. A usual prompt takes a few milliseconds in one engine's part; twice as much
 # would hide an engine that is slow in a tenth of the layers.
-READING_S = 0.008
+PREFILL_ALLOWANCE_S = 0.008
 
 
 def expected_pause_s(
@@ -42,9 +42,9 @@
 
 def is_stuck(silent_s: float, expected_s: float) -> bool:
     """Tell whether a single pause is long enough for the same hint."""
-    return silent_s > STUCK_FACTOR * expected_s + READING_S
+    return silent_s > STALL_FACTOR * expected_s + PREFILL_ALLOWANCE_S
 
 
 def is_slow(pause_s: float, expected_s: float) -> bool:
     """Tell whether a stream's usual pause hints at a slow engine in its chain."""
-    return pause_s > SLOW_FACTOR * expected_s + READING_S
+    return pause_s > SLOW_FACTOR * expected_s + PREFILL_ALLOWANCE_S
--- a/libs/layers/src/cherryrudder/layers/pipes.py
+++ b/libs/layers/src/cherryrudder/layers/pipes.py
@@ -10,7 +10,7 @@
 
 # Part of the pipes' time that all entries may use together. Queues stay short up to
 # some two thirds, and tokens of running streams cross as well.
-USED_SHARE = 0.5
+MAX_USED_SHARE = 0.5
 # Time that may be used at once, so that a lone request never waits for its share.
 BURST_S = 0.25
 
@@ -37,14 +37,14 @@
 
 def may_cross(budget: PipeBudget, cost_s: float, entries: int, now_s: float) -> bool:
     """Tell whether a prompt may cross now, and count it if so."""
-    is_free = is_open(budget, cost_s, entries, now_s)
+    is_allowed = is_open(budget, cost_s, entries, now_s)
     budget.debt_s = _debt_s(budget, entries, now_s)
     budget.counted_s = now_s
-    if is_free:
+    if is_allowed:
         budget.debt_s += cost_s
-    return is_free
+    return is_allowed
 
 
 def _debt_s(budget, entries, now_s):
-    won_s = (now_s - budget.counted_s) * USED_SHARE / max(1, entries)
-    return max(0.0, budget.debt_s - won_s)
+    recovered_s = (now_s - budget.counted_s) * MAX_USED_SHARE / max(1, entries)
+    return max(0.0, budget.debt_s - recovered_s)
--- a/libs/layers/src/cherryrudder/layers/planner.py
+++ b/libs/layers/src/cherryrudder/layers/planner.py
@@ -16,23 +16,31 @@
 import collections
 from collections.abc import Iterable
 
-from .layout import Engine, Holder, Placement, aim_of, by_size, lay_out, layer_room
-from .profile import NOTHING, Holding, ModelProfile, kind_of, most_layers, room_tokens
+from .layout import (
+    Engine,
+    Holder,
+    Placement,
+    by_size,
+    choose_target,
+    lay_out,
+    layer_room,
+)
+from .profile import NOTHING, Holding, ModelProfile, kind_of, max_layers, room_tokens
 
 # The least room beside its layers that an engine may be left with. It is a dozen
 # usual requests; with less a burst stops every stream through it.
-LEAST_ROOM_TOKENS = 12_000.0
+MIN_ROOM_TOKENS = 12_000.0
 # A neighbour takes over a hole at once while it keeps this much room, some 25 usual
 # requests: it goes on serving its own range, and loads only what it lacks.
-EASY_ROOM_TOKENS = 25_000.0
+EARLY_EXTENSION_ROOM_TOKENS = 25_000.0
 # Part of a copy's room that may be missing before a data centre counts as short of an
 # engine. Ranges differ by a tenth, and one that its neighbours took over has half.
-SHORT_SHARE = 0.3
+SHORTAGE_SHARE = 0.3
 # A move takes an engine's range away from where it was, so it has to close a hole.
-MOVE_GAIN = 500.0
+MIN_MOVE_GAIN = 500.0
 # What loading one layer takes off the worth of a move: among moves that close as much,
 # the one that is done first.
-LOAD_COST = 2.0
+LAYER_LOAD_COST = 2.0
 # What a layer that nobody holds is worth, against 1 for one with the planned room: it
 # stops the data centre.
 HOLE_VALUE = 1000.0
@@ -70,8 +78,8 @@
         zones.setdefault(engine.holder.vm_zone, []).append(engine)
     groups, pooled = [], []
     for _, group in sorted(zones.items()):
-        least = sum(most_layers(profile, e.kind, LEAST_ROOM_TOKENS) for e in group)
-        if least >= profile.layers:
+        max_held = sum(max_layers(profile, e.kind, MIN_ROOM_TOKENS) for e in group)
+        if max_held >= profile.layers:
             groups.append(group)
         else:
             pooled += group
@@ -88,20 +96,20 @@
     after a crash is needed, though its neighbours have closed the hole meanwhile with
     what room they had. With the wait, it held layers 2 s later.
     """
-    awaited = _awaited(group, leaving)
-    aim = aim_of(profile, group)
-    copies, room = aim
+    awaited = _count_awaited(group, leaving)
+    target = choose_target(profile, group)
+    copies, room = target
     sums = rooms(profile, group)
-    placements = _lay_out_empty(profile, group, aim)
+    placements = _lay_out_empty(profile, group, target)
     for placement in placements:
         _add(profile, sums, _engine_of(group, placement), placement.holding, 1)
-    is_short = min(sums) < (copies - SHORT_SHARE) * room
+    is_short = min(sums) < (copies - SHORTAGE_SHARE) * room
     empty = [
         e
         for e in _without(group, placements)
         if e.holder.holding == NOTHING
         and not e.holder.is_busy
-        and (is_short or not e.holder.is_fresh or _is_awaited(e, awaited))
+        and (is_short or not e.holder.is_fresh or _claim_awaited(e, awaited))
     ]
     for engine in by_size(empty):
         holding = _best_range(profile, engine, sums, room)
@@ -111,26 +119,26 @@
     if 0.0 not in sums:
         return placements
     movable = [e for e in group if e.holder.holding != NOTHING and not e.holder.is_busy]
-    extended = _extend(profile, movable, sums, EASY_ROOM_TOKENS)
+    extended = _extend(profile, movable, sums, EARLY_EXTENSION_ROOM_TOKENS)
     movable = _without(movable, extended)
     moved = _move(profile, movable, sums, room)
     movable = _without(movable, moved)
-    stretched = _extend(profile, movable, sums, LEAST_ROOM_TOKENS)
+    stretched = _extend(profile, movable, sums, MIN_ROOM_TOKENS)
     return placements + extended + moved + stretched
 
 
-def _lay_out_empty(profile, group, aim):
+def _lay_out_empty(profile, group, target):
     """Return the first ranges of a data centre whose engines hold nothing at all."""
     if any(e.holder.holding != NOTHING or e.holder.is_busy for e in group):
         return []
-    return lay_out(profile, group, aim)
+    return lay_out(profile, group, target)
 
 
 def _engine_of(group, placement):
     return next(e for e in group if e.holder is placement.holder)
 
 
-def _awaited(group, leaving):
+def _count_awaited(group, leaving):
     """Return how many engines leave for which none has come, by place and kind."""
     counts = collections.Counter((h.vm_zone, h.kind) for h in leaving)
     for engine in group:
@@ -140,7 +148,7 @@
     return counts
 
 
-def _is_awaited(engine, awaited):
+def _claim_awaited(engine, awaited):
     place = engine.holder.vm_zone, engine.holder.kind
     awaited[place] -= 1
     return awaited[place] >= 0
@@ -159,39 +167,39 @@
         sums[layer] = max(0.0, round(sums[layer] + sign * room))
 
 
-def _value(room, planned):
+def _layer_value(room, planned):
     if room <= 0.0:
         return HOLE_VALUE
     return (planned / room) ** 2
 
 
-def _worth(sums, holding, planned):
+def _range_value(sums, holding, planned):
     layers = range(holding.first, holding.end)
-    return sum(_value(sums[layer], planned) for layer in layers)
+    return sum(_layer_value(sums[layer], planned) for layer in layers)
 
 
 def _best_range(profile, engine, sums, room):
     """Return the range with the least room, as long as the planned room allows."""
-    length = most_layers(profile, engine.kind, room)
+    length = max_layers(profile, engine.kind, room)
     if length < 1:
-        length = min(1, most_layers(profile, engine.kind, LEAST_ROOM_TOKENS))
-    best, best_worth = NOTHING, -1.0
+        length = min(1, max_layers(profile, engine.kind, MIN_ROOM_TOKENS))
+    best, best_value = NOTHING, -1.0
     for first in range(0, profile.layers - length + 1) if length else ():
         holding = Holding(first, first + length)
-        worth = _worth(sums, holding, room)
-        if worth > best_worth + 1e-9:
-            best, best_worth = holding, worth
+        value = _range_value(sums, holding, room)
+        if value > best_value + 1e-9:
+            best, best_value = holding, value
     return best
 
 
-def _extend(profile, movable, sums, least_room):
+def _extend(profile, movable, sums, min_room):
     """Let the neighbours of each hole take it over beside what they hold.
 
     They go on serving their own range while the new layers load.
     """
     held = {e.holder.engine_id: e.holder.holding for e in movable}
     while (hole := _first_hole(sums)) is not None:
-        step = _best_extension(profile, movable, held, hole, least_room)
+        step = _best_extension(profile, movable, held, hole, min_room)
         if step is None:
             break
         engine, holding = step
@@ -215,14 +223,14 @@
     return Holding(first, end)
 
 
-def _best_extension(profile, movable, held, hole, least_room):
+def _best_extension(profile, movable, held, hole, min_room):
     """Return the extension by one layer that leaves the most room, or None."""
     best = None
     for engine in movable:
         old = held[engine.holder.engine_id]
-        for new in _wider(old, hole):
+        for new in _extended_ranges(old, hole):
             length = new.end - new.first
-            if length > most_layers(profile, engine.kind, least_room):
+            if length > max_layers(profile, engine.kind, min_room):
                 continue
             room = room_tokens(profile, engine.kind, length)
             if best is None or room > best[0]:
@@ -230,14 +238,14 @@
     return best and best[1:]
 
 
-def _wider(old, hole):
+def _extended_ranges(old, hole):
     if old.first <= hole.first <= old.end:
         yield Holding(old.first, max(old.end, hole.first + 1))
     if old.first <= hole.end <= old.end:
         yield Holding(min(old.first, hole.end - 1), old.end)
 
 
-def _new_layers(old, new):
+def _count_new_layers(old, new):
     common = min(old.end, new.end) - max(old.first, new.first)
     return new.end - new.first - max(0, common)
 
@@ -251,10 +259,10 @@
             old = engine.holder.holding
             _add(profile, sums, engine, old, -1)
             holding = _best_range(profile, engine, sums, room)
-            gain = _worth(sums, holding, room) - _worth(sums, old, room)
-            gain -= LOAD_COST * _new_layers(old, holding)
+            gain = _range_value(sums, holding, room) - _range_value(sums, old, room)
+            gain -= LAYER_LOAD_COST * _count_new_layers(old, holding)
             _add(profile, sums, engine, old, 1)
-            if gain > MOVE_GAIN and (best is None or gain > best[0]):
+            if gain > MIN_MOVE_GAIN and (best is None or gain > best[0]):
                 best = (gain, engine, holding)
         if best is None:
             break
--- a/libs/layers/src/cherryrudder/layers/profile.py
+++ b/libs/layers/src/cherryrudder/layers/profile.py
@@ -68,7 +68,7 @@
     return max(0.0, free_mb) / (layers * token_layer_mb(profile))
 
 
-def most_layers(profile: ModelProfile, kind: KindProfile, reserve_tokens: float) -> int:
+def max_layers(profile: ModelProfile, kind: KindProfile, reserve_tokens: float) -> int:
     """Return the most layers that leave room for so many tokens."""
     per_layer_mb = profile.layer_mb + reserve_tokens * token_layer_mb(profile)
     return min(profile.layers, int(kind.size_mb / per_layer_mb))
--- a/libs/layers/test/test_chains.py
+++ b/libs/layers/test/test_chains.py
@@ -49,7 +49,7 @@
         group = [e for e in usable if e.vm_zone == zone]
         best = chains._cheapest(SMALL, group, zone)
         if best is not None:
-            away_s = chains.FOREIGN_S if zone != need.home_zone else 0.0
+            away_s = chains.REMOTE_CHAIN_S if zone != need.home_zone else 0.0
             found.append(best[0] + away_s)
     return min(found, default=None)
 
@@ -75,7 +75,7 @@
             zone = next(e.vm_zone for e in engines if e.address == chain[0].address)
             group = [e for e in engines if e.vm_zone == zone]
             group = [e for e in group if chains.has_room(SMALL, e, need.tokens)]
-            away_s = chains.FOREIGN_S if zone != "a" else 0.0
+            away_s = chains.REMOTE_CHAIN_S if zone != "a" else 0.0
             cost = chains._cheapest(SMALL, group, zone)[0] + away_s
             self.assertAlmostEqual(cost, wanted)
 
@@ -118,17 +118,17 @@
     def test_the_wait_grows_with_the_streams_that_run(self):
         idle = an_engine("e", 0, 4, unread=7720.0)
         busy = idle._replace(running=90.0)
-        idle_s = chains.reading_wait_s(SMALL, idle)
-        self.assertGreater(chains.reading_wait_s(SMALL, busy), 1.3 * idle_s)
+        idle_s = chains.prefill_wait_s(SMALL, idle)
+        self.assertGreater(chains.prefill_wait_s(SMALL, busy), 1.3 * idle_s)
 
     def test_a_slow_engine_reads_as_slowly_as_it_writes(self):
         sound = an_engine("e", 0, 4, unread=7720.0)
-        wait_s = chains.reading_wait_s(SMALL, sound)
-        slow_s = chains.reading_wait_s(SMALL, sound._replace(slowness=12.0))
+        wait_s = chains.prefill_wait_s(SMALL, sound)
+        slow_s = chains.prefill_wait_s(SMALL, sound._replace(slowness=12.0))
         self.assertAlmostEqual(slow_s, 12 * wait_s)
 
     def test_nothing_waits_where_nothing_is_unread(self):
-        self.assertEqual(chains.reading_wait_s(SMALL, an_engine("e", 0, 4)), 0.0)
+        self.assertEqual(chains.prefill_wait_s(SMALL, an_engine("e", 0, 4)), 0.0)
 
 
 class ChoiceTest(unittest.TestCase):
--- a/libs/layers/test/test_layout.py
+++ b/libs/layers/test/test_layout.py
@@ -6,7 +6,7 @@
 from cherryrudder.layers import chains, layout, planner
 from cherryrudder.layers.chains import Need
 from cherryrudder.layers.layout import Engine
-from cherryrudder.layers.profile import KindProfile, kind_of, most_layers
+from cherryrudder.layers.profile import KindProfile, kind_of, max_layers
 
 KINDS = (
     KindProfile("a100", 72_000.0, 2.4, 3.2),
@@ -43,7 +43,7 @@
     holders = empty_holders(counts)
     room = layout.slot_tokens(PROFILE)
     for index, holder in enumerate(holders):
-        length = most_layers(PROFILE, kind_of(PROFILE, holder.kind), room)
+        length = max_layers(PROFILE, kind_of(PROFILE, holder.kind), room)
         sums = planner.rooms(PROFILE, engines_of(holders[:index]))
         starts = range(PROFILE.layers - length + 1)
         first = min(starts, key=lambda at: sum(sums[at : at + length]))
@@ -105,7 +105,7 @@
 
     def test_first_engines_have_places_for_what_the_rest_has_room_for(self):
         holders = laid_out()
-        aim = layout.aim_of(PROFILE, engines_of(holders))
+        aim = layout.choose_target(PROFILE, engines_of(holders))
         firsts = [h for h in holders if h.holding.first == 0]
         places = len(firsts) * layout.slot_tokens(PROFILE)
         self.assertGreaterEqual(places, aim.copies * aim.room_tokens)
@@ -113,7 +113,7 @@
     def test_without_places_in_mind_the_first_engines_bound_the_rest(self):
         """Two engines with the first layer take 192 requests; memory takes 270."""
         first_room = 2 * layout.slot_tokens(PROFILE)
-        aim = layout.aim_of(PROFILE, engines_of(laid_out()))
+        aim = layout.choose_target(PROFILE, engines_of(laid_out()))
         self.assertLess(first_room, 0.8 * aim.copies * aim.room_tokens)
 
     def test_engines_that_hold_layers_are_left_where_they_are(self):
@@ -123,5 +123,5 @@
             self.assertNotEqual(placement.holder.kind, "a100")
 
     def test_too_few_engines_for_two_copies_hold_one(self):
-        aim = layout.aim_of(PROFILE, engines_of(empty_holders({"l4": 9})))
+        aim = layout.choose_target(PROFILE, engines_of(empty_holders({"l4": 9})))
         self.assertEqual(aim.copies, 1)
--- a/libs/layers/test/test_pace.py
+++ b/libs/layers/test/test_pace.py
@@ -47,7 +47,9 @@
         engines = two_copies()
         chain = chains.choose_chain(profile, engines, NEED)
         expected_s = pace.expected_pause_s(profile, chain, engines)
-        self.assertFalse(pace.is_slow(expected_s + pace.READING_S, expected_s))
+        self.assertFalse(
+            pace.is_slow(expected_s + pace.PREFILL_ALLOWANCE_S, expected_s)
+        )
         self.assertFalse(pace.is_stuck(2 * expected_s, expected_s))
 
 
--- a/libs/layers/test/test_pipes.py
+++ b/libs/layers/test/test_pipes.py
@@ -26,7 +26,7 @@
         for entries in (1, 7, 32):
             profile = a_profile()
             used_s = crossings_in(20, entries) * pipes.crossing_s(profile, 772, 2)
-            allowed_s = 20 * pipes.USED_SHARE / entries + pipes.BURST_S
+            allowed_s = 20 * pipes.MAX_USED_SHARE / entries + pipes.BURST_S
             with self.subTest(entries=entries):
                 self.assertLessEqual(used_s, allowed_s + 0.1)
                 self.assertGreater(used_s, 0.5 * allowed_s)
--- a/libs/layers/test/test_planner.py
+++ b/libs/layers/test/test_planner.py
@@ -139,7 +139,7 @@
             kind = kind_of(self.profile, holder.kind)
             layers = holder.holding.end - holder.holding.first
             room = room_tokens(self.profile, kind, layers)
-            self.assertGreaterEqual(room, layout.DOUBLE_ROOM_TOKENS)
+            self.assertGreaterEqual(room, layout.MIN_TWO_COPY_ROOM_TOKENS)
 
 
 class LossTest(unittest.TestCase):
@@ -251,7 +251,7 @@
                     kind_of(PROFILE, h.kind).size_mb
                     / (
                         PROFILE.layer_mb
-                        + planner.LEAST_ROOM_TOKENS * PROFILE.token_kv_bytes / 80 / 1e6
+                        + planner.MIN_ROOM_TOKENS * PROFILE.token_kv_bytes / 80 / 1e6
                     )
                 )
                 for h in group
--- a/libs/routing/src/cherryrudder/routing/answertimes.py
+++ b/libs/routing/src/cherryrudder/routing/answertimes.py
@@ -38,8 +38,8 @@
     if times.answers == 1:
         times.mean_s, times.deviation_s = took_s, took_s / 2
         return
-    off_s = abs(took_s - times.mean_s)
-    times.deviation_s += DEVIATION_WEIGHT * (off_s - times.deviation_s)
+    error_s = abs(took_s - times.mean_s)
+    times.deviation_s += DEVIATION_WEIGHT * (error_s - times.deviation_s)
     times.mean_s += MEAN_WEIGHT * (took_s - times.mean_s)
 
 
@@ -47,5 +47,5 @@
     """Return the time within which an answer is to be there."""
     if not times.answers:
         return bounds.first_s
-    usual_s = times.mean_s + DEVIATIONS * times.deviation_s
-    return min(bounds.most_s, max(bounds.least_s, usual_s))
+    estimate_s = times.mean_s + DEVIATIONS * times.deviation_s
+    return min(bounds.most_s, max(bounds.least_s, estimate_s))
--- a/libs/routing/src/cherryrudder/routing/backoffs.py
+++ b/libs/routing/src/cherryrudder/routing/backoffs.py
@@ -10,16 +10,16 @@
 from typing import NamedTuple
 
 # However long an endpoint asks for, it is tried again after this time.
-MOST_BACKOFF_S = 3600.0
+MAX_BACKOFF_S = 3600.0
 # The request that goes alone is waited for so long before another one may go.
-PROBE_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 
 
 class Backoff(NamedTuple):
     """An endpoint's backoff, and when the first request after it was sent."""
 
     until_s: float
-    probe_s: float = float("-inf")
+    probe_sent_s: float = float("-inf")
 
 
 class BackoffBook:
@@ -32,7 +32,7 @@
 def start(book: BackoffBook, engine_id: str, backoff_s: float, now_s: float) -> None:
     """Take an endpoint's word that it wants nothing for some time."""
     known = book.backoffs.get(engine_id, Backoff(now_s))
-    until_s = max(known.until_s, now_s + min(backoff_s, MOST_BACKOFF_S))
+    until_s = max(known.until_s, now_s + min(backoff_s, MAX_BACKOFF_S))
     book.backoffs[engine_id] = Backoff(until_s)
 
 
@@ -52,14 +52,16 @@
     backoff = book.backoffs.get(engine_id)
     if backoff is None:
         return 0.0
-    return max(0.0, backoff.until_s - now_s, backoff.probe_s + PROBE_S - now_s)
+    return max(
+        0.0, backoff.until_s - now_s, backoff.probe_sent_s + PROBE_TIMEOUT_S - now_s
+    )
 
 
 def note_sent(book: BackoffBook, engine_id: str, now_s: float) -> None:
     """Take note of a request that is about to be sent."""
     backoff = book.backoffs.get(engine_id)
     if backoff is not None:
-        book.backoffs[engine_id] = backoff._replace(probe_s=now_s)
+        book.backoffs[engine_id] = backoff._replace(probe_sent_s=now_s)
 
 
 def answered(book: BackoffBook, engine_id: str, sent_s: float) -> bool:
--- a/libs/routing/src/cherryrudder/routing/configuration.py
+++ b/libs/routing/src/cherryrudder/routing/configuration.py
@@ -101,7 +101,7 @@
     names = {service.name for service in configuration.services}
     places = set()
     for route in configuration.routes:
-        fault = _own_fault(route, names)
+        fault = _single_route_fault(route, names)
         if fault:
             return f"route {route.name}: {fault}"
         place = (route.host, route.path_prefix)
@@ -111,7 +111,7 @@
     return ""
 
 
-def _own_fault(route, services):
+def _single_route_fault(route, services):
     if route.timeout_s <= 0:
         return "its timeout is 0"
     if not route.path_prefix.startswith("/") or not route.path_prefix.endswith("/"):
--- a/libs/routing/src/cherryrudder/routing/crashbook.py
+++ b/libs/routing/src/cherryrudder/routing/crashbook.py
@@ -9,17 +9,17 @@
 
 # A request that comes again does so within seconds; one that doesn't was cut off beside
 # another one, or has served its time.
-KEEP_S = 120.0
+RETENTION_S = 120.0
 # One under which several engines ended is tried once when its block is over; if it does
 # harm again, the next block is longer.
-REPEATED_KEEP_S = 7200.0
-REPEATED = 3
-MOST_RECORDS = 1000
-MOST_CRASHES = 16
+REPEATED_RETENTION_S = 7200.0
+MIN_REPEATED_CRASHES = 3
+MAX_RECORDS = 1000
+MAX_CRASHES = 16
 # Stands for the end of an answer among the numbers of its events.
 FINISHED = 2**31 - 1
 # Two notes of one lift differ by what their messages took.
-SAME_LIFT_S = 5.0
+LIFT_TOLERANCE_S = 5.0
 
 
 class Crash(NamedTuple):
@@ -68,10 +68,10 @@
         self.suspects: set[str] = set()
 
 
-def merge(book: CrashBook, fingerprint: str, heard: Record) -> bool:
+def merge(book: CrashBook, fingerprint: str, received: Record) -> bool:
     """Take what another process knows of a request; tell whether it is news."""
     known = book.records.get(fingerprint)
-    merged = _merged(known, heard) if known else heard
+    merged = _merged(known, received) if known else received
     if merged == known:
         return False
     book.records[fingerprint] = merged
@@ -80,14 +80,14 @@
     return True
 
 
-def _merged(known, heard):
+def _merged(known, received):
     known_ids = {crash.engine_id for crash in known.crashes}
-    fresh = [crash for crash in heard.crashes if crash.engine_id not in known_ids]
-    is_lifted = heard.lifted_s > known.lifted_s + SAME_LIFT_S
+    fresh = [crash for crash in received.crashes if crash.engine_id not in known_ids]
+    is_lifted = received.lifted_s > known.lifted_s + LIFT_TOLERANCE_S
     return known._replace(
-        crashes=(*known.crashes, *fresh)[:MOST_CRASHES],
-        passed=max(known.passed, heard.passed),
-        lifted_s=heard.lifted_s if is_lifted else known.lifted_s,
+        crashes=(*known.crashes, *fresh)[:MAX_CRASHES],
+        passed=max(known.passed, received.passed),
+        lifted_s=received.lifted_s if is_lifted else known.lifted_s,
     )
 
 
@@ -99,24 +99,28 @@
 def sweep(book: CrashBook, now_s: float) -> None:
     """Forget requests that did no harm lately; the oldest first when there are many."""
     for fingerprint, record in list(book.records.items()):
-        keep_s = REPEATED_KEEP_S if len(record.crashes) >= REPEATED else KEEP_S
-        if now_s - _last_s(record) > keep_s:
-            _forget(book, fingerprint)
-    surplus = len(book.records) - MOST_RECORDS
+        retention_s = (
+            REPEATED_RETENTION_S
+            if len(record.crashes) >= MIN_REPEATED_CRASHES
+            else RETENTION_S
+        )
+        if now_s - _last_crash_s(record) > retention_s:
+            _drop(book, fingerprint)
+    surplus = len(book.records) - MAX_RECORDS
     if surplus > 0:
         order = sorted(
             book.records,
-            key=lambda one: (one in book.blocks, _last_s(book.records[one])),
+            key=lambda one: (one in book.blocks, _last_crash_s(book.records[one])),
         )
         for fingerprint in order[:surplus]:
-            _forget(book, fingerprint)
+            _drop(book, fingerprint)
 
 
-def _last_s(record):
+def _last_crash_s(record):
     return max((crash.at_s for crash in record.crashes), default=record.lifted_s)
 
 
-def _forget(book, fingerprint):
+def _drop(book, fingerprint):
     del book.records[fingerprint]
     del book.changed[fingerprint]
     book.blocks.pop(fingerprint, None)
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -19,7 +19,7 @@
 LOST_AFTER_S = 9.0
 # A departure is remembered for longer than any heartbeat can be under way: a late one
 # would otherwise bring the endpoint back.
-FORGET_AFTER_S = 60.0
+RETENTION_S = 60.0
 
 # Distance of an endpoint's own numbers. A leader looks a few times between two of its
 # heartbeats at most.
@@ -74,26 +74,26 @@
         self.version = 0
 
 
-def hear(table: EndpointTable, heard: Announcement, now_s: float) -> bool:
+def hear(table: EndpointTable, received: Announcement, now_s: float) -> bool:
     """Take a heartbeat; tell whether others should hear of it at once."""
-    known = table.entries.get(heard.engine_id)
+    known = table.entries.get(received.engine_id)
     if known is None:
-        if _has_later_incarnation(table, heard):
+        if _has_later_incarnation(table, received):
             return False
-        _end_earlier_incarnations(table, heard, now_s)
-        table.entries[heard.engine_id] = Entry(heard, now_s)
+        _end_earlier_incarnations(table, received, now_s)
+        table.entries[received.engine_id] = Entry(received, now_s)
         table.version += 1
         return True
     if known.is_gone:
         # Its departure came first; it still tells that those before have ended.
-        _end_earlier_incarnations(table, heard, now_s)
+        _end_earlier_incarnations(table, received, now_s)
         return False
-    if heard.number <= known.announcement.number:
-        return leaves(heard) and _leave(table, known, heard, now_s)
+    if received.number <= known.announcement.number:
+        return leaves(received) and _merge_notices(table, known, received, now_s)
     # Leaving is for good: a heartbeat that overtook the notice must not undo it.
-    heard = _with_notices(heard, known.announcement)
-    table.entries[heard.engine_id] = Entry(heard, now_s, _has_ended(heard))
-    is_news = heard._replace(number=0) != known.announcement._replace(number=0)
+    received = _with_notices(received, known.announcement)
+    table.entries[received.engine_id] = Entry(received, now_s, _has_ended(received))
+    is_news = received._replace(number=0) != known.announcement._replace(number=0)
     table.version += is_news
     return is_news
 
@@ -139,19 +139,21 @@
     ]
 
 
-def _has_later_incarnation(table, heard):
+def _has_later_incarnation(table, received):
     return any(
-        entry.announcement.started_ms > heard.started_ms
-        for entry in _incarnations_of(table, heard)
+        entry.announcement.started_ms > received.started_ms
+        for entry in _incarnations_of(table, received)
     )
 
 
-def _end_earlier_incarnations(table, heard, now_s):
-    for entry in _incarnations_of(table, heard):
-        if entry.announcement.started_ms >= heard.started_ms:
+def _end_earlier_incarnations(table, received, now_s):
+    for entry in _incarnations_of(table, received):
+        if entry.announcement.started_ms >= received.started_ms:
             continue
         # Kept as gone, so that its late heartbeats stay without effect.
-        table.entries[entry.announcement.engine_id] = _gone(entry.announcement, now_s)
+        table.entries[entry.announcement.engine_id] = _gone_entry(
+            entry.announcement, now_s
+        )
 
 
 def newest_incarnation(table: EndpointTable, name: str) -> str | None:
@@ -165,9 +167,9 @@
     return newest and newest.engine_id
 
 
-def _leave(table, known, heard, now_s):
+def _merge_notices(table, known, received, now_s):
     """Take a notice of leaving that later heartbeats overtook; tell whether news."""
-    leaving = _with_notices(known.announcement, heard)
+    leaving = _with_notices(known.announcement, received)
     if leaving == known.announcement:
         return False
     table.entries[leaving.engine_id] = Entry(leaving, now_s, _has_ended(leaving))
@@ -175,7 +177,7 @@
     return True
 
 
-def _gone(announcement, now_s):
+def _gone_entry(announcement, now_s):
     return Entry(
         announcement._replace(is_leaving=True, has_signed_off=True), now_s, True
     )
@@ -205,7 +207,7 @@
     if known.is_gone:
         return False
     signed = known.announcement._replace(has_signed_off=True)
-    return _leave(table, known, signed, known.heard_s)
+    return _merge_notices(table, known, signed, known.heard_s)
 
 
 def tell_senders(table: EndpointTable, engine_id: str, now_s: float) -> bool:
@@ -213,8 +215,8 @@
     known = table.entries.get(engine_id)
     if known is None or known.is_gone:
         return False
-    told = known.announcement._replace(has_told_senders=True)
-    return _leave(table, known, told, now_s)
+    notified = known.announcement._replace(has_told_senders=True)
+    return _merge_notices(table, known, notified, now_s)
 
 
 def depart(table: EndpointTable, engine_id: str, now_s: float) -> bool:
@@ -225,21 +227,21 @@
     # Of one that was never heard, heartbeats may still be under way.
     unheard = Announcement(engine_id, "", "", "", "", 0, 0)
     announcement = known.announcement if known else unheard
-    table.entries[engine_id] = _gone(announcement, now_s)
+    table.entries[engine_id] = _gone_entry(announcement, now_s)
     table.version += 1
     return True
 
 
-def merge(table: EndpointTable, heard: Entry, age_s: float, now_s: float) -> bool:
+def merge(table: EndpointTable, received: Entry, age_s: float, now_s: float) -> bool:
     """Take what another process knows, heard there `age_s` ago."""
-    engine_id = heard.announcement.engine_id
-    if heard.is_gone and not heard.announcement.address:
+    engine_id = received.announcement.engine_id
+    if received.is_gone and not received.announcement.address:
         # Its teller had never heard it, and can't know whether it drained before.
         return sign_off(table, engine_id, now_s)
-    if heard.is_gone:
+    if received.is_gone:
         return depart(table, engine_id, now_s)
     known = table.entries.get(engine_id)
-    is_news = hear(table, heard.announcement, now_s - age_s)
+    is_news = hear(table, received.announcement, now_s - age_s)
     known_later = known is not None and known.heard_s > now_s - age_s
     if known_later and not table.entries[engine_id].is_gone:
         entry = table.entries[engine_id]
@@ -252,7 +254,7 @@
     lost = []
     for engine_id, entry in list(table.entries.items()):
         age_s = now_s - entry.heard_s
-        if age_s > FORGET_AFTER_S:
+        if age_s > RETENTION_S:
             del table.entries[engine_id]
             if not entry.is_gone:
                 lost.append(engine_id)
--- a/libs/routing/src/cherryrudder/routing/gatekeeping.py
+++ b/libs/routing/src/cherryrudder/routing/gatekeeping.py
@@ -61,7 +61,7 @@
 
 def decide(
     table: RouteTable | None,
-    asked: Asked,
+    request: Asked,
     confirmed_age_s: float,
     revoke_s: float,
     is_cut_off: bool = False,
@@ -70,23 +70,23 @@
 
     `is_cut_off` tells that no control VM was heard for some seconds.
     """
-    decision = _decide(table, asked, confirmed_age_s, revoke_s)
+    decision = _authorize(table, request, confirmed_age_s, revoke_s)
     return CUT_OFF if decision is UNCONFIRMED and is_cut_off else decision
 
 
-def _decide(table, asked, confirmed_age_s, revoke_s):
+def _authorize(table, request, confirmed_age_s, revoke_s):
     if table is None:
         return UNKNOWN
     is_trusted = confirmed_age_s < TRUSTED_SHARE * revoke_s
     is_certain = confirmed_age_s < CERTAIN_SHARE * revoke_s
-    route = table.route(asked.host, asked.target)
+    route = table.route(request.host, request.target)
     if route is None:
         return Refused(404, "no route") if is_certain else UNCONFIRMED
     if route.is_anonymous or not table.has_accounts:
         return Admitted(route, "", route.priority)
     if not is_trusted:
         return UNCONFIRMED
-    account = table.account(asked.key)
+    account = table.account(request.key)
     if account is None:
         return Refused(401, "unknown key") if is_certain else UNCONFIRMED
     return Admitted(route, account.name, _priority(account, route))
--- a/libs/routing/src/cherryrudder/routing/hangs.py
+++ b/libs/routing/src/cherryrudder/routing/hangs.py
@@ -12,43 +12,43 @@
 # In objectives, how long a request that is not begun counts for nothing. A usual one
 # is begun after a tenth, and the longest on busy engines after one; sent elsewhere it
 # would be read a second time, which an overload can't bear. Clients leave after four.
-PATIENCE_SHARE = 1.6
+TIMEOUT_OBJECTIVES = 1.6
 # An engine is left alone for so long, then tried with new requests; each further time
 # for twice as long. Engines that hang do so for some seconds.
-FIRST_REST_S = 2.0
-MOST_REST_S = 8.0
+FIRST_EJECTION_S = 2.0
+MAX_EJECTION_S = 8.0
 
 
-class Waiting(NamedTuple):
+class PendingRequest(NamedTuple):
     """A request that an engine has, and has not begun yet."""
 
     sent_s: float
-    patience_s: float
+    timeout_s: float
 
 
 class Hangs:
     """The requests that were not begun, by incarnation, and what they showed."""
 
     def __init__(self):
-        self.waiting: dict[str, dict[str, Waiting]] = {}
-        self.begun_s: dict[str, float] = {}
+        self.waiting: dict[str, dict[str, PendingRequest]] = {}
+        self.last_started_s: dict[str, float] = {}
         # Until when an engine rests, and how long that rest was.
-        self.rests: dict[str, tuple[float, float]] = {}
+        self.ejections: dict[str, tuple[float, float]] = {}
 
 
 def sent(
     hangs: Hangs, engine_id: str, request_id: str, objective_s: float, now_s: float
 ) -> None:
     """Take note that a request went to an engine."""
-    waiting = Waiting(now_s, PATIENCE_SHARE * objective_s)
+    waiting = PendingRequest(now_s, TIMEOUT_OBJECTIVES * objective_s)
     hangs.waiting.setdefault(engine_id, {})[request_id] = waiting
 
 
 def begun(hangs: Hangs, engine_id: str, request_id: str, now_s: float) -> None:
     """Take note that an engine has begun a request or refused it: it is at work."""
     ended(hangs, engine_id, request_id)
-    hangs.begun_s[engine_id] = now_s
-    hangs.rests.pop(engine_id, None)
+    hangs.last_started_s[engine_id] = now_s
+    hangs.ejections.pop(engine_id, None)
 
 
 def ended(hangs: Hangs, engine_id: str, request_id: str) -> None:
@@ -66,29 +66,29 @@
         if is_resting(hangs, engine_id, now_s):
             continue
         if _is_hanging(hangs, engine_id, waiting, now_s):
-            _, last_s = hangs.rests.get(engine_id, (0.0, FIRST_REST_S / 2))
-            rest_s = min(MOST_REST_S, 2 * last_s)
-            hangs.rests[engine_id] = (now_s + rest_s, rest_s)
+            _, last_s = hangs.ejections.get(engine_id, (0.0, FIRST_EJECTION_S / 2))
+            ejection_s = min(MAX_EJECTION_S, 2 * last_s)
+            hangs.ejections[engine_id] = (now_s + ejection_s, ejection_s)
             found.append(engine_id)
     return found
 
 
 def _is_hanging(hangs, engine_id, waiting, now_s):
-    begun_s = hangs.begun_s.get(engine_id, float("-inf"))
+    last_started_s = hangs.last_started_s.get(engine_id, float("-inf"))
     return any(
-        now_s - one.sent_s > one.patience_s and begun_s < one.sent_s
+        now_s - one.sent_s > one.timeout_s and last_started_s < one.sent_s
         for one in waiting.values()
     )
 
 
 def is_resting(hangs: Hangs, engine_id: str, now_s: float) -> bool:
     """Tell whether an engine is to get no requests for now."""
-    until_s, _ = hangs.rests.get(engine_id, (0.0, 0.0))
+    until_s, _ = hangs.ejections.get(engine_id, (0.0, 0.0))
     return now_s < until_s
 
 
 def forget(hangs: Hangs, known: set[str]) -> None:
     """Drop what is known of incarnations that are gone."""
-    for kept in (hangs.begun_s, hangs.rests):
+    for kept in (hangs.last_started_s, hangs.ejections):
         for engine_id in set(kept) - known:
             del kept[engine_id]
--- a/libs/routing/src/cherryrudder/routing/picking.py
+++ b/libs/routing/src/cherryrudder/routing/picking.py
@@ -12,10 +12,10 @@
 
 # What an endpoint told of itself halves in weight after this time; work of 20 ms is
 # long over then, but a queue is not.
-TOLD_HALF_LIFE_S = 0.25
+REPORT_HALF_LIFE_S = 0.25
 # A place in another data centre counts as this much of a request more: 0.25 ms each
 # way is little beside 20 ms of work, and crossings cost the operators.
-FAR_LOAD = 0.5
+REMOTE_ZONE_LOAD = 0.5
 
 
 class Place(NamedTuple):
@@ -45,8 +45,8 @@
     return min(candidates, key=lambda place: (_load(place, home_zone), rng.random()))
 
 
-def _load(place, home_zone):
-    weight = 0.5 ** (place.told_age_s / TOLD_HALF_LIFE_S)
-    others = max(0.0, place.told_load - place.own_running) * weight
-    far = FAR_LOAD if place.vm_zone != home_zone else 0.0
-    return (place.own_running + others + far) / max(1, place.slots)
+def _load(endpoint, home_zone):
+    weight = 0.5 ** (endpoint.told_age_s / REPORT_HALF_LIFE_S)
+    others = max(0.0, endpoint.told_load - endpoint.own_running) * weight
+    remote = REMOTE_ZONE_LOAD if endpoint.vm_zone != home_zone else 0.0
+    return (endpoint.own_running + others + remote) / max(1, endpoint.slots)
--- a/libs/routing/src/cherryrudder/routing/ratelimits.py
+++ b/libs/routing/src/cherryrudder/routing/ratelimits.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 # The end of a limit is told for this long, so that it overtakes older news of it.
-ENDED_S = 10.0
+ENDED_RETENTION_S = 10.0
 
 
 class Limit(NamedTuple):
@@ -27,15 +27,15 @@
         self.limits: dict[str, Limit] = {}
 
 
-def hear(book: LimitBook, engine_id: str, heard: Limit) -> bool:
+def hear(book: LimitBook, engine_id: str, received: Limit) -> bool:
     """Take a statement; tell whether it changes the limit."""
     known = book.limits.get(engine_id)
-    if known is None and heard.per_s is None:
+    if known is None and received.per_s is None:
         return False
-    if known is not None and heard.said_s <= known.said_s:
+    if known is not None and received.said_s <= known.said_s:
         return False
-    book.limits[engine_id] = heard
-    return known is None or known.per_s != heard.per_s
+    book.limits[engine_id] = received
+    return known is None or known.per_s != received.per_s
 
 
 def limit_of(book: LimitBook, engine_id: str) -> float | None:
@@ -50,5 +50,5 @@
         engine_id: limit
         for engine_id, limit in book.limits.items()
         if engine_id in known
-        and (limit.per_s is not None or now_s - limit.said_s < ENDED_S)
+        and (limit.per_s is not None or now_s - limit.said_s < ENDED_RETENTION_S)
     }
--- a/libs/routing/src/cherryrudder/routing/slowness.py
+++ b/libs/routing/src/cherryrudder/routing/slowness.py
@@ -7,12 +7,12 @@
 from typing import NamedTuple
 
 # A slow endpoint is looked at again every half second; this is three such looks.
-BELIEVED_S = 1.6
+REPORT_TTL_S = 1.6
 # Engines answer somewhat unevenly by themselves. What is less isn't worth a detour.
 LEAST_SLOWNESS = 1.3
 
 
-class Told(NamedTuple):
+class SlownessReport(NamedTuple):
     """What was told of an endpoint, and until when it counts."""
 
     slowness: float
@@ -23,25 +23,27 @@
     """What was told, by the endpoint's incarnation."""
 
     def __init__(self):
-        self.told: dict[str, Told] = {}
+        self.reports: dict[str, SlownessReport] = {}
 
 
 def believe(book: SlownessBook, engine_id: str, slowness: float, now_s: float) -> bool:
     """Take how many times slower an endpoint is than its kind; tell whether news."""
     known = slowness_of(book, engine_id, now_s)
     if slowness < LEAST_SLOWNESS:
-        book.told.pop(engine_id, None)
+        book.reports.pop(engine_id, None)
         return known > 1.0
-    book.told[engine_id] = Told(slowness, now_s + BELIEVED_S)
+    book.reports[engine_id] = SlownessReport(slowness, now_s + REPORT_TTL_S)
     return known == 1.0
 
 
 def slowness_of(book: SlownessBook, engine_id: str, now_s: float) -> float:
     """Return how many times slower an endpoint is than its kind, 1 if nobody says."""
-    told = book.told.get(engine_id)
-    return told.slowness if told is not None and now_s < told.until_s else 1.0
+    report = book.reports.get(engine_id)
+    return report.slowness if report is not None and now_s < report.until_s else 1.0
 
 
 def sweep(book: SlownessBook, now_s: float) -> None:
     """Forget what counts no longer."""
-    book.told = {name: told for name, told in book.told.items() if now_s < told.until_s}
+    book.reports = {
+        name: told for name, told in book.reports.items() if now_s < told.until_s
+    }
--- a/libs/routing/test/crashsim.py
+++ b/libs/routing/test/crashsim.py
@@ -76,7 +76,7 @@
 
     def is_blocked(self, entry, fingerprint):
         """Tell whether a request is refused."""
-        return len(self.counts.get(fingerprint, ())) >= blame.MOST_ENDS
+        return len(self.counts.get(fingerprint, ())) >= blame.BLOCK_CRASHES
 
     def delay_s(self, entry, fingerprint):
         """Send everything at once."""
@@ -251,7 +251,7 @@
 
 def _late(request):
     """Return how often a request was sent that should have been known."""
-    if len(request.ended_s) < blame.MOST_ENDS:
+    if len(request.ended_s) < blame.BLOCK_CRASHES:
         return 0
     known_s = request.ended_s[2] + CONTACT_S
     return sum(sent_s > known_s for sent_s in request.sends_s)
--- a/libs/routing/test/test_backoffs.py
+++ b/libs/routing/test/test_backoffs.py
@@ -1,7 +1,7 @@
 import unittest
 
 from cherryrudder.routing import backoffs
-from cherryrudder.routing.backoffs import MOST_BACKOFF_S, PROBE_S, BackoffBook
+from cherryrudder.routing.backoffs import MAX_BACKOFF_S, PROBE_TIMEOUT_S, BackoffBook
 
 
 class BackoffTest(unittest.TestCase):
@@ -28,7 +28,7 @@
 
     def test_a_request_without_an_answer_doesnt_hold_the_others_up(self):
         backoffs.note_sent(self.book, "e", 13.0)
-        self.assertTrue(self.may_begin(13.0 + PROBE_S))
+        self.assertTrue(self.may_begin(13.0 + PROBE_TIMEOUT_S))
 
     def test_answers_to_older_requests_dont_end_it(self):
         self.assertFalse(backoffs.answered(self.book, "e", sent_s=9.9))
@@ -43,7 +43,7 @@
 
     def test_no_backoff_is_for_ever(self):
         backoffs.start(self.book, "f", 1e9, 10.0)
-        self.assertEqual(backoffs.left_s(self.book, "f", 10.0), MOST_BACKOFF_S)
+        self.assertEqual(backoffs.left_s(self.book, "f", 10.0), MAX_BACKOFF_S)
 
     def test_a_later_incarnation_has_none(self):
         backoffs.forget(self.book, {"f"})
--- a/libs/routing/test/test_blame.py
+++ b/libs/routing/test/test_blame.py
@@ -130,7 +130,7 @@
         book = a_book(**{f"{n:08x}": [("e1", 2, 1.0), ("e2", 3, 2.0)] for n in (0, 1)})
         blame.refresh(book, 10.0)
         delays_s = {blame.send_delay_s(book, f"{n:08x}") for n in (0, 1)}
-        self.assertEqual(delays_s, {0.0, blame.MOMENT_S})
+        self.assertEqual(delays_s, {0.0, blame.STAGGER_STEP_S})
         self.assertEqual(blame.send_delay_s(book, "another"), 0.0)
 
 
--- a/libs/routing/test/test_crashbook.py
+++ b/libs/routing/test/test_crashbook.py
@@ -52,9 +52,9 @@
     def test_what_did_no_harm_lately_is_forgotten(self):
         book = CrashBook("boot-1")
         crashbook.merge(book, "f", a_record())
-        crashbook.sweep(book, 1.0 + crashbook.KEEP_S)
+        crashbook.sweep(book, 1.0 + crashbook.RETENTION_S)
         self.assertEqual(set(book.records), {"f"})
-        crashbook.sweep(book, 1.1 + crashbook.KEEP_S)
+        crashbook.sweep(book, 1.1 + crashbook.RETENTION_S)
         self.assertEqual((book.records, book.changed), ({}, {}))
 
     def test_the_oldest_go_first_and_the_blocked_last(self):
@@ -62,10 +62,10 @@
         for engine_id in ("e1", "e2", "e3"):
             crashbook.merge(book, "bad", a_record(engine_id, at_s=0.0))
         blame.refresh(book, 1.0)
-        for number in range(crashbook.MOST_RECORDS + 5):
+        for number in range(crashbook.MAX_RECORDS + 5):
             crashbook.merge(book, f"f{number}", a_record(at_s=1.0 + number / 1000))
         crashbook.sweep(book, 3.0)
-        self.assertEqual(len(book.records), crashbook.MOST_RECORDS)
+        self.assertEqual(len(book.records), crashbook.MAX_RECORDS)
         self.assertIn("bad", book.records)
         self.assertNotIn("f0", book.records)
         self.assertEqual(set(book.changed), set(book.records))
--- a/libs/routing/test/test_hangs.py
+++ b/libs/routing/test/test_hangs.py
@@ -1,10 +1,10 @@
 import unittest
 
 from cherryrudder.routing import hangs
-from cherryrudder.routing.hangs import PATIENCE_SHARE, Hangs
+from cherryrudder.routing.hangs import TIMEOUT_OBJECTIVES, Hangs
 
 OBJECTIVE_S = 0.5
-PATIENCE_S = PATIENCE_SHARE * OBJECTIVE_S
+PATIENCE_S = TIMEOUT_OBJECTIVES * OBJECTIVE_S
 
 
 def send(found, engine_id, *requests, at_s=0.0):
@@ -56,7 +56,7 @@
             send(found, "e", str(number), at_s=now_s)
             now_s += PATIENCE_S + 0.1
             hangs.find(found, now_s)
-            rests.append(found.rests["e"][1])
+            rests.append(found.ejections["e"][1])
             now_s += rests[-1]
         self.assertEqual(rests, [2.0, 4.0, 8.0, 8.0])
         hangs.begun(found, "e", "0", now_s)
@@ -68,7 +68,7 @@
         hangs.find(found, 5.0)
         hangs.begun(found, "f", "2", 5.0)
         hangs.forget(found, {"g"})
-        self.assertEqual((found.begun_s, found.rests), ({}, {}))
+        self.assertEqual((found.last_started_s, found.ejections), ({}, {}))
 
 
 if __name__ == "__main__":
--- a/libs/routing/test/test_ratelimits.py
+++ b/libs/routing/test/test_ratelimits.py
@@ -33,9 +33,9 @@
     def test_an_end_is_remembered_for_a_while(self):
         ratelimits.hear(self.book, "e", Limit(2.5, 1.0))
         ratelimits.hear(self.book, "e", Limit(None, 2.0))
-        ratelimits.sweep(self.book, {"e"}, 2.0 + ratelimits.ENDED_S / 2)
+        ratelimits.sweep(self.book, {"e"}, 2.0 + ratelimits.ENDED_RETENTION_S / 2)
         self.assertIn("e", self.book.limits)
-        ratelimits.sweep(self.book, {"e"}, 2.0 + ratelimits.ENDED_S)
+        ratelimits.sweep(self.book, {"e"}, 2.0 + ratelimits.ENDED_RETENTION_S)
         self.assertEqual(self.book.limits, {})
 
 
--- a/libs/routing/test/test_slowness.py
+++ b/libs/routing/test/test_slowness.py
@@ -1,7 +1,7 @@
 import unittest
 
 from cherryrudder.routing import slowness
-from cherryrudder.routing.slowness import BELIEVED_S, SlownessBook
+from cherryrudder.routing.slowness import REPORT_TTL_S, SlownessBook
 
 
 class BeliefTest(unittest.TestCase):
@@ -31,9 +31,9 @@
         """
         book = SlownessBook()
         slowness.believe(book, "e", 5.0, 0.0)
-        self.assertEqual(slowness.slowness_of(book, "e", BELIEVED_S), 1.0)
-        slowness.sweep(book, BELIEVED_S)
-        self.assertEqual(book.told, {})
+        self.assertEqual(slowness.slowness_of(book, "e", REPORT_TTL_S), 1.0)
+        slowness.sweep(book, REPORT_TTL_S)
+        self.assertEqual(book.reports, {})
 
 
 if __name__ == "__main__":
--- a/libs/routing/test/test_suspicion.py
+++ b/libs/routing/test/test_suspicion.py
@@ -28,12 +28,12 @@
 
     def test_each_further_death_rests_longer(self):
         suspicion.died(self.suspicions, "boot", 13.0)
-        self.assertTrue(self.resting(13.5, 13.0 + 1.5 * suspicion.FIRST_REST_S))
+        self.assertTrue(self.resting(13.5, 13.0 + 1.5 * suspicion.FIRST_EJECTION_S))
 
     def test_a_death_long_ago_makes_no_longer_rest(self):
-        later_s = 10.0 + suspicion.REMEMBERED_S + 1.0
+        later_s = 10.0 + suspicion.FAILURE_MEMORY_S + 1.0
         suspicion.died(self.suspicions, "boot", later_s)
-        end_s = later_s + suspicion.FIRST_REST_S
+        end_s = later_s + suspicion.FIRST_EJECTION_S
         self.assertFalse(self.resting(end_s, end_s + 0.1))
 
     def test_others_are_not_touched(self):
