--- a/libs/routing/src/cherryrudder/routing/__init__.py
+++ b/libs/routing/src/cherryrudder/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes, client accounts, endpoints and attempts; decisions without I/O."""
+"""Routing decisions on routes, client accounts, endpoints and retries, without I/O."""
--- a/libs/routing/src/cherryrudder/routing/answertimes.py
+++ b/libs/routing/src/cherryrudder/routing/answertimes.py
@@ -1,22 +1,22 @@
-"""How long an answer is waited for before its sender is asked again.
+"""Adaptive timeouts, estimated from the times of earlier answers.
 
-Load pattern: an engine goes dark under streams whose clients count a pause of a quarter
-of a second as late. That it is dark shows only when a question about it stays without
-an answer. A fixed limit that suits the slowest links and busiest engines takes most of
-what the clients allow, while the engines that live answer within milliseconds.
+Load pattern: an engine stops responding while it runs streams whose clients count a
+pause of a quarter of a second as late. Only an unanswered query shows that it has
+stopped. A fixed timeout that suits the slowest links and busiest engines takes most of
+the time that clients allow, while live engines answer within milliseconds.
 """
 
 from typing import NamedTuple
 
-# Weights of the newest answer in the mean and in the deviation, and how many deviations
-# an answer may be later than the mean, as TCP sets its retransmission timer (RFC 6298).
+# Weights of the newest answer in the mean and in the deviation, and the number of
+# deviations in the timeout, as in TCP's retransmission timer (RFC 6298).
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
 DEVIATIONS = 4.0
 
 
 class Bounds(NamedTuple):
-    """The limits that what was seen can't exceed; `first_s` while nothing was seen."""
+    """The least and greatest timeout, and the one before the first answer."""
 
     least_s: float
     first_s: float
@@ -24,7 +24,7 @@
 
 
 class AnswerTimes:
-    """The usual time of an answer and its deviation."""
+    """Mean and deviation of the times of answers."""
 
     def __init__(self):
         self.mean_s = 0.0
@@ -33,7 +33,7 @@
 
 
 def note(times: AnswerTimes, took_s: float) -> None:
-    """Take the time of an answer that came."""
+    """Add the time that an answer took to the estimate."""
     times.answers += 1
     if times.answers == 1:
         times.mean_s, times.deviation_s = took_s, took_s / 2
@@ -44,7 +44,7 @@
 
 
 def limit_s(times: AnswerTimes, bounds: Bounds) -> float:
-    """Return the time within which an answer is to be there."""
+    """Return the timeout for the next answer, in seconds."""
     if not times.answers:
         return bounds.first_s
     estimate_s = times.mean_s + DEVIATIONS * times.deviation_s
--- a/libs/routing/src/cherryrudder/routing/backoffs.py
+++ b/libs/routing/src/cherryrudder/routing/backoffs.py
@@ -1,54 +1,54 @@
-"""Endpoints that turned a request away and want nothing from this process for a while.
+"""Backoffs that endpoints ask for when they refuse a request.
 
-Load pattern: an endpoint in need answers each request at once that it doesn't run. Left
-in the choice, it looks like the least busy one and draws more requests than those that
-serve. As its backoff ends, all that waited for it would come at the same moment; so the
-first request goes alone, and others follow once that one was served.
+Load pattern: an overloaded endpoint refuses requests at once. If it stays a candidate,
+it looks like the least busy endpoint and attracts more requests than those that serve.
+When its backoff ends, all requests that waited for it would come at the same time. So
+the first request is sent alone as a probe, and others follow once it was served.
 """
 
 from collections.abc import Container
 from typing import NamedTuple
 
-# However long an endpoint asks for, it is tried again after this time.
+# Upper bound of a backoff, however long an endpoint asks for.
 MAX_BACKOFF_S = 3600.0
-# The request that goes alone is waited for so long before another one may go.
+# Time to wait for the probe's answer before another request may be sent.
 PROBE_TIMEOUT_S = 1.0
 
 
 class Backoff(NamedTuple):
-    """An endpoint's backoff, and when the first request after it was sent."""
+    """An endpoint's backoff, and when the probe after it was sent."""
 
     until_s: float
     probe_sent_s: float = float("-inf")
 
 
 class BackoffBook:
-    """The backoffs that endpoints asked this process for, by incarnation."""
+    """The backoffs of endpoints towards this process, by incarnation."""
 
     def __init__(self):
         self.backoffs: dict[str, Backoff] = {}
 
 
 def start(book: BackoffBook, engine_id: str, backoff_s: float, now_s: float) -> None:
-    """Take an endpoint's word that it wants nothing for some time."""
+    """Start or extend the backoff that an endpoint asked for."""
     known = book.backoffs.get(engine_id, Backoff(now_s))
     until_s = max(known.until_s, now_s + min(backoff_s, MAX_BACKOFF_S))
     book.backoffs[engine_id] = Backoff(until_s)
 
 
 def is_active(book: BackoffBook, engine_id: str, now_s: float) -> bool:
-    """Tell whether an endpoint's backoff isn't over."""
+    """Return whether an endpoint's backoff is still running."""
     backoff = book.backoffs.get(engine_id)
     return backoff is not None and now_s < backoff.until_s
 
 
 def may_begin(book: BackoffBook, engine_id: str, now_s: float) -> bool:
-    """Tell whether an endpoint may be sent a request now."""
+    """Return whether a request may be sent to an endpoint now."""
     return left_s(book, engine_id, now_s) <= 0
 
 
 def left_s(book: BackoffBook, engine_id: str, now_s: float) -> float:
-    """Return the time until an endpoint may be sent a request, 0 for now."""
+    """Return the time until a request may be sent to an endpoint, 0 for now."""
     backoff = book.backoffs.get(engine_id)
     if backoff is None:
         return 0.0
@@ -58,16 +58,17 @@
 
 
 def note_sent(book: BackoffBook, engine_id: str, now_s: float) -> None:
-    """Take note of a request that is about to be sent."""
+    """Record a request that is about to be sent; after a backoff it is the probe."""
     backoff = book.backoffs.get(engine_id)
     if backoff is not None:
         book.backoffs[engine_id] = backoff._replace(probe_sent_s=now_s)
 
 
 def answered(book: BackoffBook, engine_id: str, sent_s: float) -> bool:
-    """Take an answer that asks for nothing; tell whether it ends one.
+    """Record an answer that asks for no backoff; return whether it ends one.
 
-    Only one to a request that was sent after the backoff: the others were on their way.
+    Only answers to requests that were sent after the backoff count. Earlier requests
+    were already in flight.
     """
     backoff = book.backoffs.get(engine_id)
     if backoff is None or sent_s < backoff.until_s:
@@ -77,5 +78,5 @@
 
 
 def forget(book: BackoffBook, known: Container[str]) -> None:
-    """Drop the incarnations that are no longer known."""
+    """Drop the backoffs of all incarnations except the known ones."""
     book.backoffs = {e: backoff for e, backoff in book.backoffs.items() if e in known}
--- a/libs/routing/src/cherryrudder/routing/blame.py
+++ b/libs/routing/src/cherryrudder/routing/blame.py
@@ -1,41 +1,44 @@
-"""Which requests end the engines that begin them, and which only ran beside one.
-
-Load pattern: one request ends each engine that begins it, and comes again at any entry.
-With every end some dozens of other requests are cut and sent elsewhere, where they may
-meet the same one again. So an end counts against a request only while
-
-- no run of it got further than where that engine ended: the same request ends at the
-  same place;
-- no other request explains the end better: the one with the most ends is blocked first,
-  and those that it explains count for nobody else;
-- few engines ended at that moment: many at once have another cause, and count for less.
+"""Attribute crashes of engines to the requests that cause them.
+
+Load pattern: one request crashes each engine that starts it, and is retried at any
+entry. Every crash also cuts some dozens of other requests, which are retried elsewhere
+and may run beside the same request again. Blocking every request that was running
+would block these, too. So a crash counts against a request only if
+
+- no run of the request got further than the position at which that engine crashed: the
+  same request crashes at the same position;
+- no other request explains the crash better: the request with the most crashes is
+  blocked first, and its crashes no longer count against others;
+- few engines crashed at that time: many at once have another cause and count for less.
 """
 
 import bisect
 
 from .crashbook import Block, CrashBook, Record, place
 
-# Ends of engines after which a request is refused.
+# Weighted crashes after which a request is blocked.
 BLOCK_CRASHES = 3.0
-# After so many, requests that ran side by side are sent at different moments.
+# Weighted crashes after which a request is a suspect: suspects that ran side by side
+# are sent at different times.
 SUSPECT_CRASHES = 2.0
-# Engines of a kind differ in how many events they have sent as they end.
+# Engines of the same kind differ in how many events they have sent when they crash.
 SAME_PLACE_EVENTS = 8
-# Ends in one data centre so close together may have one cause, as a rack that fails.
+# Crashes in one data centre this close together may have one cause, such as a rack
+# failure.
 SIMULTANEOUS_S = 0.1
 MIN_SIMULTANEOUS = 3
 SIMULTANEOUS_WEIGHT = 0.5
-# A block lasts for so long after the last end, twice as long after each further one.
+# Duration of a block after the last crash; it doubles with each further crash.
 BLOCK_S = 600.0
 MAX_BLOCK_S = 3600.0
-# Moments at which suspects are sent, and their distance: a prompt is read, and its
-# first events are out, within it.
+# Suspects are staggered over this many steps. A step is long enough to read a prompt
+# and send its first events.
 STAGGER_STEPS = 4
 STAGGER_STEP_S = 0.25
 
 
 def refresh(book: CrashBook, now_s: float) -> tuple[set[str], set[str]]:
-    """Draw the conclusions from a book; return the blocks that begin and that end."""
+    """Recompute blocks and suspects; return the blocks that were added and removed."""
     before = set(book.blocks)
     weights = _weights_by_request(book)
     book.blocks = {}
@@ -54,10 +57,10 @@
 
 
 def send_delay_s(book: CrashBook, fingerprint: str) -> float:
-    """Return how long a request waits before it is sent, 0 unless it is a suspect.
+    """Return how long to hold a request back before it is sent, 0 unless a suspect.
 
-    Two that were cut together are apart then: the innocent one gets further, and the
-    next end tells which one it was.
+    This separates two suspects that were cut together: the harmless one gets further,
+    and the next crash shows which one caused it.
     """
     if fingerprint not in book.suspects:
         return 0.0
@@ -65,7 +68,7 @@
 
 
 def _weights_by_request(book):
-    """Return what counts against each request under which several engines ended."""
+    """Return the weight of each crash against each request with several crashes."""
     repeated = {
         fingerprint: record
         for fingerprint, record in book.records.items()
@@ -79,7 +82,7 @@
 
 
 def _simultaneous_crashes(book):
-    """Return by engine which engines of its data centre ended at the same moment."""
+    """Return, by engine, the engines of its data centre that crashed with it."""
     crash_times_s: dict[str, dict[str, float]] = {}
     for record in book.records.values():
         for crash in record.crashes:
@@ -116,7 +119,7 @@
 
 
 def _rank(book, weights, fingerprint):
-    """Return what orders requests by guilt: their ends, then how early they came."""
+    """Return the sort key for blocking: most weight first, then earliest position."""
     counted = [
         crash.last_event
         for crash in book.records[fingerprint].crashes
--- a/libs/routing/src/cherryrudder/routing/configlog.py
+++ b/libs/routing/src/cherryrudder/routing/configlog.py
@@ -1,13 +1,12 @@
 """The configuration as a state machine of the replicated log: the highest version wins.
 
-The same log gives the same state and answers on every voter. A configuration that is
-sent again finds its own version and is answered as the first time.
+The same log gives the same state and answers on every voter. Sending the same
+configuration again gives the same answer as the first time.
 
 Load pattern: a configuration grows by a thousand routes, and each further change sends
 all of it to every entry over links of 10 Mbit/s. As plain text (334 KB for 1,300
-routes) one change filled such a link for 0.27 s from each control VM that sent it, and
-streams stood still meanwhile. It is packed once, where it is accepted: to 31 KB, in
-4 ms.
+routes) each control VM that sent a change filled such a link for 0.27 s, and streams
+stalled meanwhile. So it is compressed once, where it is accepted: to 31 KB, in 4 ms.
 """
 
 import base64
@@ -19,24 +18,24 @@
 
 
 class Taken(StrEnum):
-    """What became of a configuration."""
+    """The result of proposing a configuration."""
 
     IN_FORCE = "in-force"
-    # A higher version is in force; this one changes nothing.
+    # A higher version is in force; this one is ignored.
     SUPERSEDED = "superseded"
-    # This version is held with other content, which stays.
+    # This version is in force with other content, which stays.
     CONFLICT = "conflict"
 
 
 class Put(NamedTuple):
-    """A configuration to be accepted; `packed` is the operator's own text, checked."""
+    """A proposed configuration; `packed` is the operator's text, already validated."""
 
     version: int
     packed: str
 
 
 class ConfigState:
-    """The newest configuration that was accepted; version 0 before the first."""
+    """The accepted configuration; version 0 before the first one."""
 
     def __init__(self, version: int = 0, packed: str = ""):
         self.version = version
@@ -44,17 +43,17 @@
 
     @property
     def text(self) -> str:
-        """Return the operator's own text."""
+        """Return the operator's text, unpacked."""
         return unpack(self.packed)
 
 
 def pack(text: str) -> str:
-    """Return a text as it is kept in the log and sent between processes."""
+    """Return a text compressed for the log and for messages, in Base64."""
     return base64.b64encode(zlib.compress(text.encode())).decode()
 
 
 def unpack(packed: str) -> str:
-    """Return the text that was packed."""
+    """Return the text that was packed, empty for an empty string."""
     return zlib.decompress(base64.b64decode(packed)).decode() if packed else ""
 
 
@@ -69,7 +68,7 @@
 
 
 def apply(state: ConfigState, index: int, payload: str) -> str:
-    """Take a committed entry and return what became of it."""
+    """Apply a committed log entry and return its result."""
     put = msgspec.json.decode(payload, type=Put)
     if put.version > state.version:
         state.version = put.version
@@ -77,16 +76,16 @@
         return Taken.IN_FORCE
     if put.version < state.version:
         return Taken.SUPERSEDED
-    # Another release of the compressor may have packed the same text otherwise.
+    # Another release of the compressor may pack the same text differently.
     is_same = put.packed == state.packed or unpack(put.packed) == state.text
     return Taken.IN_FORCE if is_same else Taken.CONFLICT
 
 
 def snapshot(state: ConfigState) -> str:
-    """Return the whole state as text."""
+    """Return the whole state, encoded as text."""
     return msgspec.json.encode(Put(state.version, state.packed)).decode()
 
 
 def restore(text: str) -> ConfigState:
-    """Return the state that a snapshot holds."""
+    """Return the state encoded in a snapshot."""
     return ConfigState(*msgspec.json.decode(text, type=Put))
--- a/libs/routing/src/cherryrudder/routing/configuration.py
+++ b/libs/routing/src/cherryrudder/routing/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: one whole, checked document per version."""
+"""The operators' configuration: one complete, validated document per version."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -9,13 +9,13 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be retried."""
 
     # Idempotent: may run more than once.
     SAFE = "safe"
     # Not idempotent: runs at most once.
     UNSAFE = "unsafe"
-    # A stream of events; as UNSAFE unless it may be resumed.
+    # A stream of events; like UNSAFE unless it may be resumed.
     STREAM = "stream"
 
 
@@ -27,16 +27,16 @@
 
 
 class Route(NamedTuple):
-    """Requests for a host and path prefix, and where they go."""
+    """A host and path prefix, and how their requests are served."""
 
     name: str
     host: str
     path_prefix: str
     kind: RouteKind
     timeout_s: float
-    # Answers within this time earn their full worth; for streams, the first event.
+    # An answer within this time is on time; for streams, the first event.
     objective_s: float
-    # The longest pause between events of a stream that is still on time.
+    # Longest pause between two events of a stream that is on time.
     gap_s: float
     # 0 is the most urgent.
     priority: int
@@ -44,12 +44,12 @@
     max_attempts: int
     is_anonymous: bool
     is_resumable: bool
-    # Requests of this route are for a model and name their prompt's size.
+    # Requests of this route are for a model and state the size of their prompt.
     has_prompt: bool
 
 
 class Service(NamedTuple):
-    """A service; `model` is None for a plain one."""
+    """A service; `model` is None for a plain service."""
 
     name: str
     health_path: str
@@ -62,12 +62,12 @@
 
     name: str
     keys: tuple[str, ...]
-    # Goes before the route's priority; None when the account has none.
+    # Overrides the route's priority; None if the account has no priority.
     priority: int | None
 
 
 class ClientLimits(NamedTuple):
-    """What a client may send, and how long it may take or stay idle."""
+    """Limits on the size of clients' requests and on their timeouts."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -79,7 +79,7 @@
 
 
 class Configuration(NamedTuple):
-    """One version of everything that operators set."""
+    """One version of all that operators configure."""
 
     version: int
     routes: tuple[Route, ...]
@@ -89,7 +89,7 @@
 
 
 def check(configuration: Configuration) -> Result[Configuration, str]:
-    """Return the configuration, or the first fault that makes it invalid."""
+    """Return the configuration, or the first fault found in it."""
     for find_fault in (_route_fault, _account_fault):
         fault = find_fault(configuration)
         if fault:
--- a/libs/routing/src/cherryrudder/routing/crashbook.py
+++ b/libs/routing/src/cherryrudder/routing/crashbook.py
@@ -1,53 +1,53 @@
-"""What is known of requests under which engines ended.
+"""Records of requests that were running when an engine crashed.
 
-Every entry and control VM keeps such a book and merges what it hears of others. Merging
-gives the same result in any order, so that all come to the same blocks without asking
-one another (`blame`).
+Every entry and control VM keeps a copy and merges the records that it receives from
+other processes. Merging gives the same result in any order, so all processes compute
+the same blocks (see `blame`) without coordination.
 """
 
 from typing import NamedTuple
 
-# A request that comes again does so within seconds; one that doesn't was cut off beside
-# another one, or has served its time.
+# Retries come within seconds. A request that isn't retried was cut while another one
+# crashed the engine, or its block has ended.
 RETENTION_S = 120.0
-# One under which several engines ended is tried once when its block is over; if it does
-# harm again, the next block is longer.
+# A request with several crashes may run once when its block ends. If it crashes an
+# engine again, the next block is longer, so its record is kept for longer.
 REPEATED_RETENTION_S = 7200.0
 MIN_REPEATED_CRASHES = 3
 MAX_RECORDS = 1000
 MAX_CRASHES = 16
-# Stands for the end of an answer among the numbers of its events.
+# Event number that stands for a completed answer.
 FINISHED = 2**31 - 1
-# Two notes of one lift differ by what their messages took.
+# Times of the same lift differ between processes by the delay of their messages.
 LIFT_TOLERANCE_S = 5.0
 
 
 class Crash(NamedTuple):
-    """An engine that ended after it had begun a request."""
+    """A crash of an engine that had started a request."""
 
     engine_id: str
     vm_zone: str
-    # Of the engine's software.
+    # Version of the engine's software.
     version: str
-    # Last event that had come; 0 where there are none.
+    # Number of the last event received; 0 if there was none.
     last_event: int
     at_s: float
 
 
 class Record(NamedTuple):
-    """What is known of one request."""
+    """The crashes of one request, and how far it got without one."""
 
     account: str
     service: str
     crashes: tuple[Crash, ...] = ()
-    # Furthest event of a run whose engine lived on, -1 for none.
+    # Furthest event of a run whose engine survived, -1 for none.
     passed: int = -1
-    # When an operator last said that it may run.
+    # When an operator last lifted the request's block.
     lifted_s: float = float("-inf")
 
 
 class Block(NamedTuple):
-    """Why a request is refused, and how long."""
+    """The crashes for which a request is refused, and until when."""
 
     engine_ids: tuple[str, ...]
     versions: frozenset[str]
@@ -55,7 +55,7 @@
 
 
 class CrashBook:
-    """Records by fingerprint; `version` rises with each change, for readers."""
+    """Records by fingerprint; `version` rises with each change, for synchronization."""
 
     def __init__(self, boot: str):
         self.boot = boot
@@ -63,13 +63,13 @@
         self.records: dict[str, Record] = {}
         # The book's version at which each record last changed.
         self.changed: dict[str, int] = {}
-        # What follows from the records; see `blame.refresh`.
+        # Computed from the records by `blame.refresh`.
         self.blocks: dict[str, Block] = {}
         self.suspects: set[str] = set()
 
 
 def merge(book: CrashBook, fingerprint: str, received: Record) -> bool:
-    """Take what another process knows of a request; tell whether it is news."""
+    """Merge another process's record of a request; return whether it changed."""
     known = book.records.get(fingerprint)
     merged = _merged(known, received) if known else received
     if merged == known:
@@ -97,7 +97,7 @@
 
 
 def sweep(book: CrashBook, now_s: float) -> None:
-    """Forget requests that did no harm lately; the oldest first when there are many."""
+    """Drop expired records, and the oldest beyond `MAX_RECORDS`, blocked ones last."""
     for fingerprint, record in list(book.records.items()):
         retention_s = (
             REPEATED_RETENTION_S
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -1,62 +1,62 @@
-"""What is known of the endpoints, from heartbeats that come late, twice or never.
-
-Every control VM and every entry keeps such a table and merges what it hears of others.
-Merging gives the same result in any order: per incarnation of an endpoint the heartbeat
-with the highest number counts, and leaving is never taken back. An endpoint may start
-again under the name that it had. Its later incarnation then ends the earlier one: that
-one's memory is gone, and a heartbeat of it that was held up must not speak for the new
-one.
+"""Table of endpoints, built from heartbeats that may be late, duplicated or lost.
+
+Every control VM and every entry keeps such a table and merges the entries that it
+receives from others. Merging gives the same result in any order: per incarnation of an
+endpoint the heartbeat with the highest number counts, and leaving is never undone. An
+endpoint may restart under the same name. Its later incarnation then ends the earlier
+one: that one's memory is lost, and its delayed heartbeats must not be taken for the new
+incarnation's.
 """
 
 from typing import NamedTuple
 
 from cherryrudder.layers.profile import NOTHING, Holding
 
-# An endpoint reports every 1.2 s, to one control VM that it chose. When that one is cut
-# off from the others, they hear nothing of an endpoint that lives, until it has turned
-# to another: 1.6 s until the control VM knows, two reports, and a cut that lasts some
-# seconds. One that is dead is found out by those who use it long before.
+# An endpoint sends a heartbeat every 1.2 s to one control VM of its choice. If that VM
+# is cut off from the others, they receive nothing about a live endpoint until it has
+# switched to another one: 1.6 s until the control VM detects it, two heartbeats, and a
+# cut of some seconds. The processes that use a dead endpoint detect it long before.
 LOST_AFTER_S = 9.0
-# A departure is remembered for longer than any heartbeat can be under way: a late one
-# would otherwise bring the endpoint back.
+# Ended endpoints are kept for longer than any heartbeat can be in flight. Otherwise a
+# late heartbeat would restore them.
 RETENTION_S = 60.0
 
-# Distance of an endpoint's own numbers. A leader looks a few times between two of its
-# heartbeats at most.
+# Difference between the numbers of two heartbeats. The numbers between are for the
+# leader's observations, of which there are a few at most between two heartbeats.
 WORD = 16
 
 
 class Announcement(NamedTuple):
-    """What one incarnation of an endpoint last said of itself."""
+    """The last heartbeat of one incarnation of an endpoint."""
 
-    # New at each start of the endpoint, and the key of all that is known of it.
+    # Identifies the incarnation; new at each start of the endpoint.
     engine_id: str
     service: str
     address: str
     vm_zone: str
     version: str
     slots: int
-    # Rises with each heartbeat of this incarnation by `WORD`; the numbers between are
-    # for what a leader saw after it.
+    # Rises by `WORD` with each heartbeat of this incarnation. The numbers between are
+    # for a leader's observations after the heartbeat.
     number: int
-    # Its own word in a heartbeat: it still serves, and signs off when it ends.
+    # Set by a heartbeat: the endpoint still serves, and signs off when it ends.
     is_leaving: bool = False
     cold_s: float = 0.0
     kind: str = ""
     holding: Holding = NOTHING
-    # The endpoint's own name, which it may keep over a restart.
+    # The endpoint's name, which it may keep over a restart.
     name: str = ""
-    # Orders the incarnations of one name; 0 where the endpoint doesn't tell.
+    # Orders the incarnations of one name; 0 if the endpoint doesn't send it.
     started_ms: int = 0
-    # It signed off from the list. With no word that it drains before, it still serves
-    # what it has for as long as others do, and ends without another word.
+    # It has signed off. Without an earlier draining notice it still serves its running
+    # requests for as long as others do, and ends without another notice.
     has_signed_off: bool = False
-    # It told its senders that it leaves. Either notice may still follow.
+    # Its answers said that it leaves. Either of the other notices may still follow.
     has_told_senders: bool = False
 
 
 class Entry(NamedTuple):
-    """An announcement, and when this process heard of it, by its own clock."""
+    """An announcement, and when it was received, by this process's clock."""
 
     announcement: Announcement
     heard_s: float
@@ -64,9 +64,10 @@
 
 
 class EndpointTable:
-    """The endpoints by incarnation; `version` rises with what others should hear.
+    """The endpoints by incarnation.
 
-    A bare sign of life isn't such a change.
+    `version` rises with each change that other processes need. A heartbeat that only
+    renews the time is no such change.
     """
 
     def __init__(self):
@@ -75,7 +76,7 @@
 
 
 def hear(table: EndpointTable, received: Announcement, now_s: float) -> bool:
-    """Take a heartbeat; tell whether others should hear of it at once."""
+    """Merge a heartbeat; return whether to forward it to others at once."""
     known = table.entries.get(received.engine_id)
     if known is None:
         if _has_later_incarnation(table, received):
@@ -85,12 +86,12 @@
         table.version += 1
         return True
     if known.is_gone:
-        # Its departure came first; it still tells that those before have ended.
+        # It has ended already, but its heartbeat still ends earlier incarnations.
         _end_earlier_incarnations(table, received, now_s)
         return False
     if received.number <= known.announcement.number:
         return leaves(received) and _merge_notices(table, known, received, now_s)
-    # Leaving is for good: a heartbeat that overtook the notice must not undo it.
+    # Leaving is final: a heartbeat that overtook the notice must not undo it.
     received = _with_notices(received, known.announcement)
     table.entries[received.engine_id] = Entry(received, now_s, _has_ended(received))
     is_news = received._replace(number=0) != known.announcement._replace(number=0)
@@ -99,7 +100,7 @@
 
 
 def leaves(announcement: Announcement) -> bool:
-    """Tell whether an endpoint said that it leaves, in whatever way."""
+    """Return whether an endpoint has given any notice of leaving."""
     return (
         announcement.is_leaving
         or announcement.has_signed_off
@@ -108,7 +109,7 @@
 
 
 def _with_notices(announcement, other):
-    """Return an announcement with the notices of leaving that either one has."""
+    """Return an announcement with the notices of leaving of both."""
     return announcement._replace(
         is_leaving=announcement.is_leaving or other.is_leaving,
         has_signed_off=announcement.has_signed_off or other.has_signed_off,
@@ -117,18 +118,18 @@
 
 
 def _has_ended(announcement):
-    """Tell whether an endpoint gave both notices, in whatever order they came.
+    """Return whether an endpoint has drained and signed off, in either order.
 
-    Failure: one that signs off without a word before is taken for gone. All its streams
-    are broken off in that moment though it would have served them, their runs don't
-    count any more, and each goes to one engine more than its route allows or ends in
-    the middle. Only one that drained first signs off at its end.
+    Failure: an endpoint that signs off without draining first is treated as gone. All
+    its streams are broken off at once though it would have served them, their runs are
+    no longer counted, and each stream runs on one engine more than its route allows or
+    ends in the middle. Only an endpoint that drained first signs off at its end.
     """
     return announcement.is_leaving and announcement.has_signed_off
 
 
 def _incarnations_of(table, announcement):
-    """Return the known incarnations of an endpoint that tells them apart."""
+    """Return the known incarnations of an endpoint that sends its start times."""
     if not announcement.started_ms:
         return []
     return [
@@ -150,14 +151,14 @@
     for entry in _incarnations_of(table, received):
         if entry.announcement.started_ms >= received.started_ms:
             continue
-        # Kept as gone, so that its late heartbeats stay without effect.
+        # Kept as gone, so that its late heartbeats have no effect.
         table.entries[entry.announcement.engine_id] = _gone_entry(
             entry.announcement, now_s
         )
 
 
 def newest_incarnation(table: EndpointTable, name: str) -> str | None:
-    """Return the last incarnation that is known of an endpoint's name, if any."""
+    """Return the latest known incarnation of an endpoint's name, or None."""
     found = [
         entry.announcement
         for entry in table.entries.values()
@@ -168,7 +169,7 @@
 
 
 def _merge_notices(table, known, received, now_s):
-    """Take a notice of leaving that later heartbeats overtook; tell whether news."""
+    """Add notices of leaving to a known entry; return whether any is new."""
     leaving = _with_notices(known.announcement, received)
     if leaving == known.announcement:
         return False
@@ -186,7 +187,10 @@
 def observe(
     table: EndpointTable, engine_id: str, holding: Holding, now_s: float
 ) -> bool:
-    """Take the layers that an endpoint was seen to hold between two heartbeats."""
+    """Record the layers that a leader saw on an endpoint between two heartbeats.
+
+    Return whether they changed.
+    """
     known = table.entries.get(engine_id)
     if known is None or known.is_gone:
         return False
@@ -200,7 +204,7 @@
 
 
 def sign_off(table: EndpointTable, engine_id: str, now_s: float) -> bool:
-    """Take an endpoint's word that it signs off; tell whether it is news."""
+    """Record that an endpoint has signed off; return whether that is new."""
     known = table.entries.get(engine_id)
     if known is None:
         return depart(table, engine_id, now_s)
@@ -211,7 +215,7 @@
 
 
 def tell_senders(table: EndpointTable, engine_id: str, now_s: float) -> bool:
-    """Take an endpoint's word in an answer that it leaves; tell whether it is news."""
+    """Record that an endpoint's answer said that it leaves; return whether it's new."""
     known = table.entries.get(engine_id)
     if known is None or known.is_gone:
         return False
@@ -220,11 +224,11 @@
 
 
 def depart(table: EndpointTable, engine_id: str, now_s: float) -> bool:
-    """Take an endpoint as ended; tell whether it is news."""
+    """Record that an endpoint has ended; return whether that is new."""
     known = table.entries.get(engine_id)
     if known is not None and known.is_gone:
         return False
-    # Of one that was never heard, heartbeats may still be under way.
+    # Heartbeats of an endpoint that is not known yet may still be in flight.
     unheard = Announcement(engine_id, "", "", "", "", 0, 0)
     announcement = known.announcement if known else unheard
     table.entries[engine_id] = _gone_entry(announcement, now_s)
@@ -233,10 +237,13 @@
 
 
 def merge(table: EndpointTable, received: Entry, age_s: float, now_s: float) -> bool:
-    """Take what another process knows, heard there `age_s` ago."""
+    """Merge another process's entry, received there `age_s` ago.
+
+    Return whether to forward it to others.
+    """
     engine_id = received.announcement.engine_id
     if received.is_gone and not received.announcement.address:
-        # Its teller had never heard it, and can't know whether it drained before.
+        # The sender never had a heartbeat of it and can't know whether it has drained.
         return sign_off(table, engine_id, now_s)
     if received.is_gone:
         return depart(table, engine_id, now_s)
@@ -250,7 +257,7 @@
 
 
 def sweep(table: EndpointTable, now_s: float) -> list[str]:
-    """Forget what is long gone, and return the incarnations that fell silent."""
+    """Drop expired entries; return the incarnations that stopped sending heartbeats."""
     lost = []
     for engine_id, entry in list(table.entries.items()):
         age_s = now_s - entry.heard_s
@@ -262,21 +269,21 @@
 
 
 def live(table: EndpointTable, now_s: float) -> list[Announcement]:
-    """Return the endpoints that may be used, one for each address."""
+    """Return the endpoints that are neither gone nor lost, one for each address."""
     newest: dict[str, Entry] = {}
     for entry in table.entries.values():
         if entry.is_gone or now_s - entry.heard_s > LOST_AFTER_S:
             continue
         address = entry.announcement.address
         other = newest.get(address)
-        # An address is used again by a later incarnation, also of another service.
+        # A later incarnation, also of another service, may reuse an address.
         if other is None or _is_later(entry, other):
             newest[address] = entry
     return [entry.announcement for entry in newest.values()]
 
 
 def _is_later(entry, other):
-    """Tell which of two incarnations is there now, by their starts if told."""
+    """Return whether an incarnation is the later one, by start time if both have it."""
     starts_ms = entry.announcement.started_ms, other.announcement.started_ms
     if all(starts_ms) and starts_ms[0] != starts_ms[1]:
         return starts_ms[0] > starts_ms[1]
@@ -284,5 +291,5 @@
 
 
 def may_take_work(announcement: Announcement) -> bool:
-    """Tell whether an endpoint is to get new requests."""
+    """Return whether an endpoint may get new requests."""
     return not leaves(announcement)
--- a/libs/routing/src/cherryrudder/routing/fingerprint.py
+++ b/libs/routing/src/cherryrudder/routing/fingerprint.py
@@ -1,4 +1,4 @@
-"""Telling a request by what it is, whichever attempt or entry brings it."""
+"""Fingerprints that identify a request across attempts and entries."""
 
 import hashlib
 
@@ -9,10 +9,10 @@
 def fingerprint(
     account: str, method: bytes, host: str, target: bytes, body: bytes
 ) -> str:
-    """Return the digest of what a client account asks.
+    """Return the digest of a client account's request, in hexadecimal.
 
-    Each field goes in with its length, so that none can pass for a part of its
-    neighbour, and one account's request never has another's digest.
+    Each field is prefixed with its length, so that bytes can't move from one field to
+    the next, and requests of different accounts never have the same digest.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for field in (account.encode(), method, host.lower().encode(), target, body):
--- a/libs/routing/src/cherryrudder/routing/gatekeeping.py
+++ b/libs/routing/src/cherryrudder/routing/gatekeeping.py
@@ -1,9 +1,9 @@
-"""Whether a request may go on, by the configuration in force and how sure that is.
+"""Authorization of requests by the configuration in force and by its age.
 
 Failure: an entry that is cut off from the control VMs goes on with an old
-configuration, and a key works long after it was taken away. An entry that could not
-confirm its configuration for most of the time that a revocation may take refuses what
-needs a key.
+configuration, and accepts a key long after it was revoked. So an entry that could not
+confirm its configuration for most of the time that a revocation may take refuses
+requests that need a key.
 """
 
 from typing import NamedTuple
@@ -11,25 +11,25 @@
 from .configuration import Account, Route
 from .routetable import RouteTable
 
-# Part of the time that a revocation may take until an entry stops trusting its
-# configuration; the rest is for a request to reach its engine.
+# Share of the time that a revocation may take after which an entry stops accepting
+# keys. The rest is for a request to reach its engine.
 TRUSTED_SHARE = 0.8
-# Part of it until "no such route" and "no such key" are no longer answered for sure.
+# Share of it after which unknown routes and keys are no longer final refusals.
 CERTAIN_SHARE = 0.3
-# Part of it until an entry says that it isn't ready. The platform asks once a second
-# and needs two misses, so that new clients go elsewhere before any is refused here. A
-# new leader is there after 1.2 s, well inside 0.5 of the users' 5 s.
+# Share of it after which an entry reports that it isn't ready. The platform polls once
+# a second and needs two failures, so new clients go elsewhere before any is refused
+# here. A new leader is elected within 1.2 s, well inside 0.5 of the users' 5 s.
 READY_SHARE = 0.5
 # When everything starts at once, the control VMs have elected a leader and an entry
-# has its configuration about two seconds after its start. Most clients come back once
-# only: told a shorter time, they would be refused for good.
+# has its configuration about two seconds after its start. Most clients retry only
+# once: after a shorter delay they would be refused again.
 FIRST_CONFIGURATION_S = 2.5
 # The control VMs elect a new leader in about a second.
 RECONNECT_S = 1.5
 
 
 class Asked(NamedTuple):
-    """What a request asks for."""
+    """Host, target and key of a request."""
 
     host: str
     target: str
@@ -37,7 +37,7 @@
 
 
 class Admitted(NamedTuple):
-    """The request may go on; `account` is empty for an anonymous one."""
+    """The request is admitted; `account` is empty for an anonymous one."""
 
     route: Route
     account: str
@@ -45,7 +45,7 @@
 
 
 class Refused(NamedTuple):
-    """The answer that this system gives itself; `retry_after_s` with a 503 or 429."""
+    """An answer of the router itself; `retry_after_s` is set for a 503 or 429."""
 
     status: int
     reason: str
@@ -54,8 +54,8 @@
 
 UNKNOWN = Refused(503, "no configuration yet", FIRST_CONFIGURATION_S)
 UNCONFIRMED = Refused(503, "configuration unconfirmed", RECONNECT_S)
-# No control VM is heard here at all, so the fault is this entry's link, and others can
-# serve the client; a retry goes to another entry. The time is for it to get there.
+# This entry receives nothing from any control VM, so its own link is at fault and
+# other entries can serve the client. The delay only covers the way to another entry.
 CUT_OFF = Refused(503, "cut off from the control VMs", 0.05)
 
 
@@ -66,9 +66,9 @@
     revoke_s: float,
     is_cut_off: bool = False,
 ) -> Admitted | Refused:
-    """Return the request's route and account, or the answer that ends it here.
+    """Return the request's route and account, or the refusal to answer with.
 
-    `is_cut_off` tells that no control VM was heard for some seconds.
+    `is_cut_off` is true if nothing came from any control VM for some seconds.
     """
     decision = _authorize(table, request, confirmed_age_s, revoke_s)
     return CUT_OFF if decision is UNCONFIRMED and is_cut_off else decision
--- a/libs/routing/src/cherryrudder/routing/picking.py
+++ b/libs/routing/src/cherryrudder/routing/picking.py
@@ -1,33 +1,33 @@
-"""Which endpoint of a plain service gets a request.
+"""Load balancing between the endpoints of a plain service.
 
-Load pattern: few endpoints with few places each (some six), work of
-some 20 ms beside now and then 110 ms, objectives of 125 ms, and several entries that
+Load pattern: few endpoints with few slots each (some six), requests of
+some 20 ms and occasionally 110 ms, objectives of 125 ms, and several entries that
 don't see one another's requests. Without a choice by load some endpoints queue while
-others idle, and a slow one keeps its share.
+others are idle, and a slow one keeps its share.
 """
 
 import random
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# What an endpoint told of itself halves in weight after this time; work of 20 ms is
-# long over then, but a queue is not.
+# The weight of an endpoint's reported load halves in this time. A request of 20 ms has
+# long ended by then, but a queue has not.
 REPORT_HALF_LIFE_S = 0.25
-# A place in another data centre counts as this much of a request more: 0.25 ms each
-# way is little beside 20 ms of work, and crossings cost the operators.
+# Added load of an endpoint in another data centre, in requests. The 0.25 ms each way
+# are little compared to 20 ms of work, but the operators pay for traffic between them.
 REMOTE_ZONE_LOAD = 0.5
 
 
 class Place(NamedTuple):
-    """An endpoint as one entry sees it."""
+    """An endpoint and its load as one entry sees it."""
 
     engine_id: str
     address: str
     vm_zone: str
     slots: int
-    # Requests of this entry that are under way there.
+    # Requests of this entry that are in flight there.
     own_running: int = 0
-    # Running and waiting when it last answered, and how long ago that was.
+    # Requests running and queued as of its last answer, and the age of that answer.
     told_load: float = 0.0
     told_age_s: float = 0.0
     is_suspect: bool = False
@@ -36,7 +36,7 @@
 def pick(
     places: Iterable[Place], home_zone: str, exclude: set[str], rng: random.Random
 ) -> Place | None:
-    """Return the endpoint that is likely to answer first, suspects only in need."""
+    """Return the least loaded endpoint; suspects only if there is no other, or None."""
     usable = [place for place in places if place.engine_id not in exclude]
     sound = [place for place in usable if not place.is_suspect]
     candidates = sound or usable
--- a/libs/routing/src/cherryrudder/routing/ratelimits.py
+++ b/libs/routing/src/cherryrudder/routing/ratelimits.py
@@ -1,34 +1,37 @@
-"""The request rates that endpoints ask their senders to keep to.
+"""Rate limits that endpoints set for their senders.
 
-An endpoint names its limit in its answers for as long as it holds, and it holds for all
-senders together. Every process keeps such a book and merges what it hears of others: of
-each incarnation the newest statement counts, also one that ends a limit.
+An endpoint states its limit in its answers for as long as the limit holds, and the
+limit holds for all senders together. Every process keeps such a book and merges the
+statements that it receives from others: for each incarnation the newest statement
+counts, including one that ends a limit.
 """
 
 from collections.abc import Container
 from typing import NamedTuple
 
-# The end of a limit is told for this long, so that it overtakes older news of it.
+# The end of a limit is sent to others for this long, so that it reaches them after any
+# older statement.
 ENDED_RETENTION_S = 10.0
 
 
 class Limit(NamedTuple):
-    """What an endpoint last said, and when by this process's clock."""
+    """An endpoint's last statement of its limit."""
 
-    # Requests a second from all senders together; None once it names none any more.
+    # Requests a second from all senders together; None once the limit has ended.
     per_s: float | None
+    # Time of the statement, by this process's clock.
     said_s: float
 
 
 class LimitBook:
-    """The newest statement of each incarnation that has named a limit."""
+    """The newest statement of each incarnation that has set a limit."""
 
     def __init__(self):
         self.limits: dict[str, Limit] = {}
 
 
 def hear(book: LimitBook, engine_id: str, received: Limit) -> bool:
-    """Take a statement; tell whether it changes the limit."""
+    """Record a statement; return whether it changes the limit."""
     known = book.limits.get(engine_id)
     if known is None and received.per_s is None:
         return False
@@ -39,13 +42,13 @@
 
 
 def limit_of(book: LimitBook, engine_id: str) -> float | None:
-    """Return the requests a second that an endpoint takes, None for no limit."""
+    """Return an endpoint's limit in requests a second, None for no limit."""
     known = book.limits.get(engine_id)
     return known.per_s if known is not None else None
 
 
 def sweep(book: LimitBook, known: Container[str], now_s: float) -> None:
-    """Forget incarnations that are no longer known, and limits that ended long ago."""
+    """Drop incarnations that are no longer known, and limits that ended long ago."""
     book.limits = {
         engine_id: limit
         for engine_id, limit in book.limits.items()
--- a/libs/routing/src/cherryrudder/routing/routetable.py
+++ b/libs/routing/src/cherryrudder/routing/routetable.py
@@ -1,10 +1,10 @@
-"""Finding a request's route and client account in one configuration."""
+"""Look-up of routes, client accounts and services in one configuration."""
 
 from .configuration import Account, Configuration, Route, Service
 
 
 class RouteTable:
-    """The look-ups of one configuration; never changed once built."""
+    """Indexes of one configuration; immutable once built."""
 
     def __init__(self, configuration: Configuration):
         self.configuration = configuration
@@ -24,11 +24,11 @@
 
     @property
     def has_accounts(self) -> bool:
-        """Tell whether requests need a key."""
+        """Return whether any account is configured, so that requests need a key."""
         return bool(self.configuration.accounts)
 
     def route(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix that begins the target's path."""
+        """Return the route with the longest prefix of the target's path, or None."""
         by_prefix = self._routes.get(host.partition(":")[0].lower())
         if by_prefix is None:
             return None
@@ -42,16 +42,16 @@
         return None
 
     def account(self, key: str) -> Account | None:
-        """Return the client account that holds a key."""
+        """Return the client account that has a key, or None."""
         return self._accounts.get(key)
 
     def service(self, name: str) -> Service | None:
-        """Return a service by its name."""
+        """Return the service with a name, or None."""
         return self._services.get(name)
 
 
 def pick_service(route: Route, drawn: float) -> str:
-    """Return the service that a number drawn from 0 up to 1 falls to."""
+    """Return the service of a split that a random number in [0, 1) selects."""
     total = sum(share.weight for share in route.split)
     left = drawn * total
     for share in route.split:
--- a/libs/routing/src/cherryrudder/routing/slowness.py
+++ b/libs/routing/src/cherryrudder/routing/slowness.py
@@ -1,33 +1,37 @@
-"""How slow the endpoints are that were found to be slower than their kind.
+"""Reports of endpoints that are slower than others of their kind.
 
-Load pattern: see `layers.pace`. A belief ends by itself, since whoever told it may be
-gone: an engine that was slow once would be avoided for ever, and its copy overloaded.
+Load pattern: see `layers.pace`. Reports expire, since their sender may be gone.
+Otherwise an engine that was slow once would be avoided for ever, and the other engines
+with its layers would be overloaded.
 """
 
 from typing import NamedTuple
 
-# A slow endpoint is looked at again every half second; this is three such looks.
+# A slow endpoint is measured again every half second; this is three measurements.
 REPORT_TTL_S = 1.6
-# Engines answer somewhat unevenly by themselves. What is less isn't worth a detour.
+# Engines' speeds vary somewhat anyway. Smaller factors aren't worth a detour.
 LEAST_SLOWNESS = 1.3
 
 
 class SlownessReport(NamedTuple):
-    """What was told of an endpoint, and until when it counts."""
+    """An endpoint's reported slowness, and until when it is valid."""
 
     slowness: float
     until_s: float
 
 
 class SlownessBook:
-    """What was told, by the endpoint's incarnation."""
+    """The reports by the endpoint's incarnation."""
 
     def __init__(self):
         self.reports: dict[str, SlownessReport] = {}
 
 
 def believe(book: SlownessBook, engine_id: str, slowness: float, now_s: float) -> bool:
-    """Take how many times slower an endpoint is than its kind; tell whether news."""
+    """Record how many times slower an endpoint is than its kind.
+
+    Return whether this makes it slow or ends its slowness.
+    """
     known = slowness_of(book, engine_id, now_s)
     if slowness < LEAST_SLOWNESS:
         book.reports.pop(engine_id, None)
@@ -37,13 +41,13 @@
 
 
 def slowness_of(book: SlownessBook, engine_id: str, now_s: float) -> float:
-    """Return how many times slower an endpoint is than its kind, 1 if nobody says."""
+    """Return how many times slower an endpoint is than its kind, 1 without a report."""
     report = book.reports.get(engine_id)
     return report.slowness if report is not None and now_s < report.until_s else 1.0
 
 
 def sweep(book: SlownessBook, now_s: float) -> None:
-    """Forget what counts no longer."""
+    """Drop expired reports."""
     book.reports = {
         name: told for name, told in book.reports.items() if now_s < told.until_s
     }
--- a/libs/routing/src/cherryrudder/routing/suspicion.py
+++ b/libs/routing/src/cherryrudder/routing/suspicion.py
@@ -1,46 +1,49 @@
-"""An entry's own evidence against endpoints, beside what they say of themselves.
+"""Ejection of endpoints that fail requests, as in outlier detection.
 
-Load pattern: an endpoint dies, hangs or fails part of its requests while its heartbeats
-are still believed. Without this each new request waits there until it times out, and a
-data centre is lost for the seconds until the heartbeats are missed.
+Each entry collects its own evidence, independent of the endpoints' heartbeats.
+
+Load pattern: an endpoint dies, hangs or fails part of its requests while its last
+heartbeat still counts. Without ejection each new request waits there until it times
+out, and a data centre is lost for the seconds until the missing heartbeats are noticed.
 """
 
 from typing import NamedTuple
 
-# After one sign of death an endpoint is left alone for so long, and until it is heard
-# again. It announces itself every 1.2 s, so one that lives is heard within it.
+# Ejection after the first failure; it also lasts until the next heartbeat. Endpoints
+# send one every 1.2 s, so a live endpoint sends at least one within this time.
 FIRST_EJECTION_S = 2.0
 MAX_EJECTION_S = 12.0
-# A death that is longer ago doesn't make the next rest longer: a link that loses
-# packets for some seconds would leave the engines behind it with rests of 12 s.
+# An earlier failure doubles the next ejection only within this time. Otherwise a link
+# that loses packets for some seconds would get the engines behind it ejected for 12 s.
 FAILURE_MEMORY_S = 15.0
-# Failures among recent answers that make an endpoint suspect. Sound plain services fail
-# up to 14 in 100 of their requests by themselves.
+# Share of failed recent answers above which an endpoint is ejected. Healthy plain
+# services fail up to 14 in 100 of their requests.
 MAX_FAILED_SHARE = 0.3
-# Weight of the newest answer; some ten answers are remembered.
+# Weight of the newest answer in the moving average, which covers some ten answers.
 ANSWER_WEIGHT = 0.1
-# Answers before a share of failures counts.
+# Answers needed before the share of failures is used.
 MIN_ANSWERS = 6
 
 
 class Evidence(NamedTuple):
-    """What one entry has seen of one incarnation of an endpoint."""
+    """Evidence of one entry against one incarnation of an endpoint."""
 
     failed_s: float = float("-inf")
     ejected_until_s: float = 0.0
     ejection_s: float = 0.0
     failed_share: float = 0.0
     answers: int = 0
-    # This entry itself couldn't reach it; else it was a part in the middle of a chain.
+    # This entry itself could not reach it. Otherwise the endpoint failed as a part in
+    # the middle of a chain.
     is_unreached: bool = False
-    # Until then another death makes for a longer rest.
+    # A failure before this time doubles the ejection.
     remembered_until_s: float = 0.0
-    # No control VM has had an answer or a heartbeat from it either.
+    # The control VMs have had no answer or heartbeat from it either.
     is_confirmed: bool = False
 
 
 class Suspicions:
-    """Evidence by the endpoint's incarnation."""
+    """Evidence by the endpoint's incarnation (`engine_id`)."""
 
     def __init__(self):
         self.records: dict[str, Evidence] = {}
@@ -49,7 +52,7 @@
 def is_resting(
     suspicions: Suspicions, engine_id: str, last_seen_s: float, now_s: float
 ) -> bool:
-    """Tell whether an endpoint, last heard at a time, is to be left alone."""
+    """Return whether an endpoint is ejected, given the time of its last heartbeat."""
     record = suspicions.records.get(engine_id)
     if record is None:
         return False
@@ -59,7 +62,7 @@
 def died(
     suspicions: Suspicions, engine_id: str, now_s: float, is_unreached: bool = False
 ) -> None:
-    """Take note of a sign of death: silence, a refused connection, a reset."""
+    """Record a timeout, a refused connection or a reset, and eject the endpoint."""
     record = suspicions.records.get(engine_id, Evidence())
     is_first = now_s > record.remembered_until_s
     ejection_s = (
@@ -76,7 +79,7 @@
 
 
 def told(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
-    """Take note that others had no answer from an endpoint; tell whether it is news."""
+    """Record that other processes had no answer; return whether this ejects it."""
     record = suspicions.records.get(engine_id)
     is_news = record is None or now_s >= record.ejected_until_s
     if is_news:
@@ -85,7 +88,7 @@
 
 
 def verified(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
-    """Take note that an endpoint has certainly ended; tell whether it is news."""
+    """Record that an endpoint has certainly ended; return whether this ejects it."""
     is_news = told(suspicions, engine_id, now_s)
     record = suspicions.records[engine_id]
     suspicions.records[engine_id] = record._replace(is_confirmed=True)
@@ -95,16 +98,17 @@
 def is_certainly_dead(
     suspicions: Suspicions, engine_id: str, last_seen_s: float
 ) -> bool:
-    """Tell whether others confirmed its death and it was not heard since."""
+    """Return whether its end was confirmed and no heartbeat has come since."""
     record = suspicions.records.get(engine_id)
     return record is not None and record.is_confirmed and last_seen_s < record.failed_s
 
 
 def acquitted(suspicions: Suspicions, engine_id: str) -> bool:
-    """End a rest, as somebody near the endpoint had its answer; tell whether it did.
+    """End an ejection after a process near the endpoint had an answer from it.
 
-    An endpoint that this entry itself doesn't reach is tried again once. If it still
-    isn't reached, the link is cut, and each request would wait at it in vain.
+    Return whether the ejection has ended. An endpoint that this entry itself could not
+    reach is retried only once: if that fails too, the link is down, and each further
+    request would wait there until it times out.
     """
     record = suspicions.records.get(engine_id)
     if record is None or (record.is_unreached and record.ejection_s > FIRST_EJECTION_S):
@@ -118,7 +122,7 @@
 def answered(
     suspicions: Suspicions, engine_id: str, is_good: bool, now_s: float
 ) -> bool:
-    """Take note of an answer; tell whether the endpoint rests from now on."""
+    """Record a good or bad answer; return whether the endpoint is ejected now."""
     record = suspicions.records.get(engine_id, Evidence())
     share = record.failed_share + ANSWER_WEIGHT * ((not is_good) - record.failed_share)
     record = record._replace(failed_share=share, answers=record.answers + 1)
@@ -134,6 +138,6 @@
 
 
 def forget(suspicions: Suspicions, known: set[str]) -> None:
-    """Drop the records of incarnations that are gone."""
+    """Drop the evidence of all incarnations except the known ones."""
     for engine_id in set(suspicions.records) - known:
         del suspicions.records[engine_id]
