--- a/libs/layers/src/cherryrudder/layers/__init__.py
+++ b/libs/layers/src/cherryrudder/layers/__init__.py
@@ -1,1 +1,1 @@
-"""Which engine holds which layers, and the chains that requests take through them."""
+"""Placement of layers on engines, and the chains of engines that requests take."""
--- a/libs/layers/src/cherryrudder/layers/chains.py
+++ b/libs/layers/src/cherryrudder/layers/chains.py
@@ -1,11 +1,11 @@
-"""Which chain of engines a request takes.
+"""Choice of the chain of engines that runs a request.
 
 Load pattern: every request needs each layer once, in order, and several engines hold
 each layer: some fast, some nearly full, some behind a slow link between data centres.
-Without a choice by cost all requests take the first chain that fits, its memory runs
-full, and the newest streams stop in the middle while other engines idle.
+Without a choice by cost all requests take the first chain that fits, its memory fills
+up, and the newest streams are evicted midway while other engines are idle.
 
-A chain is found by the cheapest way from layer 0 to the last one over the places at
+The chain is the cheapest path from layer 0 to the last one. Its nodes are the layers at
 which some engine's range begins or ends.
 """
 
@@ -16,30 +16,31 @@
 
 # Engines refuse a longer chain.
 MAX_PARTS = 32
-# One hop costs at least this beside the transfer: some 0.1 ms on the wire inside a data
-# centre, and the engine's own hand-over.
+# Fixed cost of a hop beside the transfer: some 0.1 ms of network latency inside a data
+# centre, and the engine's own overhead.
 HOP_S = 0.0002
-# How much of an engine's room counts as full. What it can't hold it pushes out in the
-# middle of a stream; but each stream counts here with its whole answer from the start,
-# about a tenth more than it holds on the average.
+# Share of an engine's room that may be used. An engine evicts streams that it can't
+# hold any more, but each stream counts here with its whole answer from the start, about
+# a tenth more than it holds on average.
 MAX_FILL_SHARE = 1.0
-# Cost per token of a crossing between data centres. It has to outweigh any gain of a
+# Cost per token of a crossing between data centres. It has to outweigh the gain of a
 # faster engine there (a whole copy on slow accelerators takes 10 to 20 ms a token),
-# since the pipe between them is shared by all requests.
+# since all requests share the pipe between them.
 CROSSING_S = 0.05
-# There and back once: what one hole or one full range in a data centre asks for.
+# There and back once, which is enough for one hole or one full range in a data centre.
 MAX_CROSSINGS = 2
-# Cost per token of a wait of one second for a first event. A usual objective is half a
-# second; a wait of half of it counts as much as half of going to another data centre.
-# Late answers are worth a fraction of those in time, slower ones as much.
+# Cost per token of a wait of one second for the first event. A usual objective is half
+# a second; a wait of half of it costs half as much as going to another data centre.
+# A late answer is worth a fraction of one that is on time, but a slower one is worth
+# as much.
 WAIT_COST = 0.04
 # Cost per token of a whole chain in another data centre. Its activations cross no
-# pipe, only the answer does: it is worth it once the home engines are two thirds full.
+# pipe, only the answer does. It pays off once the home engines are two thirds full.
 REMOTE_CHAIN_S = 0.02
 
 
 class Candidate(NamedTuple):
-    """An engine as the chooser sees it."""
+    """An engine with its range of layers and its estimated load."""
 
     address: str
     engine_id: str
@@ -47,17 +48,17 @@
     kind: str
     first: int
     end: int
-    # Requests and tokens that are thought to run through it.
+    # Estimated requests running on it, and their tokens.
     running: float = 0.0
     tokens: float = 0.0
-    # Over 1 for an engine that answers slower than its kind.
+    # Greater than 1 for an engine that is slower than its kind.
     slowness: float = 1.0
-    # Those of the running ones whose chain begins here.
+    # Running requests whose chain begins at this engine.
     firsts: float = 0.0
-    # Tokens of prompts that were sent through it and gave no event yet.
+    # Tokens of prompts that were sent through it and have had no event yet.
     unread: float = 0.0
-    # Multiplies its cost. Somewhat different for each choice, it keeps the choices of
-    # many entries that know the same from being all alike.
+    # Random factor of its cost. It keeps many entries with the same data from all
+    # choosing the same chain.
     jitter: float = 1.0
 
 
@@ -71,7 +72,7 @@
 
 
 class Need(NamedTuple):
-    """What a request asks of a chain; `tokens` is prompt and expected answer."""
+    """A request's needs; `tokens` counts the prompt and the expected answer."""
 
     tokens: float
     home_zone: str
@@ -81,7 +82,7 @@
 
 
 def covers(chain: Iterable[Part], layers: int) -> bool:
-    """Tell whether a chain runs each layer once, in order, on different engines."""
+    """Return whether a chain runs each layer once, in order, on different engines."""
     position = 0
     seen = set()
     for part in chain:
@@ -93,23 +94,24 @@
 
 
 def part_cost_s(profile: ModelProfile, engine: Candidate) -> float:
-    """Return what one layer of one token costs on an engine, in seconds."""
+    """Return the cost of one layer and token on an engine, in seconds."""
     kind = kind_of(profile, engine.kind)
     room = room_tokens(profile, kind, engine.end - engine.first)
     fill = engine.tokens / room if room else 1.0
-    # It rises late: with 1 - fill a fast engine at half of its room counted as twice as
-    # slow, and streams went to the slowest kind while the fast ones had room. At nine
-    # tenths it is 5, enough to turn to another copy before this one refuses.
+    # Quadratic, so that it rises late. With 1 - fill a fast engine at half of its room
+    # counted as twice as slow, and streams went to the slowest kind while the fast ones
+    # had room. At nine tenths the factor is 5, enough to choose another copy before
+    # this one refuses requests.
     load_factor = 1.0 / max(0.05, 1.0 - fill * fill)
     return layer_step_s(profile, engine) * load_factor * engine.jitter
 
 
 def prefill_wait_s(profile: ModelProfile, engine: Candidate) -> float:
-    """Return how long an engine reads the prompts that wait there, in seconds.
+    """Return how long an engine needs to read its waiting prompts, in seconds.
 
-    It reads a part of them in each pass, and a pass takes a step of every stream that
-    runs. So an engine with many streams reads few prompts a second, however fast it
-    reads one alone: the newest ones wait while other engines are idle.
+    It reads a chunk of them in each pass, and a pass also runs a step of every running
+    stream. So an engine with many streams reads few prompts a second, however fast it
+    reads a single one: the newest prompts wait while other engines are idle.
     """
     if not engine.unread:
         return 0.0
@@ -130,10 +132,10 @@
 
 
 def has_room(profile: ModelProfile, engine: Candidate, tokens: float) -> bool:
-    """Tell whether an engine's memory takes a request beside those that run."""
+    """Return whether an engine has memory for a request beside the running ones."""
     kind = kind_of(profile, engine.kind)
     if kind is None or engine.end > profile.layers:
-        # It speaks of another model than this one.
+        # The engine reports another model than this one.
         return False
     room = room_tokens(profile, kind, engine.end - engine.first)
     return engine.tokens + tokens <= MAX_FILL_SHARE * room
@@ -144,10 +146,10 @@
 ) -> Chain | None:
     """Return the cheapest chain inside one data centre, or None.
 
-    Data centres that can't have it are not searched: with a hole in their layers, or
-    once the home one is cheaper than going elsewhere alone. Over five data centres
-    with 130 engines this takes a choice from 2.2 to 0.43 ms, and from 1.7 to 0.23 ms
-    where a range is full everywhere, as it is for those that wait and try again.
+    Data centres that can't have it are skipped: those with a hole in their layers, and
+    all others once the best cost is no more than that of going elsewhere. With five
+    data centres and 130 engines this reduces the time from 2.2 to 0.43 ms, and from 1.7
+    to 0.23 ms if a range is full everywhere, as it is for requests that wait and retry.
     """
     by_zone = _by_zone(e for e in engines if has_room(profile, e, need.tokens))
     best = None
@@ -164,7 +166,7 @@
 
 
 def is_whole(profile: ModelProfile, engines: Iterable[Candidate]) -> bool:
-    """Tell whether some data centre holds all layers, with room or without."""
+    """Return whether some data centre holds all layers, with or without room."""
     groups = _by_zone(engines).values()
     return any(_has_all_layers(profile, group) for group in groups)
 
@@ -190,10 +192,10 @@
 ) -> Chain | None:
     """Return the cheapest chain over all data centres, or None.
 
-    Only when none of them has a whole copy with room, and with few crossings: each
-    takes the request over a pipe that all share (see `pipes`). With a crossing for
-    every few layers, as the cheapest way through many small gaps has it, all streams
-    on the pipe stood still for two seconds.
+    For use only if no data centre has a whole copy with room. The number of crossings
+    is limited, since all requests share the pipes (see `pipes`). The cheapest chain
+    around many small gaps crosses every few layers, which stalled all streams on the
+    pipe for two seconds.
     """
     usable = [e for e in engines if has_room(profile, e, need.tokens)]
     if not _has_all_layers(profile, usable):
@@ -205,7 +207,7 @@
 
 
 def crossings(chain: Chain, engines: Iterable[Candidate]) -> int:
-    """Return how often a chain goes from one data centre to another."""
+    """Return how often a chain crosses from one data centre to another."""
     zones = {engine.address: engine.vm_zone for engine in engines}
     zones_in_order = [zones[part.address] for part in chain]
     return sum(a != b for a, b in zip(zones_in_order, zones_in_order[1:], strict=False))
@@ -218,12 +220,13 @@
     lost: set[str],
     need: Need,
 ) -> Chain | None:
-    """Return a chain that keeps every surviving part and fills the lost ones anew.
+    """Return a chain that keeps every surviving part and replaces the lost ones.
 
-    Surviving parts keep the memory of the request, so only the new ones read it again.
-    The first part stays, as the request is held there. The new parts are in its data
-    centre: reading a request again over the pipe between two takes longer than reading
-    it whole in the other, and all streams of a dead engine would do so at once.
+    Surviving parts keep the request in memory, so only the new parts read it again. The
+    first part stays, since its engine holds the request. The new parts are in its data
+    centre: reading a request again over the pipe takes longer than reading it as a
+    whole in the other data centre, and all streams of a dead engine would do so at
+    once.
     """
     kept = {part.address for part in chain} - lost
     spare = [
@@ -255,7 +258,7 @@
     home_zone: str,
     span: tuple[int, int] | None = None,
 ) -> Chain | None:
-    """Return the cheapest chain over a span of layers, or None if it has a hole."""
+    """Return the cheapest chain over a span of layers, or None if there is none."""
     found = _cheapest(profile, engines, home_zone, span)
     return found and found[1]
 
@@ -295,7 +298,7 @@
 
 
 def _relax(profile, engines, home_zone, marks):
-    """Return, by (layer, zone), the least cost and the step that led there."""
+    """Return, by (layer, zone), the least cost, the previous state and the engine."""
     best = {(marks[0], home_zone): (0.0, None, None)}
     prices = {e.address: part_cost_s(profile, e) for e in engines}
     waits = {e.address: WAIT_COST * prefill_wait_s(profile, e) for e in engines}
@@ -306,7 +309,7 @@
             if not engine.first <= at < engine.end:
                 continue
             if at == 0 and engine.firsts >= profile.slots:
-                # It would refuse the request, which costs a retry.
+                # All its slots are used: it would refuse the request at a retry's cost.
                 continue
             cost, state = _cheapest_arrival(states, engine.vm_zone)
             if state is None:
@@ -347,9 +350,10 @@
 
 
 def _merge(parts):
-    """Give an engine that came twice everything between, which it holds as well.
+    """Merge the parts of an engine that occurs twice, with all parts between them.
 
-    The engines refuse a chain that names one of them twice.
+    The engine holds the layers between as well. Engines refuse a chain that names one
+    of them twice.
     """
     merged: list[Part] = []
     for part in parts:
--- a/libs/layers/src/cherryrudder/layers/layout.py
+++ b/libs/layers/src/cherryrudder/layers/layout.py
@@ -1,16 +1,16 @@
-"""How the engines of an empty data centre share out the layers.
-
-Load pattern: a burst, or the traffic of a data centre that was lost, comes to engines
-of several sizes. What ends first is not their time but their room: the memory beside
-the layers of the range that has the least, and the places of the engines that hold the
-first layer, each of which takes only so many requests. Ranges laid out one by one, each
-where the least room is, overlap by a few layers here and there; the range that is left
-over has half of the room of the others, and requests are refused while most engines
-could take twice as many.
-
-So a copy is laid end to end, the largest engines first, with the most room a layer for
-which all copies fit. Engines with a small range more hold the first layers, until their
-places take as many requests as the rest has room for.
+"""Initial layout of the layers on the engines of an empty data centre.
+
+Load pattern: a burst, or the traffic of a lost data centre, comes to engines of several
+sizes. Their limit is not compute time but room: the memory beside the layers, in the
+range that has the least, and the slots of the engines that hold the first layer, each
+of which takes a limited number of requests. If ranges are placed one by one, each
+where the room is least, they overlap by a few layers in places. The remaining range
+then has half the room of the others, and requests are refused while most engines could
+take twice as many.
+
+So each copy is laid out end to end, the largest engines first, with the most room per
+layer for which all copies fit. Then additional engines hold a range of the first
+layers, until their slots take as many requests as the rest has room for.
 """
 
 import functools
@@ -27,66 +27,67 @@
     token_layer_mb,
 )
 
-# More room than this is not worth having a single copy without any layer held twice
-# for: it is some sixty usual requests at once in one data centre. What engines have
-# beyond it holds layers a second time, and a death there leaves no hole.
+# Room of a single copy beyond which engines hold layers a second time instead, so that
+# the loss of one of them leaves no hole. It is some sixty usual requests at once in one
+# data centre.
 MAX_SINGLE_COPY_ROOM_TOKENS = 60_000.0
-# Two whole copies are worth having while each engine keeps this much room, some twenty
-# usual requests. An engine that dies then leaves no hole, and its streams go on at once
-# over the other copy; without one they wait until the layers are loaded again. With
-# less room than this a burst stops all streams, which is worse than a hole.
+# Two whole copies are used if each engine keeps this much room, some twenty usual
+# requests. The loss of an engine then leaves no hole, and its streams go on at once
+# over the other copy; with one copy they wait until the layers are loaded again. With
+# less room a burst stops all streams, which is worse than a hole.
 MIN_TWO_COPY_ROOM_TOKENS = 22_000.0
-# The least room that is tried; with less an engine takes hardly one request.
+# The least room that is tried; with less an engine has hardly room for one request.
 MIN_TRIED_ROOM_TOKENS = 500.0
-# Between two rooms that are tried. Whole layers make for larger steps than this.
+# Factor between two rooms that are tried. The step of a whole layer is larger.
 ROOM_STEP_FACTOR = 1.03
 
 
 class Holder(NamedTuple):
-    """An engine as the planner sees it; `holding` is what it has or is loading."""
+    """An engine as the planner sees it; `holding` is the range it has or is loading."""
 
     address: str
     engine_id: str
     vm_zone: str
     kind: str
     holding: Holding = NOTHING
-    # Told to load and not done yet, or not to be moved for another reason.
+    # Loading layers, or not to be moved for another reason.
     is_busy: bool = False
     is_leaving: bool = False
-    # Came just now; see `planner`.
+    # Has joined just now; see `planner`.
     is_fresh: bool = False
 
 
 class Placement(NamedTuple):
-    """An engine is to hold this range from now on."""
+    """An order for an engine to hold a range from now on."""
 
     holder: Holder
     holding: Holding
 
 
 class Engine(NamedTuple):
-    """A holder that stays, with what its kind can hold."""
+    """An engine that is not leaving, with the profile of its kind."""
 
     holder: Holder
     kind: KindProfile
 
 
 class Target(NamedTuple):
-    """How many whole copies a data centre is to hold, with so much room beside each."""
+    """The whole copies that a data centre is to hold, and the room beside each."""
 
     copies: int
     room_tokens: float
 
 
 def choose_target(profile: ModelProfile, engines: Iterable[Engine]) -> Target:
-    """Return the most room in tokens that leaves enough layers for two whole copies.
+    """Return the target with two whole copies and the most room, in tokens, for them.
 
-    For one copy where two would leave the engines too little.
+    It has one copy if two would leave the engines too little room.
     """
     return _choose_target_for_kinds(profile, tuple(e.kind for e in by_size(engines)))
 
 
-# A plan is made four times a second, while engines come and go a few times a minute.
+# Cached since plans are made four times a second, while engines join and leave a few
+# times a minute.
 @functools.lru_cache(maxsize=64)
 def _choose_target_for_kinds(profile, kinds):
     room = _max_room(profile, kinds, 2)
@@ -98,7 +99,7 @@
 def lay_out(
     profile: ModelProfile, engines: Iterable[Engine], target: Target
 ) -> list[Placement]:
-    """Return the ranges of whole copies on empty engines; some engines may be left."""
+    """Return the ranges of whole copies on empty engines; some may get no range."""
     engines = by_size(engines)
     holdings = _tile(profile, tuple(e.kind for e in engines), target) or []
     return [
@@ -109,30 +110,30 @@
 
 
 def by_size(engines: Iterable[Engine]) -> list[Engine]:
-    """Return engines with the largest first, in the same order every time."""
+    """Return the engines in a fixed order, the largest first."""
     return sorted(engines, key=lambda e: (-e.kind.size_mb, e.holder.address))
 
 
 def layer_room(
     profile: ModelProfile, kind: KindProfile, holding: Holding, layer: int
 ) -> float:
-    """Return the room in tokens that an engine gives one of its layers.
+    """Return the room in tokens that an engine has for one of its layers.
 
-    On the first layer its places bound it as well: a request takes one of them at the
-    engine that it goes to.
+    On the first layer its slots limit it as well: a request takes a slot at the engine
+    that runs the first part of its chain.
     """
     room = room_tokens(profile, kind, holding.end - holding.first)
     return min(room, slot_tokens(profile)) if layer == 0 else room
 
 
 def slot_tokens(profile: ModelProfile) -> float:
-    """Return the tokens of as many usual requests as an engine has places for."""
+    """Return the tokens of as many usual requests as an engine has slots."""
     usual_tokens = profile.usual_prompt_tokens + profile.usual_answer_tokens
     return profile.slots * usual_tokens
 
 
 def _max_room(profile, kinds, copies):
-    """Return the most room a layer for which so many copies fit."""
+    """Return the most room per layer, in tokens, for which the copies fit."""
     layer_mb = sum(kind.size_mb for kind in kinds) / (copies * profile.layers)
     room = (layer_mb - profile.layer_mb) / token_layer_mb(profile)
     while room > MIN_TRIED_ROOM_TOKENS:
@@ -145,7 +146,7 @@
 def _tile(profile, kinds, target):
     """Return the ranges of whole copies laid end to end, one for each engine in turn.
 
-    None when the engines don't suffice. Engines beyond the last range get none.
+    Return None if the engines don't suffice. Engines beyond the last range get none.
     """
     holdings = []
     lengths = (max_layers(profile, kind, target.room_tokens) for kind in kinds)
@@ -172,7 +173,7 @@
 
 
 def _first_layer_room(profile, kind, holding):
-    """Return the room that an engine gives the first layer."""
+    """Return the room in tokens that an engine has for the first layer."""
     if holding == NOTHING or holding.first:
         return 0.0
     return layer_room(profile, kind, holding, 0)
--- a/libs/layers/src/cherryrudder/layers/pipes.py
+++ b/libs/layers/src/cherryrudder/layers/pipes.py
@@ -1,22 +1,22 @@
-"""How much of the pipes between data centres an entry may use for chains that cross.
+"""Budget for the pipes between data centres, for chains that cross them.
 
-Load pattern: one data centre has a hole and another is full, so that a chain over both
-is the only one left. A prompt of 772 tokens of 59 KB takes 33 ms of an 11 Gbit/s pipe
-at each crossing, and 170 ms of one of 2.2 Gbit/s. Without a bound the pipe fills with
-the first burst, and every stream that crosses stands still for seconds.
+Load pattern: one data centre has a hole and another is full, so that only a chain over
+both is left. A prompt of 772 tokens of 59 KB takes 33 ms of an 11 Gbit/s pipe at each
+crossing, and 170 ms of a pipe of 2.2 Gbit/s. Without a limit the first burst fills the
+pipe, and every stream that crosses it stalls for seconds.
 """
 
 from .profile import ModelProfile
 
-# Part of the pipes' time that all entries may use together. Queues stay short up to
-# some two thirds, and tokens of running streams cross as well.
+# Share of the pipes' time that all entries together may use for prompts. Queues stay
+# short up to some two thirds, and tokens of running streams cross as well.
 MAX_USED_SHARE = 0.5
-# Time that may be used at once, so that a lone request never waits for its share.
+# Pipe time that may be used at once, so that a single request never waits.
 BURST_S = 0.25
 
 
 class PipeBudget:
-    """The time on the pipes that one entry has used and not won back yet."""
+    """The pipe time that one entry has used and not recovered yet."""
 
     def __init__(self):
         self.debt_s = 0.0
@@ -24,19 +24,19 @@
 
 
 def crossing_s(profile: ModelProfile, tokens: float, crossings: int) -> float:
-    """Return the time on the pipes that a prompt takes."""
+    """Return the pipe time that a prompt takes, in seconds."""
     bits = tokens * profile.activation_bytes * 8
     return crossings * bits / (profile.pipe_mbps * 1e6)
 
 
 def is_open(budget: PipeBudget, cost_s: float, entries: int, now_s: float) -> bool:
-    """Tell whether a prompt that takes so long might cross now."""
+    """Return whether the budget allows a prompt's crossing, without using it."""
     debt_s = _debt_s(budget, entries, now_s)
     return not debt_s or debt_s + cost_s <= BURST_S
 
 
 def may_cross(budget: PipeBudget, cost_s: float, entries: int, now_s: float) -> bool:
-    """Tell whether a prompt may cross now, and count it if so."""
+    """Return whether a prompt may cross now; if so, charge it to the budget."""
     is_allowed = is_open(budget, cost_s, entries, now_s)
     budget.debt_s = _debt_s(budget, entries, now_s)
     budget.counted_s = now_s
--- a/libs/layers/src/cherryrudder/layers/planner.py
+++ b/libs/layers/src/cherryrudder/layers/planner.py
@@ -1,16 +1,16 @@
-"""Which layers each engine is to hold.
+"""Planning of which layers each engine is to hold.
 
 Load pattern: engines of several sizes start empty, die with their layers, leave and
-come back empty, while requests go on. What an engine's memory has left beside its
-layers holds requests, and the range with the least room bounds its data centre.
-Without a plan some ranges have room for three times the requests of others, and one
-engine's death stops a data centre with memory idle beside it.
-
-Each data centre is planned by itself as far as its engines hold one whole copy, since
-the pipes between them are shared and slow. What the engines of an empty one get is
-laid out at once (`layout`); whoever comes later goes where the room is least. Another
-centre's copy stands in for a hole until the neighbours of the lost range have taken it
-over.
+come back empty, while requests go on. The memory of an engine beside its layers holds
+requests, and the range with the least such room limits its data centre. Without a plan
+some ranges have room for three times the requests of others, and the loss of one engine
+stops a data centre although other engines have free memory.
+
+Each data centre is planned by itself if its engines can hold one whole copy, since the
+pipes between data centres are shared and slow. The engines of an empty data centre are
+laid out at once (`layout`); engines that join later go where the room is least. While
+there is a hole, requests use another data centre's copy, until the neighbours of the
+lost range have taken it over.
 """
 
 import collections
@@ -27,27 +27,29 @@
 )
 from .profile import NOTHING, Holding, ModelProfile, kind_of, max_layers, room_tokens
 
-# The least room beside its layers that an engine may be left with. It is a dozen
-# usual requests; with less a burst stops every stream through it.
+# The least room that an engine keeps beside its layers, a dozen usual requests. With
+# less a burst stops every stream through it.
 MIN_ROOM_TOKENS = 12_000.0
-# A neighbour takes over a hole at once while it keeps this much room, some 25 usual
-# requests: it goes on serving its own range, and loads only what it lacks.
+# Neighbours take over a hole before any engine is moved as long as they keep this much
+# room, some 25 usual requests: they go on serving their own range, and load only the
+# missing layers.
 EARLY_EXTENSION_ROOM_TOKENS = 25_000.0
-# Part of a copy's room that may be missing before a data centre counts as short of an
-# engine. Ranges differ by a tenth, and one that its neighbours took over has half.
+# Share of a copy's room that may be missing before a data centre counts as short of an
+# engine. Ranges differ by a tenth; a range that its neighbours took over has half.
 SHORTAGE_SHARE = 0.3
-# A move takes an engine's range away from where it was, so it has to close a hole.
+# The least gain of a move. The moved engine's old range loses room, so the move has to
+# close a hole.
 MIN_MOVE_GAIN = 500.0
-# What loading one layer takes off the worth of a move: among moves that close as much,
-# the one that is done first.
+# Cost of loading one layer, deducted from the gain of a move: of moves with equal gain
+# the fastest is preferred.
 LAYER_LOAD_COST = 2.0
-# What a layer that nobody holds is worth, against 1 for one with the planned room: it
-# stops the data centre.
+# Value of covering a layer that no engine holds, against 1 for a layer with the planned
+# room. A hole stops the data centre.
 HOLE_VALUE = 1000.0
 
 
 def plan(profile: ModelProfile, holders: Iterable[Holder]) -> list[Placement]:
-    """Return the placements to order now; none when all is as it should be."""
+    """Return the placements to order now, none if no change is needed."""
     holders = list(holders)
     engines = [
         Engine(holder, kind)
@@ -64,7 +66,7 @@
 
 
 def rooms(profile: ModelProfile, engines: Iterable[Engine]) -> list[float]:
-    """Return the room in tokens that each layer has on all engines that hold it."""
+    """Return, by layer, the room in tokens on all engines that hold it together."""
     sums = [0.0] * profile.layers
     for engine in engines:
         _add(profile, sums, engine, engine.holder.holding, 1)
@@ -72,7 +74,7 @@
 
 
 def _groups(profile, engines):
-    """Return the engines by data centre; centres without a whole copy share one."""
+    """Return the engines by data centre; those too small for a copy form one group."""
     zones: dict[str, list[Engine]] = {}
     for engine in engines:
         zones.setdefault(engine.holder.vm_zone, []).append(engine)
@@ -87,14 +89,14 @@
 
 
 def _plan_group(profile, group, leaving):
-    """Return the placements for one data centre.
-
-    An engine that has just come waits while nothing is missing: when engines are
-    replaced one by one the new one comes first, and the old one says a second later
-    that it leaves. Placed at once, the new one would be elsewhere by then. One of its
-    kind that leaves ends the wait, and so does a lack of room: an engine that is back
-    after a crash is needed, though its neighbours have closed the hole meanwhile with
-    what room they had. With the wait, it held layers 2 s later.
+    """Return the placements for one group of engines.
+
+    An engine that has just joined is not placed while nothing is missing. When engines
+    are replaced one by one, the new engine joins first, and the old one announces a
+    second later that it leaves. If the new one were placed at once, it would hold other
+    layers by then. It is placed when an engine of its kind leaves, or when room is
+    short: an engine that is back after a crash is needed, even if its neighbours have
+    closed the hole at the expense of their room. Waiting would delay its layers by 2 s.
     """
     awaited = _count_awaited(group, leaving)
     target = choose_target(profile, group)
@@ -128,7 +130,7 @@
 
 
 def _lay_out_empty(profile, group, target):
-    """Return the first ranges of a data centre whose engines hold nothing at all."""
+    """Return the initial layout if no engine of the group holds any layers."""
     if any(e.holder.holding != NOTHING or e.holder.is_busy for e in group):
         return []
     return lay_out(profile, group, target)
@@ -139,7 +141,7 @@
 
 
 def _count_awaited(group, leaving):
-    """Return how many engines leave for which none has come, by place and kind."""
+    """Return, by zone and kind, how many leaving engines have no replacement yet."""
     counts = collections.Counter((h.vm_zone, h.kind) for h in leaving)
     for engine in group:
         holder = engine.holder
@@ -161,9 +163,9 @@
 
 def _add(profile, sums, engine, holding, sign):
     for layer in range(holding.first, holding.end):
-        # A layer that is held counts as held however little room is beside it.
+        # A held layer never counts as a hole, however little room there is.
         room = max(1.0, layer_room(profile, engine.kind, holding, layer))
-        # Rounded, so that taking a range away again leaves a true zero.
+        # Rounded, so that removing a range again leaves exactly zero.
         sums[layer] = max(0.0, round(sums[layer] + sign * room))
 
 
@@ -179,7 +181,7 @@
 
 
 def _best_range(profile, engine, sums, room):
-    """Return the range with the least room, as long as the planned room allows."""
+    """Return the range of most value, of the length that leaves the planned room."""
     length = max_layers(profile, engine.kind, room)
     if length < 1:
         length = min(1, max_layers(profile, engine.kind, MIN_ROOM_TOKENS))
@@ -193,9 +195,9 @@
 
 
 def _extend(profile, movable, sums, min_room):
-    """Let the neighbours of each hole take it over beside what they hold.
+    """Extend the ranges of the neighbours of each hole until they cover it.
 
-    They go on serving their own range while the new layers load.
+    The neighbours go on serving their own range while the new layers load.
     """
     held = {e.holder.engine_id: e.holder.holding for e in movable}
     while (hole := _first_hole(sums)) is not None:
@@ -251,7 +253,7 @@
 
 
 def _move(profile, movable, sums, room):
-    """Move engines whose layers others hold to where nobody holds any."""
+    """Move engines whose layers others hold as well to layers that no engine holds."""
     placements = []
     while 0.0 in sums:
         best = None
--- a/libs/layers/src/cherryrudder/layers/profile.py
+++ b/libs/layers/src/cherryrudder/layers/profile.py
@@ -1,4 +1,4 @@
-"""What a model costs on each kind of accelerator: times, memory and links."""
+"""Cost of a model on each kind of accelerator: times, memory and links."""
 
 from typing import NamedTuple
 
@@ -13,11 +13,11 @@
 
 
 class ModelProfile(NamedTuple):
-    """The model that a service's engines share, for all its layers together."""
+    """The model of a service's engines; times are for all its layers together."""
 
     layers: int
     layer_mb: float
-    # Memory that one token of a running request takes, summed over all layers.
+    # Memory of one token of a running request, summed over all layers.
     token_kv_bytes: float
     activation_bytes: float
     link_mbps: float
@@ -38,7 +38,7 @@
 
 
 class Holding(NamedTuple):
-    """The layers that an engine holds: `first` up to, without, `end`."""
+    """A range of layers: `first` up to, but not including, `end`."""
 
     first: int
     end: int
@@ -48,7 +48,7 @@
 
 
 def kind_of(profile: ModelProfile, name: str) -> KindProfile | None:
-    """Return a kind by its name."""
+    """Return the kind with a name, or None."""
     for kind in profile.kinds:
         if kind.name == name:
             return kind
@@ -56,12 +56,12 @@
 
 
 def token_layer_mb(profile: ModelProfile) -> float:
-    """Return the memory of one token in one layer."""
+    """Return the memory of one token in one layer, in megabytes."""
     return profile.token_kv_bytes / profile.layers / 1e6
 
 
 def room_tokens(profile: ModelProfile, kind: KindProfile, layers: int) -> float:
-    """Return how many tokens fit beside so many layers on one accelerator."""
+    """Return how many tokens fit on an accelerator beside a number of layers."""
     if layers <= 0:
         return 0.0
     free_mb = kind.size_mb - layers * profile.layer_mb
@@ -69,6 +69,6 @@
 
 
 def max_layers(profile: ModelProfile, kind: KindProfile, reserve_tokens: float) -> int:
-    """Return the most layers that leave room for so many tokens."""
+    """Return the most layers that leave room for the reserved tokens."""
     per_layer_mb = profile.layer_mb + reserve_tokens * token_layer_mb(profile)
     return min(profile.layers, int(kind.size_mb / per_layer_mb))
