--- a/libs/routing/test/builders.py
+++ b/libs/routing/test/builders.py
@@ -44,7 +44,7 @@
 
 
 def an_announcement(engine_id="boot-1", number=1, layers=None, **changes):
-    """Return what an endpoint announces."""
+    """Return an endpoint's announcement."""
     announcement = Announcement(
         engine_id=engine_id,
         service="desk",
--- a/libs/routing/test/crashsim.py
+++ b/libs/routing/test/crashsim.py
@@ -1,4 +1,4 @@
-"""Some entries before engines that end, in simulated time."""
+"""Simulation of entries and engines that crash, in simulated time."""
 
 import random
 from typing import NamedTuple
@@ -9,23 +9,24 @@
 TICK_S = 0.01
 EVENT_S = 0.025
 EVENTS = 80
-# A client asks again so soon after an attempt that failed, at any entry.
-CLIENT_PAUSE_S = 0.3
-ENGINE_AWAY_S = 4.0
+# Delay until a client retries a failed attempt, at any entry.
+CLIENT_RETRY_S = 0.3
+ENGINE_RESTART_S = 4.0
 PROMPT_S = (0.05, 0.3)
 CRASH_AFTER_S = (0.04, 0.1)
-# Between the end of an engine and what an entry, or all, know of it.
+# Delay until an entry, and all entries, know of a crash.
 NOTICE_S = 0.03
-SPREAD_S = (0.05, 0.7)
-# By then every entry knows of an end.
-CONTACT_S = 3.0
+REPLICATION_S = (0.05, 0.7)
+# Time after which every entry knows of a crash.
+KNOWN_AFTER_S = 3.0
 
 
 class Plan(NamedTuple):
-    """What happens in a run."""
+    """The load and the faults of a run."""
 
+    # Requests that crash each engine that starts them.
     culprits: int = 0
-    # When a whole rack ends.
+    # Times at which a whole rack fails.
     racks_s: tuple[float, ...] = ()
     length_s: float = 25.0
     entries: int = 7
@@ -35,18 +36,18 @@
 
 
 class Outcome(NamedTuple):
-    """What came of a run."""
+    """The result of a run."""
 
     blocked_innocents: int
-    # Sends of each culprit after all entries could know of it.
+    # Sends of each culprit after all entries should block it.
     late_sends: tuple[int, ...]
     engines_ended: int
-    # Runs of others that culprits cut.
+    # Runs of other requests that culprits cut.
     cut: int
 
 
 class Request:
-    """A client's request, with the run that is under way."""
+    """A client's request and its current run."""
 
     def __init__(self, fingerprint, is_culprit, now_s):
         self.fingerprint = fingerprint
@@ -54,69 +55,69 @@
         self.entry = 0
         self.engine = None
         self.event = 0
-        self.begins_s = 0.0
+        self.next_event_s = 0.0
         self.crashes_s = float("inf")
         self.next_s = now_s
         self.sends_s = []
-        self.ended_s = []
+        self.crash_times_s = []
 
 
-class Naive:
-    """Refuses whatever three engines have ended under."""
+class ThreeCrashRule:
+    """Baseline: refuses every request that was running in three crashes."""
 
     def __init__(self, entries):
         self.counts = {}
 
     def crashed(self, entry, request, engine, now_s):
-        """Count an end."""
+        """Count a crash."""
         self.counts.setdefault(request.fingerprint, set()).add(engine)
 
     def tick(self, now_s):
-        """Know everything at once."""
+        """Do nothing: all entries share the counts."""
 
     def is_blocked(self, entry, fingerprint):
-        """Tell whether a request is refused."""
+        """Return whether a request is refused."""
         return len(self.counts.get(fingerprint, ())) >= blame.BLOCK_CRASHES
 
     def delay_s(self, entry, fingerprint):
-        """Send everything at once."""
+        """Return no delay."""
         return 0.0
 
     def reached(self, entry, request):
-        """Draw nothing from it."""
+        """Ignore how far a request has got."""
 
 
-class Books:
-    """A book an entry, and their messages on the way."""
+class ReplicatedBooks:
+    """A crash book per entry, and the messages in flight between them."""
 
     def __init__(self, entries, rng):
         self.rng = rng
         self.books = [CrashBook(f"entry-{n}") for n in range(entries)]
-        self.mail = []
+        self.messages = []
 
     def crashed(self, entry, request, engine, now_s):
-        """Note an end where it was seen, and tell all others."""
+        """Record a crash at its entry and send it to all others."""
         crash = Crash(engine, engine.partition("/")[0], "v1", request.event, now_s)
-        self._tell(entry, request.fingerprint, Record("a", "llm", (crash,)), now_s)
+        self._send(entry, request.fingerprint, Record("a", "llm", (crash,)), now_s)
 
-    def _tell(self, entry, fingerprint, record, now_s):
+    def _send(self, entry, fingerprint, record, now_s):
         for number in range(len(self.books)):
-            wait_s = self.rng.uniform(*SPREAD_S) if number != entry else NOTICE_S
-            self.mail.append((now_s + wait_s, number, fingerprint, record))
+            wait_s = self.rng.uniform(*REPLICATION_S) if number != entry else NOTICE_S
+            self.messages.append((now_s + wait_s, number, fingerprint, record))
 
     def tick(self, now_s):
-        """Deliver what is due."""
-        due = [one for one in self.mail if one[0] <= now_s]
+        """Deliver the messages that are due."""
+        due = [one for one in self.messages if one[0] <= now_s]
         if not due:
             return
-        self.mail = [one for one in self.mail if one[0] > now_s]
+        self.messages = [one for one in self.messages if one[0] > now_s]
         for _, number, fingerprint, record in due:
             crashbook.merge(self.books[number], fingerprint, record)
         for number in {one[1] for one in due}:
             blame.refresh(self.books[number], now_s)
 
     def is_blocked(self, entry, fingerprint):
-        """Tell whether a request is refused."""
+        """Return whether a request is refused."""
         return fingerprint in self.books[entry].blocks
 
     def delay_s(self, entry, fingerprint):
@@ -124,33 +125,33 @@
         return blame.send_delay_s(self.books[entry], fingerprint)
 
     def reached(self, entry, request):
-        """Tell all others how far a suspect has come."""
+        """Send to all others how far a suspect has got."""
         book = self.books[entry]
         is_watched = request.fingerprint in book.suspects | set(book.blocks)
         known = book.records.get(request.fingerprint)
         further = crashbook.place(known) + blame.SAME_PLACE_EVENTS if known else 0
         if is_watched and request.event > further:
             record = Record("a", "llm", passed=request.event)
-            self._tell(entry, request.fingerprint, record, self._now_s)
+            self._send(entry, request.fingerprint, record, self._now_s)
 
 
-class Play:
+class Simulation:
     """One run of a plan."""
 
     def __init__(self, plan, seed, is_naive=False):
         self.plan = plan
         self.rng = random.Random(f"crashes-{seed}")
         self.up_s = dict.fromkeys(range(plan.engines), 0.0)
-        self.boots = dict.fromkeys(range(plan.engines), 0)
+        self.incarnations = dict.fromkeys(range(plan.engines), 0)
         self.requests = []
         self.blocked = set()
         self.ended = self.cut = 0
         self.racks_s = list(plan.racks_s)
-        books = Books(plan.entries, random.Random(f"books-{seed}"))
-        self.book = Naive(plan.entries) if is_naive else books
+        books = ReplicatedBooks(plan.entries, random.Random(f"books-{seed}"))
+        self.book = ThreeCrashRule(plan.entries) if is_naive else books
 
     def run(self):
-        """Play to the end and return what came of it."""
+        """Run the plan and return its outcome."""
         culprits = [
             Request(f"{self.rng.getrandbits(96):024x}", True, 2.0 + 0.1 * n)
             for n in range(self.plan.culprits)
@@ -160,7 +161,7 @@
             self._tick(tick * TICK_S)
         return Outcome(
             len(self.blocked),
-            tuple(_late(one) for one in culprits),
+            tuple(_count_late_sends(one) for one in culprits),
             self.ended,
             self.cut,
         )
@@ -190,8 +191,8 @@
         elif now_s >= request.crashes_s:
             others = self._end(request.engine, now_s) - 1
             self.cut += others
-        elif now_s >= request.begins_s + EVENT_S:
-            request.begins_s += EVENT_S
+        elif now_s >= request.next_event_s + EVENT_S:
+            request.next_event_s += EVENT_S
             request.event += 1
             self.book.reached(request.entry, request)
             if request.event >= EVENTS:
@@ -203,18 +204,18 @@
             return
         up = [engine for engine, up_s in self.up_s.items() if up_s <= now_s]
         if not up:
-            request.next_s = now_s + CLIENT_PAUSE_S
+            request.next_s = now_s + CLIENT_RETRY_S
             return
         request.engine = self.rng.choice(up)
-        request.begins_s = now_s + self.rng.uniform(*PROMPT_S)
+        request.next_event_s = now_s + self.rng.uniform(*PROMPT_S)
         request.sends_s.append(now_s)
         if request.is_culprit:
             after_s = self.rng.uniform(*CRASH_AFTER_S)
-            request.crashes_s = request.begins_s + after_s
+            request.crashes_s = request.next_event_s + after_s
 
     def _refuse(self, request, now_s):
         if request.is_culprit:
-            # Its client goes on asking all the same.
+            # Its client keeps retrying.
             self._ask_elsewhere(request, now_s)
             return
         self.blocked.add(request.fingerprint)
@@ -223,24 +224,24 @@
     def _ask_elsewhere(self, request, now_s):
         request.entry = self.rng.randrange(self.plan.entries)
         request.event = 0
-        request.next_s = now_s + CLIENT_PAUSE_S
+        request.next_s = now_s + CLIENT_RETRY_S
 
     def _end(self, engine, now_s):
-        """End an engine and cut its runs; return how many."""
+        """Crash an engine and cut its runs; return their number."""
         self.ended += 1
-        self.up_s[engine] = now_s + ENGINE_AWAY_S
-        boot = f"{engine % self.plan.racks}/{engine}-{self.boots[engine]}"
-        self.boots[engine] += 1
+        self.up_s[engine] = now_s + ENGINE_RESTART_S
+        boot = f"{engine % self.plan.racks}/{engine}-{self.incarnations[engine]}"
+        self.incarnations[engine] += 1
         cut = [one for one in self.requests if one.engine == engine]
         for request in cut:
             self._cut(request, boot, now_s)
         return len(cut)
 
     def _cut(self, request, boot, now_s):
-        if now_s >= request.begins_s:
+        if now_s >= request.next_event_s:
             self.book.crashed(request.entry, request, boot, now_s)
             if request.is_culprit:
-                request.ended_s.append(now_s)
+                request.crash_times_s.append(now_s)
         request.engine = None
         request.crashes_s = float("inf")
         delay_s = self.book.delay_s(request.entry, request.fingerprint)
@@ -249,9 +250,9 @@
             self._ask_elsewhere(request, now_s)
 
 
-def _late(request):
-    """Return how often a request was sent that should have been known."""
-    if len(request.ended_s) < blame.BLOCK_CRASHES:
+def _count_late_sends(request):
+    """Return how often a request was sent after all entries should block it."""
+    if len(request.crash_times_s) < blame.BLOCK_CRASHES:
         return 0
-    known_s = request.ended_s[2] + CONTACT_S
+    known_s = request.crash_times_s[2] + KNOWN_AFTER_S
     return sum(sent_s > known_s for sent_s in request.sends_s)
--- a/libs/routing/test/test_answertimes.py
+++ b/libs/routing/test/test_answertimes.py
@@ -8,14 +8,14 @@
 
 
 def times_of(mean_s, count=50, spread=0.3, seed=1):
-    """Return what is known after answers that take about so long."""
+    """Return the estimate after answers that take about `mean_s`."""
     rng, times = random.Random(seed), AnswerTimes()
     for _ in range(count):
         answertimes.note(times, mean_s * rng.uniform(1 - spread, 1 + spread))
     return times
 
 
-class LimitTest(unittest.TestCase):
+class TimeoutTest(unittest.TestCase):
     def test_it_follows_the_answers(self):
         quick, busy = times_of(0.002), times_of(0.03)
         self.assertLess(
@@ -23,7 +23,7 @@
         )
         self.assertGreater(answertimes.limit_s(busy, BOUNDS), 0.03)
 
-    def test_a_sudden_load_is_learned_within_some_answers(self):
+    def test_it_adapts_to_a_sudden_load_within_some_answers(self):
         times = times_of(0.002)
         for _ in range(5):
             answertimes.note(times, 0.04)
@@ -38,7 +38,7 @@
 class LateAnswerTest(unittest.TestCase):
     """Guards against taking busy engines for dead because others answer at once."""
 
-    def test_few_answers_of_engines_under_a_burst_come_after_the_second_limit(self):
+    def test_few_answers_during_a_burst_exceed_the_timeout_and_its_retry(self):
         rng, times = random.Random(7), times_of(0.003)
         late = 0
         for number in range(400):
--- a/libs/routing/test/test_backoffs.py
+++ b/libs/routing/test/test_backoffs.py
@@ -5,7 +5,7 @@
 
 
 class BackoffTest(unittest.TestCase):
-    """Guards against requests to endpoints that asked for none, and a herd later."""
+    """Guards against requests during a backoff, and a burst of them after it."""
 
     def setUp(self):
         self.book = BackoffBook()
@@ -14,19 +14,19 @@
     def may_begin(self, now_s):
         return backoffs.may_begin(self.book, "e", now_s)
 
-    def test_it_gets_nothing_until_its_backoff_is_over(self):
+    def test_no_request_is_sent_until_the_backoff_is_over(self):
         self.assertFalse(self.may_begin(12.9))
         self.assertTrue(self.may_begin(13.0))
         self.assertTrue(backoffs.may_begin(self.book, "other", 12.9))
 
-    def test_the_first_request_after_it_goes_alone(self):
+    def test_the_first_request_after_it_is_sent_alone(self):
         backoffs.note_sent(self.book, "e", 13.0)
         self.assertFalse(self.may_begin(13.5))
         self.assertFalse(backoffs.is_active(self.book, "e", 13.5))
         self.assertTrue(backoffs.answered(self.book, "e", sent_s=13.0))
         self.assertTrue(self.may_begin(13.5))
 
-    def test_a_request_without_an_answer_doesnt_hold_the_others_up(self):
+    def test_others_are_sent_if_the_first_request_has_no_answer(self):
         backoffs.note_sent(self.book, "e", 13.0)
         self.assertTrue(self.may_begin(13.0 + PROBE_TIMEOUT_S))
 
@@ -34,18 +34,18 @@
         self.assertFalse(backoffs.answered(self.book, "e", sent_s=9.9))
         self.assertFalse(self.may_begin(11.0))
 
-    def test_it_may_ask_again_and_never_for_less(self):
+    def test_a_further_backoff_extends_but_never_shortens_it(self):
         backoffs.start(self.book, "e", 1.0, 11.0)
         self.assertEqual(backoffs.left_s(self.book, "e", 11.0), 2.0)
         backoffs.note_sent(self.book, "e", 13.0)
         backoffs.start(self.book, "e", 3.0, 13.1)
         self.assertAlmostEqual(backoffs.left_s(self.book, "e", 13.1), 3.0)
 
-    def test_no_backoff_is_for_ever(self):
+    def test_a_backoff_is_bounded(self):
         backoffs.start(self.book, "f", 1e9, 10.0)
         self.assertEqual(backoffs.left_s(self.book, "f", 10.0), MAX_BACKOFF_S)
 
-    def test_a_later_incarnation_has_none(self):
+    def test_backoffs_of_unknown_incarnations_are_dropped(self):
         backoffs.forget(self.book, {"f"})
         self.assertTrue(self.may_begin(10.0))
 
--- a/libs/routing/test/test_configlog.py
+++ b/libs/routing/test/test_configlog.py
@@ -8,12 +8,12 @@
 
 
 def a_put(version, text):
-    """Return a configuration as an operator sent it."""
+    """Return a proposed configuration with a version and text."""
     return Put(version, configlog.pack(text))
 
 
 def play(puts):
-    """Return the state and the answers after some log entries."""
+    """Return the state and the results after some log entries."""
     state = configlog.new_state()
     answers = [
         configlog.apply(state, index, configlog.encode(put))
@@ -28,15 +28,15 @@
         self.assertEqual((state.version, state.text), (7, "g"))
         self.assertEqual(answers, [Taken.IN_FORCE, Taken.SUPERSEDED, Taken.IN_FORCE])
 
-    def test_a_resend_is_answered_as_the_first_time(self):
+    def test_a_resend_gets_the_same_result(self):
         _, answers = play([a_put(3, "c"), a_put(3, "c")])
         self.assertEqual(answers, [Taken.IN_FORCE, Taken.IN_FORCE])
 
-    def test_other_content_under_the_version_held_changes_nothing(self):
-        """Two operators send different configurations with one version number.
+    def test_other_content_under_the_same_version_changes_nothing(self):
+        """Guards against two different configurations in force under one version.
 
-        The first is in force; were the second taken, entries that have the version
-        already would never hear of it, and two contents would stand side by side.
+        Two operators send them. If the second were accepted, entries that already have
+        the version would never receive it.
         """
         state, answers = play([a_put(3, "c"), a_put(3, "other")])
         self.assertEqual(state.text, "c")
@@ -44,7 +44,7 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.builds(a_put, st.integers(1, 9), st.text(max_size=3))))
-    def test_a_snapshot_goes_on_as_the_log_would(self, puts):
+    def test_a_restored_snapshot_continues_like_the_log(self, puts):
         for cut in range(len(puts) + 1):
             state, _ = play(puts[:cut])
             restored = configlog.restore(configlog.snapshot(state))
@@ -58,13 +58,13 @@
 
 
 class PackTest(unittest.TestCase):
-    """A configuration grows by a thousand routes; each change goes to every entry.
+    """Guards against stalling streams when a large configuration is sent to entries.
 
-    Sent as plain text it fills an entry's link of 10 Mbit/s for 0.27 s, and the streams
-    behind it stand still. Routes differ in little but their names.
+    As plain text a thousand routes fill an entry's link of 10 Mbit/s for 0.27 s. Routes
+    differ in little but their names.
     """
 
-    def test_a_large_configuration_takes_a_tenth_of_its_text(self):
+    def test_a_large_configuration_is_packed_to_a_tenth(self):
         routes = [
             {"name": f"r-{n * 7919 % 10007}", "kind": "stream", "timeout_ms": 20000}
             for n in range(1300)
@@ -74,9 +74,9 @@
         self.assertLess(len(packed) * 10, len(text))
         self.assertEqual(configlog.unpack(packed), text)
 
-    def test_the_log_carries_what_is_packed(self):
+    def test_log_entries_are_packed(self):
         text = '{"routes": [' + ", ".join(['"the same"'] * 1000) + "]}"
         self.assertLess(len(configlog.encode(a_put(1, text))) * 10, len(text))
 
-    def test_nothing_is_the_text_of_nothing(self):
+    def test_the_text_of_a_new_state_is_empty(self):
         self.assertEqual(configlog.new_state().text, "")
--- a/libs/routing/test/test_configuration.py
+++ b/libs/routing/test/test_configuration.py
@@ -5,12 +5,12 @@
 from cherryrudder.routing.configuration import Account, Share, check
 
 
-class CheckTest(unittest.TestCase):
-    def test_a_sound_configuration_passes(self):
+class ValidationTest(unittest.TestCase):
+    def test_a_valid_configuration_passes(self):
         configuration = a_configuration()
         self.assertEqual(check(configuration).ok, configuration)
 
-    def test_each_fault_is_named(self):
+    def test_each_fault_is_reported(self):
         shared = (Account("petra", ("k",), None), Account("rum", ("k",), None))
         faults = {
             "timeout": a_configuration(a_route(timeout_s=0.0)),
--- a/libs/routing/test/test_crashbook.py
+++ b/libs/routing/test/test_crashbook.py
@@ -17,7 +17,7 @@
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32))
     def test_any_order_gives_the_same_blocks(self, seed):
-        """Guards against entries that disagree on what is refused."""
+        """Guards against entries that disagree on which requests are blocked."""
         rng = random.Random(seed)
         heard = []
         for fingerprint in "fgh":
@@ -34,22 +34,22 @@
             blocks.append(set(book.blocks))
         self.assertEqual(blocks, blocks[:1] * 3)
 
-    def test_what_is_known_is_no_news(self):
+    def test_a_known_record_changes_nothing(self):
         book = CrashBook("boot-1")
         self.assertTrue(crashbook.merge(book, "f", a_record()))
         self.assertFalse(crashbook.merge(book, "f", a_record(at_s=1.2)))
         self.assertTrue(crashbook.merge(book, "f", a_record(passed=40)))
         self.assertFalse(crashbook.merge(book, "f", a_record(passed=30)))
 
-    def test_a_lift_that_comes_back_later_is_no_news(self):
-        """Guards against two processes that tell each other of one lift for ever."""
+    def test_the_same_lift_with_a_later_time_changes_nothing(self):
+        """Guards against two processes that send each other one lift for ever."""
         book = CrashBook("boot-1")
         crashbook.merge(book, "f", a_record(lifted_s=10.0))
         self.assertFalse(crashbook.merge(book, "f", a_record(lifted_s=10.1)))
 
 
-class BoundTest(unittest.TestCase):
-    def test_what_did_no_harm_lately_is_forgotten(self):
+class PruneTest(unittest.TestCase):
+    def test_expired_records_are_dropped(self):
         book = CrashBook("boot-1")
         crashbook.merge(book, "f", a_record())
         crashbook.sweep(book, 1.0 + crashbook.RETENTION_S)
@@ -57,7 +57,7 @@
         crashbook.sweep(book, 1.1 + crashbook.RETENTION_S)
         self.assertEqual((book.records, book.changed), ({}, {}))
 
-    def test_the_oldest_go_first_and_the_blocked_last(self):
+    def test_the_oldest_are_dropped_first_and_the_blocked_last(self):
         book = CrashBook("boot-1")
         for engine_id in ("e1", "e2", "e3"):
             crashbook.merge(book, "bad", a_record(engine_id, at_s=0.0))
--- a/libs/routing/test/test_endpoints.py
+++ b/libs/routing/test/test_endpoints.py
@@ -9,18 +9,18 @@
 
 
 def known(table, now_s=0.0):
-    """Return the boots that may be used."""
+    """Return the incarnations that may be used."""
     return {a.engine_id for a in endpoints.live(table, now_s)}
 
 
-class HearTest(unittest.TestCase):
+class HeartbeatTest(unittest.TestCase):
     def test_an_older_heartbeat_changes_nothing(self):
         table = EndpointTable()
         endpoints.hear(table, an_announcement(number=4, layers=(0, 8)), 0.0)
         self.assertFalse(endpoints.hear(table, an_announcement(number=2), 1.0))
         self.assertEqual(endpoints.live(table, 1.0)[0].holding, (0, 8))
 
-    def test_a_bare_sign_of_life_is_no_news(self):
+    def test_a_heartbeat_without_changes_is_not_forwarded(self):
         table = EndpointTable()
         self.assertTrue(endpoints.hear(table, an_announcement(number=2), 0.0))
         self.assertFalse(endpoints.hear(table, an_announcement(number=4), 1.0))
@@ -28,7 +28,7 @@
             endpoints.hear(table, an_announcement(number=6, layers=(0, 8)), 2.0)
         )
 
-    def test_silence_ends_an_endpoint(self):
+    def test_an_endpoint_without_heartbeats_is_not_used(self):
         table = EndpointTable()
         endpoints.hear(table, an_announcement(), 0.0)
         self.assertEqual(known(table, endpoints.LOST_AFTER_S), {"boot-1"})
@@ -36,13 +36,13 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """An endpoint says that it leaves; its earlier heartbeat arrives after that.
+    """Guards against new requests to an endpoint that is about to end.
 
-    Were the late heartbeat believed, entries would send new work to an endpoint that
-    is about to end, and a call that may not be repeated would be lost with it.
+    A heartbeat from before its notice of leaving arrives after it. If that undid the
+    notice, a request that must not be retried could be lost.
     """
 
-    def test_a_late_heartbeat_does_not_take_leaving_back(self):
+    def test_a_late_heartbeat_does_not_undo_leaving(self):
         table = EndpointTable()
         endpoints.hear(table, an_announcement(number=4, is_leaving=True), 0.0)
         endpoints.hear(table, an_announcement(number=6), 0.5)
@@ -56,10 +56,10 @@
 
 
 class SignOffTest(unittest.TestCase):
-    """An endpoint signs off, and nobody was told before that it drains.
+    """Guards against treating an endpoint that signs off without draining as ended.
 
-    It goes on serving for seconds. Were it taken for ended, all its streams would be
-    broken off in that moment, and their runs there would not count as runs.
+    It goes on serving for seconds. If it counted as ended, all its streams would be
+    broken off at once, and their runs there would not be counted.
     """
 
     def sign_off(self, *tables, at_s=1.0):
@@ -73,7 +73,7 @@
         self.assertEqual(known(table, 1.0), {"boot-1"})
         self.assertFalse(endpoints.may_take_work(endpoints.live(table, 1.0)[0]))
 
-    def test_a_word_that_it_drains_makes_it_the_end_in_either_order(self):
+    def test_draining_and_signing_off_end_it_in_either_order(self):
         draining = an_announcement(number=2, is_leaving=True)
         for number in (1, 2, 3):
             with self.subTest(number=number):
@@ -83,8 +83,8 @@
                 endpoints.hear(table, draining._replace(number=number), 1.1)
                 self.assertEqual(known(table, 1.1), set())
 
-    def test_a_process_that_never_heard_it_does_not_end_it_for_others(self):
-        """A control VM has just started; the notice comes to it, of all."""
+    def test_a_process_that_does_not_know_it_does_not_end_it_for_others(self):
+        """The notice goes to a control VM that has just started."""
         new, other = EndpointTable(), EndpointTable()
         endpoints.hear(other, an_announcement(number=2), 0.0)
         self.sign_off(new)
@@ -92,7 +92,7 @@
         self.assertEqual(known(other, 1.0), {"boot-1"})
         self.assertFalse(endpoints.may_take_work(endpoints.live(other, 1.0)[0]))
 
-    def test_the_word_reaches_tables_that_heard_the_drain(self):
+    def test_a_sign_off_is_merged_into_tables_that_know_the_drain(self):
         first, second = EndpointTable(), EndpointTable()
         endpoints.hear(first, an_announcement(number=2), 0.0)
         endpoints.hear(second, an_announcement(number=2, is_leaving=True), 0.0)
@@ -103,8 +103,8 @@
         self.assertEqual(known(first, 1.0), set())
 
 
-class ToldSendersTest(unittest.TestCase):
-    """Guards against new work for an engine that only its answers call leaving."""
+class NotifiedSendersTest(unittest.TestCase):
+    """Guards against new requests to an engine that only its answers call leaving."""
 
     def setUp(self):
         self.table = EndpointTable()
@@ -121,33 +121,33 @@
         self.assertEqual(known(self.table, 1.0), {"boot-1"})
         self.assertFalse(self.takes_work())
 
-    def test_a_heartbeat_that_calls_it_ready_changes_nothing(self):
+    def test_a_heartbeat_that_reports_it_ready_changes_nothing(self):
         endpoints.hear(self.table, an_announcement(number=4), 1.0)
         self.assertFalse(self.takes_work())
 
-    def test_the_first_notice_after_it_is_not_its_end(self):
+    def test_the_first_notice_after_that_does_not_end_it(self):
         endpoints.sign_off(self.table, "boot-1", 1.0)
         self.assertEqual(known(self.table, 1.0), {"boot-1"})
 
-    def test_others_hear_of_it(self):
+    def test_the_notice_is_merged_into_other_tables(self):
         other = EndpointTable()
         endpoints.hear(other, an_announcement(number=6), 1.0)
         entry = self.table.entries["boot-1"]
         self.assertTrue(endpoints.merge(other, entry, 0.5, 1.0))
         self.assertFalse(endpoints.may_take_work(other.entries["boot-1"].announcement))
 
-    def test_one_that_was_never_heard_is_left_out(self):
+    def test_an_unknown_endpoint_is_ignored(self):
         self.assertFalse(endpoints.tell_senders(self.table, "boot-9", 0.5))
 
 
 class AddressTest(unittest.TestCase):
-    """An endpoint crashes, and another boot takes its address.
+    """Guards against using a crashed endpoint whose address another incarnation has.
 
-    A heartbeat of the first one, held up by a cut, arrives last. The address must lead
-    to the boot that lives, at the latest with its next heartbeat.
+    A delayed heartbeat of the first one arrives last. The address must belong to the
+    live incarnation, at the latest after its next heartbeat.
     """
 
-    def test_the_boot_heard_last_has_the_address(self):
+    def test_the_incarnation_of_the_last_heartbeat_has_the_address(self):
         table = EndpointTable()
         endpoints.hear(table, an_announcement("old", number=2), 0.0)
         endpoints.hear(table, an_announcement("new", number=2), 1.0)
@@ -158,11 +158,11 @@
 
 
 class RestartTest(unittest.TestCase):
-    """An engine crashes and starts again under the name that it had.
+    """Guards against mixing up two incarnations of an engine that restarts.
 
-    Its heartbeats count from one again, and those of the boot before may come late.
-    Taken for one engine, the new boot seems to be old news: it stays unused, or is
-    thought to hold layers that it has lost.
+    It keeps its name, its heartbeats count from one again, and those of the earlier
+    incarnation may be late. If both were one engine, the new incarnation would seem
+    stale: it would stay unused, or seem to hold layers that it has lost.
     """
 
     def boot(self, started_ms, number, layers=None):
@@ -170,21 +170,21 @@
             f"e@{started_ms}", number, layers, name="e", started_ms=started_ms
         )
 
-    def test_the_new_boot_counts_although_its_numbers_are_lower(self):
+    def test_the_new_incarnation_counts_although_its_numbers_are_lower(self):
         table = EndpointTable()
         endpoints.hear(table, self.boot(100, 90, (0, 8)), 0.0)
         self.assertTrue(endpoints.hear(table, self.boot(200, 1), 1.0))
         (live,) = endpoints.live(table, 1.0)
         self.assertEqual((live.engine_id, tuple(live.holding)), ("e@200", (0, 0)))
 
-    def test_a_late_heartbeat_of_the_boot_before_counts_for_nothing(self):
+    def test_a_late_heartbeat_of_the_earlier_incarnation_is_ignored(self):
         table = EndpointTable()
         endpoints.hear(table, self.boot(200, 1), 1.0)
         self.assertFalse(endpoints.hear(table, self.boot(100, 91, (0, 8)), 1.5))
         endpoints.hear(table, self.boot(100, 92, (0, 8)), 1.6)
         self.assertEqual(known(table, 1.6), {"e@200"})
 
-    def test_the_departure_of_the_boot_before_leaves_the_new_one(self):
+    def test_the_departure_of_the_earlier_incarnation_keeps_the_new_one(self):
         table = EndpointTable()
         endpoints.hear(table, self.boot(100, 9), 0.0)
         endpoints.hear(table, self.boot(200, 1), 1.0)
@@ -214,11 +214,11 @@
         self.assertEqual(known(table), {f"e@{newest}"} if is_there else set())
 
 
-class ObserveTest(unittest.TestCase):
-    def test_two_looks_between_heartbeats_both_count(self):
-        """An engine gives its old layers up, then has loaded the new ones.
+class ObservationTest(unittest.TestCase):
+    def test_two_observations_between_heartbeats_both_count(self):
+        """An engine drops its old layers, then has loaded the new ones.
 
-        A reader that took the first look must take the second one, too.
+        A table that merged the first observation must merge the second one, too.
         """
         table, reader = EndpointTable(), EndpointTable()
         endpoints.hear(table, an_announcement(number=16, layers=(0, 8)), 0.0)
@@ -227,7 +227,7 @@
             endpoints.merge(reader, table.entries["boot-1"], 0.0, 0.3)
         self.assertEqual(endpoints.live(reader, 0.3)[0].holding, (8, 16))
 
-    def test_what_a_leader_saw_stands_until_the_next_word(self):
+    def test_an_observation_counts_until_the_next_heartbeat(self):
         table = EndpointTable()
         endpoints.hear(table, an_announcement(number=16), 0.0)
         self.assertTrue(endpoints.observe(table, "boot-1", Holding(0, 8), 0.3))
@@ -248,7 +248,7 @@
 
 
 def play(events):
-    """Return a table after events, all at the same time."""
+    """Return a table after some events, all at the same time."""
     table = EndpointTable()
     for engine_id, number, kind in events:
         if kind == "depart":
@@ -267,7 +267,7 @@
 
 
 def usable(table):
-    """Return the endpoints that may get work, with what they hold."""
+    """Return the endpoints that may get requests, with their layers."""
     live = endpoints.live(table, 0.0)
     return {(a.engine_id, a.holding) for a in live if endpoints.may_take_work(a)}
 
@@ -275,14 +275,14 @@
 class AnyOrderTest(unittest.TestCase):
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(EVENTS, st.randoms(use_true_random=False))
-    def test_the_order_of_news_does_not_matter(self, events, rng):
-        # Two messages with one number are the same message.
+    def test_the_order_of_messages_does_not_matter(self, events, rng):
+        # Two messages with the same number are the same message.
         events = list({(e[0], e[1], e[2] == "depart"): e for e in events}.values())
         shuffled = list(events)
         rng.shuffle(shuffled)
         left = usable(play(events))
         right = usable(play(shuffled))
-        # Leaving is learned from any of the messages, whatever its number.
+        # Any message that says that an endpoint leaves counts, whatever its number.
         self.assertEqual(
             {engine_id for engine_id, _ in left},
             {engine_id for engine_id, _ in right},
--- a/libs/routing/test/test_fingerprint.py
+++ b/libs/routing/test/test_fingerprint.py
@@ -6,10 +6,10 @@
 
 
 class FingerprintTest(unittest.TestCase):
-    def test_the_same_request_is_told_again(self):
+    def test_the_same_request_has_the_same_fingerprint(self):
         self.assertEqual(fingerprint(*ASKED), fingerprint(*ASKED))
 
-    def test_a_host_is_the_same_in_any_case(self):
+    def test_the_host_is_case_insensitive(self):
         account, method, _, target, body = ASKED
         other = fingerprint(account, method, "H.Example", target, body)
         self.assertEqual(other, fingerprint(*ASKED))
@@ -21,7 +21,7 @@
             with self.subTest(field=number):
                 self.assertNotEqual(fingerprint(*changed), fingerprint(*ASKED))
 
-    def test_bytes_don_t_move_from_one_field_to_the_next(self):
+    def test_bytes_moved_to_the_next_field_change_it(self):
         one = fingerprint("a", b"POST", "h", b"/x", b"yz")
         self.assertNotEqual(one, fingerprint("a", b"POST", "h", b"/xy", b"z"))
         self.assertNotEqual(one, fingerprint("aP", b"OST", "h", b"/x", b"yz"))
--- a/libs/routing/test/test_gatekeeping.py
+++ b/libs/routing/test/test_gatekeeping.py
@@ -9,54 +9,60 @@
 REVOKE_S = 5.0
 
 
-def decide(key="key-1", target="/a/x", age_s=0.0, is_cut_off=False, **changes):
-    """Decide about a request with a configuration of one route."""
+def authorize_request(
+    key="key-1", target="/a/x", age_s=0.0, is_cut_off=False, **changes
+):
+    """Authorize a request with a configuration of one route."""
     table = RouteTable(a_configuration(a_route(**changes)))
     return gatekeeping.decide(
         table, Asked("desk.example", target, key), age_s, REVOKE_S, is_cut_off
     )
 
 
-class DecisionTest(unittest.TestCase):
+class AuthorizationTest(unittest.TestCase):
     def test_a_known_key_is_admitted_as_its_account(self):
-        self.assertEqual(decide().account, "petra")
+        self.assertEqual(authorize_request().account, "petra")
 
-    def test_faults_of_the_client_are_told(self):
-        self.assertEqual(decide(key="stolen").status, 401)
-        self.assertEqual(decide(key="").status, 401)
-        self.assertEqual(decide(target="/b/").status, 404)
+    def test_unknown_keys_and_routes_are_refused(self):
+        self.assertEqual(authorize_request(key="stolen").status, 401)
+        self.assertEqual(authorize_request(key="").status, 401)
+        self.assertEqual(authorize_request(target="/b/").status, 404)
 
-    def test_nothing_is_said_for_sure_before_the_first_configuration(self):
+    def test_refusals_before_the_first_configuration_are_not_final(self):
         asked = Asked("desk.example", "/a/x", "key-1")
         refused = gatekeeping.decide(None, asked, 0.0, REVOKE_S)
         self.assertEqual(refused.status, 503)
 
     def test_an_anonymous_route_needs_no_key(self):
-        self.assertEqual(decide(key="", is_anonymous=True).account, "")
+        self.assertEqual(authorize_request(key="", is_anonymous=True).account, "")
 
 
 class CutOffTest(unittest.TestCase):
-    """An entry loses the control VMs; meanwhile a key is taken away and a route added.
+    """Guards against decisions by an old configuration on an entry that is cut off.
 
-    The entry can't know. With the key still admitted, a customer who was shut out is
-    served on; with "no such route" for sure, a proper caller gives up. So both are
-    refused for a time only, before the operators' limit is over.
+    Meanwhile a key is revoked and a route added. If the entry admitted the key, a
+    customer without access would be served; with a final 404 a valid caller would give
+    up. So both get a temporary refusal, before the operators' limit is over.
     """
 
-    def test_keys_stop_before_a_revocation_may_take_longer(self):
-        self.assertIsInstance(decide(age_s=3.9), Admitted)
-        self.assertEqual(decide(age_s=4.1).status, 503)
+    def test_keys_are_refused_before_the_revocation_limit_is_over(self):
+        self.assertIsInstance(authorize_request(age_s=3.9), Admitted)
+        self.assertEqual(authorize_request(age_s=4.1).status, 503)
 
-    def test_doubtful_refusals_are_not_final(self):
-        self.assertEqual(decide(key="stolen", age_s=2.0).status, 503)
-        self.assertEqual(decide(target="/b/", age_s=2.0).status, 503)
+    def test_refusals_by_an_old_configuration_are_not_final(self):
+        self.assertEqual(authorize_request(key="stolen", age_s=2.0).status, 503)
+        self.assertEqual(authorize_request(target="/b/", age_s=2.0).status, 503)
 
     def test_a_client_goes_elsewhere_at_once_when_only_this_entry_is_cut_off(self):
-        """Without a word from any control VM, waiting for an election helps nobody."""
-        alone = decide(age_s=4.1, is_cut_off=True)
+        """If no control VM can be reached, waiting for an election doesn't help."""
+        alone = authorize_request(age_s=4.1, is_cut_off=True)
         self.assertEqual(alone.status, 503)
-        self.assertLess(alone.retry_after_s, decide(age_s=4.1).retry_after_s / 10)
-        self.assertIsInstance(decide(age_s=3.9, is_cut_off=True), Admitted)
-
-    def test_an_anonymous_route_is_served_on(self):
-        self.assertIsInstance(decide(age_s=60.0, is_anonymous=True), Admitted)
+        self.assertLess(
+            alone.retry_after_s, authorize_request(age_s=4.1).retry_after_s / 10
+        )
+        self.assertIsInstance(authorize_request(age_s=3.9, is_cut_off=True), Admitted)
+
+    def test_an_anonymous_route_is_still_served(self):
+        self.assertIsInstance(
+            authorize_request(age_s=60.0, is_anonymous=True), Admitted
+        )
--- a/libs/routing/test/test_hangs.py
+++ b/libs/routing/test/test_hangs.py
@@ -4,65 +4,65 @@
 from cherryrudder.routing.hangs import TIMEOUT_OBJECTIVES, Hangs
 
 OBJECTIVE_S = 0.5
-PATIENCE_S = TIMEOUT_OBJECTIVES * OBJECTIVE_S
+TIMEOUT_S = TIMEOUT_OBJECTIVES * OBJECTIVE_S
 
 
 def send(found, engine_id, *requests, at_s=0.0):
-    """Let requests go to an engine."""
+    """Record requests as sent to an engine."""
     for request_id in requests:
         hangs.sent(found, engine_id, request_id, OBJECTIVE_S, at_s)
 
 
 class HangTest(unittest.TestCase):
-    """An engine takes requests, says that it is well, and begins none of them.
+    """Guards against streams that wait at an engine that never starts them.
 
-    Callers wait until they leave. A busy engine is late, too, but begins one request
-    after the other; taken for a hanging one, its requests would be read twice.
+    A busy engine is late, too, but starts one request after the other. If it were taken
+    for a hanging one, its requests would be read twice.
     """
 
-    def test_an_engine_that_begins_nothing_is_found(self):
+    def test_an_engine_that_starts_nothing_is_found(self):
         found = Hangs()
         send(found, "e", "1", "2")
-        self.assertEqual(hangs.find(found, PATIENCE_S - 0.1), [])
-        self.assertEqual(hangs.find(found, PATIENCE_S + 0.1), ["e"])
-        self.assertTrue(hangs.is_resting(found, "e", PATIENCE_S + 0.1))
-        # It is told once.
-        self.assertEqual(hangs.find(found, PATIENCE_S + 0.2), [])
+        self.assertEqual(hangs.find(found, TIMEOUT_S - 0.1), [])
+        self.assertEqual(hangs.find(found, TIMEOUT_S + 0.1), ["e"])
+        self.assertTrue(hangs.is_resting(found, "e", TIMEOUT_S + 0.1))
+        # It is reported once.
+        self.assertEqual(hangs.find(found, TIMEOUT_S + 0.2), [])
 
-    def test_a_busy_engine_that_begins_later_requests_is_none(self):
+    def test_a_busy_engine_that_starts_later_requests_is_not_hanging(self):
         found = Hangs()
         send(found, "e", "1")
         send(found, "e", "2", at_s=0.1)
         hangs.begun(found, "e", "2", 0.5)
         self.assertEqual(hangs.find(found, 2.0), [])
 
-    def test_what_it_began_before_says_nothing(self):
+    def test_requests_started_earlier_do_not_count(self):
         found = Hangs()
         send(found, "e", "1")
         hangs.begun(found, "e", "1", 0.1)
         send(found, "e", "2", at_s=0.2)
-        self.assertEqual(hangs.find(found, 0.2 + PATIENCE_S + 0.1), ["e"])
+        self.assertEqual(hangs.find(found, 0.2 + TIMEOUT_S + 0.1), ["e"])
 
-    def test_a_client_that_left_shows_nothing(self):
+    def test_a_request_whose_client_left_does_not_count(self):
         found = Hangs()
         send(found, "e", "1")
         hangs.ended(found, "e", "1")
         self.assertEqual(hangs.find(found, 5.0), [])
         self.assertEqual(found.waiting, {})
 
-    def test_each_further_time_it_rests_longer_until_it_begins_one(self):
-        found, now_s, rests = Hangs(), 0.0, []
+    def test_ejections_lengthen_until_a_request_is_started(self):
+        found, now_s, ejections_s = Hangs(), 0.0, []
         for number in range(4):
             send(found, "e", str(number), at_s=now_s)
-            now_s += PATIENCE_S + 0.1
+            now_s += TIMEOUT_S + 0.1
             hangs.find(found, now_s)
-            rests.append(found.ejections["e"][1])
-            now_s += rests[-1]
-        self.assertEqual(rests, [2.0, 4.0, 8.0, 8.0])
+            ejections_s.append(found.ejections["e"][1])
+            now_s += ejections_s[-1]
+        self.assertEqual(ejections_s, [2.0, 4.0, 8.0, 8.0])
         hangs.begun(found, "e", "0", now_s)
         self.assertFalse(hangs.is_resting(found, "e", now_s))
 
-    def test_boots_that_are_gone_are_forgotten(self):
+    def test_state_of_gone_incarnations_is_dropped(self):
         found = Hangs()
         send(found, "e", "1")
         hangs.find(found, 5.0)
--- a/libs/routing/test/test_picking.py
+++ b/libs/routing/test/test_picking.py
@@ -5,8 +5,8 @@
 from cherryrudder.routing.picking import Place
 
 
-def a_place(name, **changes):
-    """Return an idle endpoint with six places."""
+def an_endpoint(name, **changes):
+    """Return an idle endpoint with six slots."""
     return Place(name, f"{name}:80", "a", 6)._replace(**changes)
 
 
@@ -16,29 +16,31 @@
         return place and place.engine_id
 
     def test_the_least_loaded_is_picked(self):
-        self.assertEqual(self.pick(a_place("e", own_running=2), a_place("f")), "f")
+        self.assertEqual(
+            self.pick(an_endpoint("e", own_running=2), an_endpoint("f")), "f"
+        )
 
-    def test_what_was_told_fades(self):
-        busy = a_place("e", told_load=6.0)
-        own = a_place("f", own_running=1)
+    def test_reported_load_decays(self):
+        busy = an_endpoint("e", told_load=6.0)
+        own = an_endpoint("f", own_running=1)
         self.assertEqual(self.pick(busy, own), "f")
         self.assertEqual(self.pick(busy._replace(told_age_s=1.0), own), "e")
 
-    def test_a_suspect_is_picked_only_in_need(self):
-        suspect = a_place("e", is_suspect=True)
-        self.assertEqual(self.pick(suspect, a_place("f", own_running=5)), "f")
+    def test_a_suspect_is_picked_only_without_alternative(self):
+        suspect = an_endpoint("e", is_suspect=True)
+        self.assertEqual(self.pick(suspect, an_endpoint("f", own_running=5)), "f")
         self.assertEqual(self.pick(suspect), "e")
 
-    def test_nobody_is_met_twice(self):
-        self.assertIsNone(self.pick(a_place("e"), exclude=["e"]))
+    def test_excluded_endpoints_are_not_picked(self):
+        self.assertIsNone(self.pick(an_endpoint("e"), exclude=["e"]))
 
 
 class BurstTest(unittest.TestCase):
-    """Thirty requests come within 25 ms while one of three endpoints works ten times
-    slower than the others.
+    """Guards against queueing requests at a slow endpoint.
 
-    Callers have 125 ms. Picked at random, a third of them queue behind the slow one;
-    picked by what is under way, it gets only what it works off.
+    Thirty requests come within 25 ms, with an objective of 125 ms, while one of three
+    endpoints is ten times slower. At random it gets a third of them; by requests in
+    flight it gets only as many as it can serve.
     """
 
     def in_time(self, choose):
@@ -58,9 +60,9 @@
             in_time += end_ms - now_ms <= 125.0
         return in_time
 
-    def test_fewer_callers_wait_than_with_a_random_choice(self):
+    def test_more_requests_are_in_time_than_with_a_random_choice(self):
         def by_load(running, rng):
-            places = [a_place(n, own_running=r) for n, r in running.items()]
+            places = [an_endpoint(n, own_running=r) for n, r in running.items()]
             return picking.pick(places, "a", set(), rng).engine_id
 
         def at_random(running, rng):
--- a/libs/routing/test/test_ratelimits.py
+++ b/libs/routing/test/test_ratelimits.py
@@ -8,18 +8,18 @@
     def setUp(self):
         self.book = LimitBook()
 
-    def test_a_limit_is_news_once_and_again_when_it_changes(self):
+    def test_only_a_changed_limit_is_reported(self):
         said = [(2.5, 1.0), (2.5, 2.0), (3.0, 3.0), (None, 4.0), (None, 5.0)]
         news = [ratelimits.hear(self.book, "e", Limit(*one)) for one in said]
         self.assertEqual(news, [True, False, True, True, False])
         self.assertIsNone(ratelimits.limit_of(self.book, "e"))
 
-    def test_the_newest_statement_counts_in_whatever_order_they_come(self):
+    def test_the_newest_statement_counts_in_any_order(self):
         ratelimits.hear(self.book, "e", Limit(2.5, 2.0))
         self.assertFalse(ratelimits.hear(self.book, "e", Limit(None, 1.0)))
         self.assertEqual(ratelimits.limit_of(self.book, "e"), 2.5)
 
-    def test_an_end_comes_before_an_older_limit(self):
+    def test_an_older_limit_does_not_undo_an_end(self):
         ratelimits.hear(self.book, "e", Limit(2.5, 1.0))
         ratelimits.hear(self.book, "e", Limit(None, 3.0))
         self.assertFalse(ratelimits.hear(self.book, "e", Limit(2.5, 2.0)))
@@ -30,7 +30,7 @@
         ratelimits.sweep(self.book, {"f"}, 1.0)
         self.assertEqual(self.book.limits, {})
 
-    def test_an_end_is_remembered_for_a_while(self):
+    def test_an_ended_limit_is_kept_for_a_while(self):
         ratelimits.hear(self.book, "e", Limit(2.5, 1.0))
         ratelimits.hear(self.book, "e", Limit(None, 2.0))
         ratelimits.sweep(self.book, {"e"}, 2.0 + ratelimits.ENDED_RETENTION_S / 2)
--- a/libs/routing/test/test_routetable.py
+++ b/libs/routing/test/test_routetable.py
@@ -12,7 +12,7 @@
 
 
 def naive_route(routes, path):
-    """Return the name of the longest prefix that begins the path."""
+    """Return the route with the longest prefix of the path."""
     found = [r for r in routes if path.startswith(r.path_prefix)]
     return max(found, key=lambda r: len(r.path_prefix), default=None)
 
@@ -20,19 +20,19 @@
 class RouteTest(unittest.TestCase):
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.sets(PREFIXES, min_size=1, max_size=6), PATHS)
-    def test_the_longest_prefix_wins_as_in_a_plain_search(self, prefixes, path):
+    def test_the_longest_prefix_wins_as_in_a_linear_search(self, prefixes, path):
         routes = [a_route(p, p) for p in sorted(prefixes)]
         table = RouteTable(a_configuration(*routes))
         expected = naive_route(routes, path)
         self.assertEqual(table.route("desk.example", path), expected)
 
-    def test_host_goes_without_port_and_case(self):
+    def test_port_and_case_of_the_host_are_ignored(self):
         table = RouteTable(a_configuration())
         self.assertIsNotNone(table.route("Desk.Example:80", "/a/x?b=/c/"))
         self.assertIsNone(table.route("other.example", "/a/x"))
         self.assertIsNone(table.route("desk.example", "/ax"))
 
-    def test_the_query_is_no_part_of_the_path(self):
+    def test_the_query_is_not_part_of_the_path(self):
         table = RouteTable(a_configuration())
         self.assertIsNone(table.route("desk.example", "/?/a/"))
 
@@ -48,6 +48,6 @@
         drawn = [pick_service(route, n / 1000) for n in range(1000)]
         self.assertEqual((drawn.count("a"), drawn.count("b")), (900, 100))
 
-    def test_the_end_of_the_range_never_falls_to_a_weight_of_nothing(self):
+    def test_the_end_of_the_range_never_selects_a_weight_of_0(self):
         route = a_route(split=(Share("a", 1.0), Share("b", 0.0)))
         self.assertEqual(pick_service(route, 1.0), "a")
--- a/libs/routing/test/test_slowness.py
+++ b/libs/routing/test/test_slowness.py
@@ -4,30 +4,30 @@
 from cherryrudder.routing.slowness import REPORT_TTL_S, SlownessBook
 
 
-class BeliefTest(unittest.TestCase):
-    def test_a_slow_endpoint_is_news_once(self):
+class SlownessTest(unittest.TestCase):
+    def test_a_slow_endpoint_is_reported_once(self):
         book = SlownessBook()
         self.assertTrue(slowness.believe(book, "e", 5.0, 0.0))
         self.assertFalse(slowness.believe(book, "e", 5.0, 0.5))
         self.assertEqual(slowness.slowness_of(book, "e", 0.5), 5.0)
 
-    def test_one_that_is_sound_again_is_news(self):
+    def test_the_end_of_slowness_is_reported(self):
         book = SlownessBook()
         self.assertFalse(slowness.believe(book, "e", 1.0, 0.0))
         slowness.believe(book, "e", 5.0, 0.0)
         self.assertTrue(slowness.believe(book, "e", 1.0, 0.5))
         self.assertEqual(slowness.slowness_of(book, "e", 0.5), 1.0)
 
-    def test_a_little_unevenness_is_no_slowness(self):
+    def test_small_differences_are_ignored(self):
         book = SlownessBook()
         slowness.believe(book, "e", slowness.LEAST_SLOWNESS - 0.1, 0.0)
         self.assertEqual(slowness.slowness_of(book, "e", 0.0), 1.0)
 
-    def test_a_belief_ends_when_its_teller_is_gone(self):
-        """The control VM that looks at a slow engine is killed.
+    def test_a_report_expires_when_its_sender_is_gone(self):
+        """Guards against avoiding an engine for ever.
 
-        Nobody says any more that the engine is slow, nor that it is sound again.
-        Avoided for ever, it would leave its copy with twice the load.
+        The control VM that measures a slow engine is killed, so no report ends its
+        slowness. The other engine with its layers would keep twice the load.
         """
         book = SlownessBook()
         slowness.believe(book, "e", 5.0, 0.0)
--- a/libs/routing/test/test_suspicion.py
+++ b/libs/routing/test/test_suspicion.py
@@ -4,50 +4,49 @@
 from cherryrudder.routing.suspicion import Suspicions
 
 
-class DeathTest(unittest.TestCase):
-    """An engine falls silent, and its last heartbeat is still believed.
+class EjectionTest(unittest.TestCase):
+    """Guards against requests that time out at an engine that has stopped responding.
 
-    Each new request would wait there until it times out. It is left alone until it is
-    heard again, and for a while at least.
+    Its last heartbeat still counts, so it has to be ejected until the next one.
     """
 
     def setUp(self):
         self.suspicions = Suspicions()
         suspicion.died(self.suspicions, "boot", 10.0)
 
-    def resting(self, heard_s, now_s):
+    def is_ejected(self, heard_s, now_s):
         return suspicion.is_resting(self.suspicions, "boot", heard_s, now_s)
 
-    def test_it_rests_until_it_is_heard_again(self):
-        self.assertTrue(self.resting(9.0, 10.0))
-        self.assertTrue(self.resting(9.0, 60.0))
-        self.assertFalse(self.resting(13.0, 13.0))
+    def test_ejection_lasts_until_the_next_heartbeat(self):
+        self.assertTrue(self.is_ejected(9.0, 10.0))
+        self.assertTrue(self.is_ejected(9.0, 60.0))
+        self.assertFalse(self.is_ejected(13.0, 13.0))
 
-    def test_being_heard_at_once_does_not_end_the_rest(self):
-        self.assertTrue(self.resting(10.1, 10.2))
+    def test_an_early_heartbeat_does_not_end_the_ejection(self):
+        self.assertTrue(self.is_ejected(10.1, 10.2))
 
-    def test_each_further_death_rests_longer(self):
+    def test_each_further_failure_ejects_for_longer(self):
         suspicion.died(self.suspicions, "boot", 13.0)
-        self.assertTrue(self.resting(13.5, 13.0 + 1.5 * suspicion.FIRST_EJECTION_S))
+        self.assertTrue(self.is_ejected(13.5, 13.0 + 1.5 * suspicion.FIRST_EJECTION_S))
 
-    def test_a_death_long_ago_makes_no_longer_rest(self):
+    def test_a_failure_long_ago_does_not_lengthen_the_ejection(self):
         later_s = 10.0 + suspicion.FAILURE_MEMORY_S + 1.0
         suspicion.died(self.suspicions, "boot", later_s)
         end_s = later_s + suspicion.FIRST_EJECTION_S
-        self.assertFalse(self.resting(end_s, end_s + 0.1))
+        self.assertFalse(self.is_ejected(end_s, end_s + 0.1))
 
-    def test_others_are_not_touched(self):
+    def test_other_endpoints_are_not_ejected(self):
         self.assertFalse(suspicion.is_resting(self.suspicions, "other", 0.0, 10.0))
 
 
-class AcquittalTest(unittest.TestCase):
-    """An answer was lost on the way; somebody near the engine has had one since.
+class ReinstatementTest(unittest.TestCase):
+    """Guards against ejecting an engine for 2 s after a lost answer.
 
-    Resting on, the entry would be without the engine for 2 s, and without a chain once
-    it has missed an answer from some engine of each copy.
+    A process near the engine has had an answer since. An entry that has missed an
+    answer from some engine of each copy would have no chain left.
     """
 
-    def is_resting_after(self, deaths, is_unreached):
+    def is_ejected_after(self, deaths, is_unreached):
         suspicions = Suspicions()
         for _ in range(deaths):
             suspicion.died(suspicions, "boot", 10.0, is_unreached)
@@ -55,14 +54,14 @@
         return suspicion.is_resting(suspicions, "boot", 9.0, 10.1)
 
     def test_a_part_inside_a_chain_is_used_again(self):
-        self.assertFalse(self.is_resting_after(1, is_unreached=False))
-        self.assertFalse(self.is_resting_after(3, is_unreached=False))
+        self.assertFalse(self.is_ejected_after(1, is_unreached=False))
+        self.assertFalse(self.is_ejected_after(3, is_unreached=False))
 
-    def test_one_that_this_entry_does_not_reach_is_tried_once_more(self):
-        self.assertFalse(self.is_resting_after(1, is_unreached=True))
-        self.assertTrue(self.is_resting_after(2, is_unreached=True))
+    def test_an_engine_that_this_entry_cannot_reach_is_retried_once(self):
+        self.assertFalse(self.is_ejected_after(1, is_unreached=True))
+        self.assertTrue(self.is_ejected_after(2, is_unreached=True))
 
-    def test_a_death_is_certain_once_others_found_it_and_until_it_is_heard(self):
+    def test_an_end_is_certain_once_confirmed_and_until_the_next_heartbeat(self):
         suspicions = Suspicions()
         suspicion.died(suspicions, "boot", 10.0)
         self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
@@ -70,19 +69,19 @@
         self.assertTrue(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
         self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 10.2))
 
-    def test_a_death_that_others_found_is_news_to_who_did_not(self):
+    def test_a_confirmed_end_ejects_an_engine_without_own_evidence(self):
         suspicions = Suspicions()
         self.assertTrue(suspicion.verified(suspicions, "boot", 10.0))
         self.assertTrue(suspicion.is_resting(suspicions, "boot", 9.0, 10.1))
 
-    def test_nobody_is_acquitted_of_nothing(self):
+    def test_an_endpoint_without_evidence_is_not_reinstated(self):
         self.assertFalse(suspicion.acquitted(Suspicions(), "boot"))
 
 
 class FailureTest(unittest.TestCase):
-    """An endpoint fails part of its requests while its heartbeats are good."""
+    """Ejection of an endpoint that fails requests while its heartbeats are good."""
 
-    def play(self, failed_of_ten):
+    def is_ejected_with(self, failed_of_ten):
         suspicions = Suspicions()
         for number in range(40):
             is_good = number % 10 >= failed_of_ten
@@ -90,27 +89,27 @@
                 return True
         return False
 
-    def test_half_failed_makes_it_rest(self):
-        self.assertTrue(self.play(5))
+    def test_an_endpoint_that_fails_half_is_ejected(self):
+        self.assertTrue(self.is_ejected_with(5))
 
-    def test_usual_failures_do_not(self):
-        self.assertFalse(self.play(1))
+    def test_usual_failures_do_not_eject(self):
+        self.assertFalse(self.is_ejected_with(1))
 
-    def test_records_of_gone_boots_are_dropped(self):
+    def test_evidence_of_gone_incarnations_is_dropped(self):
         suspicions = Suspicions()
         suspicion.died(suspicions, "boot", 0.0)
         suspicion.forget(suspicions, set())
         self.assertEqual(suspicions.records, {})
 
 
-class RefutedDeathTest(unittest.TestCase):
-    """An engine that leaves is missed once, and a control VM then has its answer.
+class RefutedEndTest(unittest.TestCase):
+    """Guards against a stream that runs on more live engines than operators allow.
 
-    Counted as ended all the same, its run would not count against the route's attempts,
-    and the stream could run on one living engine more than the operators allow.
+    A leaving engine misses one query, and a control VM then gets its answer. If it
+    still counted as ended, its run would not count against the route's attempts.
     """
 
-    def test_a_death_that_was_refuted_is_none(self):
+    def test_a_refuted_end_does_not_count(self):
         found = Suspicions()
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
         suspicion.died(found, "e", 1.0)
@@ -119,8 +118,8 @@
         suspicion.acquitted(found, "e")
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
 
-    def test_what_others_missed_is_left_alone_and_has_not_ended(self):
-        """All who looked may have been behind the same full links."""
+    def test_an_engine_that_others_missed_is_ejected_but_not_ended(self):
+        """All processes that queried it may have been behind the same full links."""
         found = Suspicions()
         self.assertTrue(suspicion.told(found, "e", 1.0))
         self.assertTrue(suspicion.is_resting(found, "e", 0.5, 1.1))
