--- a/libs/layers/test/builders.py
+++ b/libs/layers/test/builders.py
@@ -4,14 +4,14 @@
 from cherryrudder.layers.layout import Holder
 from cherryrudder.layers.profile import NOTHING, Holding, KindProfile, ModelProfile
 
-# The users' own kinds.
+# The users' kinds of accelerators.
 KINDS = (
     KindProfile("h100", 72_000.0, 1.4, 1.0),
     KindProfile("a100s", 36_000.0, 3.1, 3.2),
     KindProfile("l4", 21_600.0, 16.0, 8.2),
     KindProfile("t4", 14_400.0, 15.0, 15.0),
 )
-# Engines by data centre and kind, as on the users' sheets.
+# The users' engines by data centre and kind.
 USERS_ENGINES = {
     "a": {"h100": 1, "a100s": 1, "l4": 5, "t4": 7},
     "b": {"a100s": 1, "l4": 8, "t4": 3},
@@ -58,7 +58,7 @@
 
 
 def placed(holders, placements):
-    """Return the holders after the placements were carried out."""
+    """Return the holders after the placements have been carried out."""
     ranges = {p.holder.address: p.holding for p in placements}
     return [h._replace(holding=ranges.get(h.address, h.holding)) for h in holders]
 
--- a/libs/layers/test/test_chains.py
+++ b/libs/layers/test/test_chains.py
@@ -14,7 +14,7 @@
 
 
 def users_candidates():
-    """Return the users' engines with their planned ranges."""
+    """Return the users' engines, with their planned ranges, as candidates."""
     holders = users_holders()
     return candidates(placed(holders, planner.plan(PROFILE, holders)))
 
@@ -42,7 +42,7 @@
 
 
 def searched_everywhere(engines, need):
-    """Return the cheapest chain of all data centres, each of them searched."""
+    """Return the cost of the cheapest chain, with every data centre searched."""
     found = []
     usable = [e for e in engines if chains.has_room(SMALL, e, need.tokens)]
     for zone in sorted({e.vm_zone for e in usable}):
@@ -54,12 +54,12 @@
     return min(found, default=None)
 
 
-class ShortcutTest(unittest.TestCase):
-    """Data centres are left out of the search where they can't have the cheapest."""
+class SkippedZonesTest(unittest.TestCase):
+    """Guards against skipping a data centre that has the cheapest chain."""
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.randoms(use_true_random=False))
-    def test_the_chain_is_as_cheap_as_if_all_were_searched(self, rng):
+    def test_the_chain_is_as_cheap_as_with_a_full_search(self, rng):
         engines = []
         for number in range(rng.randint(2, 14)):
             first = rng.randint(0, 7)
@@ -79,20 +79,20 @@
             cost = chains._cheapest(SMALL, group, zone)[0] + away_s
             self.assertAlmostEqual(cost, wanted)
 
-    def test_a_whole_copy_without_room_is_a_lack_of_room(self):
+    def test_a_full_copy_without_room_has_no_chain(self):
         engines = [an_engine("e", 0, 8, tokens=1e12)]
         self.assertIsNone(chains.choose_chain(SMALL, engines, Need(100.0, "a")))
         self.assertTrue(chains.is_whole(SMALL, engines))
         self.assertFalse(chains.is_whole(SMALL, [an_engine("e", 0, 7)]))
 
 
-class ReadingTest(unittest.TestCase):
-    """One data centre serves those of two others, and its fastest engines come first.
+class PrefillWaitTest(unittest.TestCase):
+    """Guards against long waits at fast engines while slow ones are idle.
 
-    Prompts are read a part at a time between the steps of all streams that run there.
-    With the memory alone in mind, all new streams went to the fast engines, whose room
-    had not run out, and waited there for seconds for their first event; the slow copy
-    beside them was idle.
+    One data centre serves the requests of two others. Prompts are read a chunk at a
+    time between the steps of all running streams. Chosen by memory alone, all new
+    streams went to the fast engines, which still had room, and waited there for seconds
+    for their first event.
     """
 
     def engines(self, unread):
@@ -106,28 +106,28 @@
     def kinds_of(self, chain):
         return {part.address.partition("-")[0] for part in chain}
 
-    def test_an_idle_fast_engine_is_taken(self):
+    def test_an_idle_fast_engine_is_chosen(self):
         chain = chains.choose_chain(SMALL, self.engines({}), NEED)
         self.assertEqual(self.kinds_of(chain), {"h100"})
 
-    def test_prompts_that_wait_there_send_it_to_the_slow_one(self):
+    def test_the_slow_engine_is_chosen_if_prompts_wait_at_the_fast_one(self):
         waiting = {"h100": 200 * 772.0}
         chain = chains.choose_chain(SMALL, self.engines(waiting), NEED)
         self.assertEqual(self.kinds_of(chain), {"l4"})
 
-    def test_the_wait_grows_with_the_streams_that_run(self):
+    def test_the_wait_grows_with_the_running_streams(self):
         idle = an_engine("e", 0, 4, unread=7720.0)
         busy = idle._replace(running=90.0)
         idle_s = chains.prefill_wait_s(SMALL, idle)
         self.assertGreater(chains.prefill_wait_s(SMALL, busy), 1.3 * idle_s)
 
-    def test_a_slow_engine_reads_as_slowly_as_it_writes(self):
+    def test_slowness_multiplies_the_wait(self):
         sound = an_engine("e", 0, 4, unread=7720.0)
         wait_s = chains.prefill_wait_s(SMALL, sound)
         slow_s = chains.prefill_wait_s(SMALL, sound._replace(slowness=12.0))
         self.assertAlmostEqual(slow_s, 12 * wait_s)
 
-    def test_nothing_waits_where_nothing_is_unread(self):
+    def test_there_is_no_wait_without_unread_prompts(self):
         self.assertEqual(chains.prefill_wait_s(SMALL, an_engine("e", 0, 4)), 0.0)
 
 
@@ -139,17 +139,17 @@
             self.assertTrue(chains.covers(chain, PROFILE.layers))
             self.assertEqual({p.address[0] for p in chain}, {zone})
 
-    def test_another_data_centre_serves_while_the_own_has_a_hole(self):
+    def test_another_data_centre_serves_while_the_home_one_has_a_hole(self):
         engines = [e for e in users_candidates() if e.address != "b-a100s-0"]
         chain = chains.choose_chain(PROFILE, engines, NEED._replace(home_zone="b"))
         self.assertEqual(len({p.address[0] for p in chain}), 1)
         self.assertNotEqual(chain[0].address[0], "b")
 
-    def test_an_engine_that_takes_no_more_streams_still_runs_its_part_of_others(self):
-        """The fastest engine begins as many streams as it takes at once.
+    def test_an_engine_without_free_slots_still_runs_later_parts(self):
+        """Guards against a retry after a refusal by an engine without free slots.
 
-        It would refuse the next one, at the cost of a retry; in the middle of a chain
-        that begins elsewhere it is as good as before.
+        The fastest engine has as many first parts as it has slots. In the middle of a
+        chain that begins elsewhere it can still be used.
         """
         full = PROFILE.slots
         engines = [
@@ -165,10 +165,11 @@
         )
 
     def test_a_fast_engine_is_used_beyond_half_of_its_room(self):
-        """Streams on a kind that is twice as slow last, and hold room, twice as long.
+        """Guards against choosing a slow engine too early, or too late.
 
-        At six tenths of its room the fast engine is still the better one; near its end
-        the other is, or the next stream would be refused.
+        Streams on a kind that is twice as slow hold its room for twice as long. At six
+        tenths of its room the fast engine is still better; when it is nearly full the
+        other one is, or the next stream would be refused.
         """
         profile = PROFILE._replace(layer_mb=400.0)
         room = room_tokens(profile, KINDS[0], 80)
@@ -180,11 +181,11 @@
             chain = chains.choose_chain(profile, engines, NEED)
             self.assertEqual([part.address for part in chain], [chosen], fill)
 
-    def test_no_plain_chain_crosses_for_want_of_room(self):
+    def test_only_a_mixed_chain_crosses_if_room_is_short(self):
         """A burst fills one range of each data centre, a different one in each.
 
-        A chain over two of them still has room. It is chosen by itself, since it takes
-        time of a pipe that all share, and no more of them than the pipe takes.
+        A chain over two of them still has room. It has a function of its own, since it
+        uses a shared pipe, which limits the number of such chains.
         """
         full = {"a-h100-0", "b-l4-5", "c-l4-2"}
         engines = [
@@ -196,21 +197,21 @@
         self.assertTrue(chains.covers(chain, PROFILE.layers))
         self.assertLessEqual(chains.crossings(chain, engines), chains.MAX_CROSSINGS)
 
-    def test_a_chain_with_many_crossings_is_none(self):
+    def test_a_chain_with_many_crossings_is_not_used(self):
         engines = [an_engine(f"e{n}", n, n + 1, "ab"[n % 2]) for n in range(8)]
         self.assertIsNone(chains.choose_mixed_chain(SMALL, engines, NEED))
 
-    def test_a_chain_crosses_when_no_data_centre_is_whole(self):
+    def test_a_chain_crosses_if_no_data_centre_has_all_layers(self):
         engines = [an_engine("e", 0, 4, "a"), an_engine("f", 4, 8, "b")]
         self.assertIsNone(chains.choose_chain(SMALL, engines, NEED))
         chain = chains.choose_mixed_chain(SMALL, engines, NEED)
         self.assertEqual([p.address for p in chain], ["e", "f"])
 
     def test_two_copies_fill_evenly(self):
-        """Forty requests come at once where two engines hold the same layers.
+        """Guards against evictions on one of two engines while the other is idle.
 
-        Without the fill in the cost all would go to the first of them, which pushes
-        the newest out of its memory while the other idles.
+        Two engines hold the same layers, and forty requests come at once. If the cost
+        did not depend on the fill, all would go to the first engine.
         """
         tokens = {"e": 0.0, "f": 0.0}
         for _ in range(40):
@@ -219,16 +220,16 @@
             tokens[chain[0].address] += NEED.tokens
         self.assertEqual(tokens["e"], tokens["f"])
 
-    def test_an_engine_without_room_gets_nothing(self):
+    def test_an_engine_without_room_is_not_used(self):
         engines = [an_engine("full", 0, 8, tokens=1e9), an_engine("free", 0, 8)]
         self.assertEqual(chains.choose_chain(SMALL, engines, NEED)[0].address, "free")
 
 
 class ReplaceTest(unittest.TestCase):
-    """An engine in the middle of a chain dies while a stream runs.
+    """Guards against reading a prompt again on engines that survive.
 
-    The caller sees a pause. The survivors keep what they have read, so the new chain
-    must keep their parts as they are and put others only where the dead one was.
+    An engine in the middle of a chain dies while a stream runs. The surviving engines
+    keep what they have read, so only the lost part may be replaced.
     """
 
     def test_only_the_lost_part_is_replaced(self):
@@ -246,7 +247,7 @@
         self.assertEqual((new[0], new[-1]), (chain[0], chain[-1]))
         self.assertEqual({p.address for p in new[1:-1]}, {"spare1", "spare2"})
 
-    def test_nothing_replaces_a_part_across_the_pipe(self):
+    def test_a_part_is_not_replaced_across_the_pipe(self):
         chain = (Part("e", "", 0, 4), Part("f", "", 4, 8))
         far = an_engine("far", 4, 8, zone="b")
         engines = [an_engine("e", 0, 4), far]
@@ -262,7 +263,7 @@
 
 
 def naive_cover(engines, layers):
-    """Tell, by trying all orders, whether some engines cover the layers in turn."""
+    """Return whether engines in some order cover the layers, by trying all orders."""
     for count in range(1, len(engines) + 1):
         for order in itertools.permutations(engines, count):
             position = 0
--- a/libs/layers/test/test_layout.py
+++ b/libs/layers/test/test_layout.py
@@ -13,11 +13,11 @@
     KindProfile("l40s", 43_200.0, 5.6, 2.7),
     KindProfile("l4", 21_600.0, 16.0, 8.2),
 )
-# Requests that take little memory: 96 of them run on an engine at once.
+# Requests that need little memory: 96 of them run on an engine at once.
 PROFILE = a_profile(
     kinds=KINDS, token_kv_bytes=786_000.0, usual_answer_tokens=217.0, slots=96
 )
-# One of several data centres, with three sizes of engines.
+# Engines by kind in one of several data centres.
 ENGINES = {"a100": 1, "l40s": 5, "l4": 13}
 
 
@@ -39,7 +39,7 @@
 
 
 def naive(counts=ENGINES):
-    """Place one engine after the other where the room is least."""
+    """Return the holders, placed one by one where the room is least."""
     holders = empty_holders(counts)
     room = layout.slot_tokens(PROFILE)
     for index, holder in enumerate(holders):
@@ -53,11 +53,11 @@
 
 
 class LoadTest(unittest.TestCase):
-    """A burst comes to a data centre with engines for more than two copies.
+    """Guards against refusing a burst although most engines have room.
 
-    Laid out one by one, the engines hold three copies of some layers and two of others,
-    and the requests that find no room there are refused, though most engines could take
-    as many again. Laid out for the most even room, the same engines take all of them.
+    A data centre has engines for more than two copies. Placed one by one, they hold
+    three copies of some layers and two of others, and requests are refused for lack of
+    room in the latter. Laid out for even room, the same engines take all of them.
     """
 
     def refused_share(self, holders, arrivals_per_s, lasts_s):
@@ -90,33 +90,33 @@
             )
 
     def test_a_burst_finds_room(self):
-        # 60 requests a second that last 3.2 s each are some 190 at once.
+        # 60 requests a second of 3.2 s each are some 190 at once.
         self.assertLess(self.refused_share(laid_out(), 60.0, 3.2), 0.02)
 
-    def test_laid_out_one_by_one_the_burst_is_refused(self):
+    def test_a_layout_one_by_one_refuses_the_burst(self):
         self.assertGreater(self.refused_share(naive(), 60.0, 3.2), 0.1)
 
 
 class LayoutTest(unittest.TestCase):
-    def test_two_copies_have_much_more_room_than_one_by_one(self):
+    def test_the_layout_has_more_room_than_one_by_one(self):
         least = min(planner.rooms(PROFILE, engines_of(laid_out())))
         least_naive = min(planner.rooms(PROFILE, engines_of(naive())))
         self.assertGreater(least, 1.3 * least_naive)
 
-    def test_first_engines_have_places_for_what_the_rest_has_room_for(self):
+    def test_first_engines_have_slots_for_the_room_of_the_rest(self):
         holders = laid_out()
         aim = layout.choose_target(PROFILE, engines_of(holders))
         firsts = [h for h in holders if h.holding.first == 0]
         places = len(firsts) * layout.slot_tokens(PROFILE)
         self.assertGreaterEqual(places, aim.copies * aim.room_tokens)
 
-    def test_without_places_in_mind_the_first_engines_bound_the_rest(self):
+    def test_the_slots_of_two_first_engines_would_limit_the_rest(self):
         """Two engines with the first layer take 192 requests; memory takes 270."""
         first_room = 2 * layout.slot_tokens(PROFILE)
         aim = layout.choose_target(PROFILE, engines_of(laid_out()))
         self.assertLess(first_room, 0.8 * aim.copies * aim.room_tokens)
 
-    def test_engines_that_hold_layers_are_left_where_they_are(self):
+    def test_large_engines_are_not_moved_after_a_loss(self):
         holders = laid_out()
         lost = [h for h in holders if h.address != "l4-3"]
         for placement in planner.plan(PROFILE, lost):
--- a/libs/layers/test/test_pace.py
+++ b/libs/layers/test/test_pace.py
@@ -9,7 +9,7 @@
 
 
 def two_copies():
-    """Return the engines of two chains through four ranges, alike."""
+    """Return the engines of two equal chains of ten parts."""
     return candidates(
         a_holder(f"{copy}{n}", layers=(8 * n, 8 * n + 8))
         for copy in "xy"
@@ -18,7 +18,7 @@
 
 
 def turned_slow(engines, slow, times):
-    """Return engines of which some are known to be slow."""
+    """Return the engines, with those in `slow` slower by a factor."""
     return [e._replace(slowness=times) if e.address in slow else e for e in engines]
 
 
@@ -32,7 +32,7 @@
         step_s = profile.step_ms * 16.0 / 1000
         self.assertAlmostEqual(pause_s, 2 * (step_s + 10 * chains.HOP_S), places=6)
 
-    def test_one_slow_engine_shows_in_a_stream(self):
+    def test_a_stream_shows_one_slow_engine(self):
         profile = a_profile(stride=2)
         engines = two_copies()
         chain = chains.choose_chain(profile, engines, NEED)
@@ -42,7 +42,7 @@
             pause_s = pace.expected_pause_s(profile, chain, slow)
             self.assertEqual(pace.is_slow(pause_s, expected_s), is_slow, times)
 
-    def test_a_prompt_that_is_read_in_between_does_not(self):
+    def test_a_prompt_read_in_between_is_not_taken_for_slowness(self):
         profile = a_profile(stride=2)
         engines = two_copies()
         chain = chains.choose_chain(profile, engines, NEED)
@@ -54,16 +54,16 @@
 
 
 class SlowEnginesTest(unittest.TestCase):
-    """Three of twenty engines turn twelve times slower, one in each third of a chain.
+    """Guards against new streams on slow engines, whose clients wait for seconds.
 
-    Streams that are asked meanwhile have to get chains beside them: without the
-    engines' pace each second one crosses a slow one, and its client waits for seconds.
+    Three of twenty engines become twelve times slower. Without their slowness in the
+    cost, more than half of the new streams use one of them.
     """
 
     SLOW = {"x1", "y4", "x7"}
 
     def play(self, is_told):
-        """Return how many of sixty streams cross a slow engine."""
+        """Return how many of sixty streams use a slow engine."""
         profile = a_profile()
         engines = two_copies()
         tokens = dict.fromkeys((e.address for e in engines), 0.0)
@@ -78,7 +78,7 @@
                 tokens[part.address] += 400.0
         return crossed
 
-    def test_new_streams_go_around_them(self):
+    def test_new_streams_avoid_slow_engines(self):
         self.assertGreater(self.play(is_told=False), 40)
         self.assertEqual(self.play(is_told=True), 0)
 
--- a/libs/layers/test/test_pipes.py
+++ b/libs/layers/test/test_pipes.py
@@ -7,7 +7,7 @@
 
 
 def crossings_in(seconds, entries, pipe_mbps=11_000.0, asked_per_s=50):
-    """Return how many usual prompts one entry lets cross twice in a time."""
+    """Return how many usual prompts one entry lets cross twice in some seconds."""
     profile = a_profile(pipe_mbps=pipe_mbps)
     budget = PipeBudget()
     cost_s = pipes.crossing_s(profile, 772, 2)
@@ -16,13 +16,13 @@
 
 
 class PipeTest(unittest.TestCase):
-    """A data centre has a hole, and all its requests ask to cross to another.
+    """Guards against a pipe that is full of crossing prompts.
 
-    Without a bound they fill the pipe, and each waits for all before it: at 50 a
-    second, 3.3 s of crossings come with every second.
+    A data centre has a hole, so all its requests would cross to another. At 50 a second
+    they need 3.3 s of the pipe every second, and each waits for all before it.
     """
 
-    def test_the_pipe_is_never_asked_for_more_than_its_part(self):
+    def test_an_entry_uses_no_more_than_its_share_of_the_pipe(self):
         for entries in (1, 7, 32):
             profile = a_profile()
             used_s = crossings_in(20, entries) * pipes.crossing_s(profile, 772, 2)
@@ -34,5 +34,5 @@
     def test_a_slow_pipe_lets_fewer_cross(self):
         self.assertLess(crossings_in(20, 7, 2_160.0), crossings_in(20, 7) / 3)
 
-    def test_a_lone_request_crosses_at_once(self):
+    def test_a_single_request_crosses_at_once(self):
         self.assertTrue(pipes.may_cross(PipeBudget(), 5.0, 32, 0.0))
--- a/libs/layers/test/test_planner.py
+++ b/libs/layers/test/test_planner.py
@@ -7,12 +7,13 @@
 from cherryrudder.layers.profile import NOTHING, kind_of, room_tokens
 
 PROFILE = a_profile()
-# Layers in all over one copy: the last range rarely ends just at the last layer.
+# Layers that can be held per layer of one copy; the last range rarely ends exactly at
+# the last layer.
 SPARE_SHARE = 1.04
 
 
 def plan_until_done(holders, rounds=5):
-    """Carry out plans until nothing is left to order."""
+    """Carry out plans until no placement is left to order."""
     for _ in range(rounds):
         placements = planner.plan(PROFILE, holders)
         if not placements:
@@ -22,7 +23,7 @@
 
 
 def rooms_of(holders, zone):
-    """Return the room of each layer in a data centre."""
+    """Return the room of each layer in a data centre, in tokens."""
     engines = [
         layout.Engine(h, kind_of(PROFILE, h.kind)) for h in holders if h.vm_zone == zone
     ]
@@ -33,17 +34,17 @@
     def test_each_data_centre_holds_a_whole_copy_with_room(self):
         holders = plan_until_done(users_holders())
         for zone in "abc":
-            # 25 usual streams of 950 tokens at once are 24,000; twice that when one
-            # data centre stands in for another.
+            # 25 usual streams of 950 tokens at once are 24,000; twice that if one data
+            # centre also serves another's requests.
             self.assertGreater(min(rooms_of(holders, zone)), 48_000, zone)
 
-    def test_no_engine_is_ordered_more_than_fits(self):
+    def test_no_engine_gets_more_layers_than_fit(self):
         for holder in plan_until_done(users_holders()):
             kind = kind_of(PROFILE, holder.kind)
             layers = holder.holding.end - holder.holding.first
             self.assertLessEqual(layers * PROFILE.layer_mb, kind.size_mb)
 
-    def test_a_finished_plan_is_left_alone(self):
+    def test_a_finished_plan_orders_nothing(self):
         holders = plan_until_done(users_holders())
         self.assertEqual(planner.plan(PROFILE, holders), [])
 
@@ -57,10 +58,11 @@
         self.assertNotIn(0.0, held)
 
     def test_an_engine_that_is_back_after_a_crash_is_placed_at_once(self):
-        """An engine dies, its neighbours take its range over, and it comes back.
+        """Guards against refusing streams longer than necessary after a crash.
 
-        Nothing is a hole any more, but they have a third of the room that they had, and
-        streams are refused until the engine that is back holds layers again.
+        An engine dies, its neighbours take over its range, and it comes back. There is
+        no hole any more, but the neighbours have a third of their room, so streams are
+        refused until the engine holds layers again.
         """
         holders = plan_until_done(users_holders())
         died = next(h for h in holders if h.address == "b-l4-3")
@@ -69,7 +71,7 @@
         placed_now = {p.holder.address for p in planner.plan(PROFILE, [*rest, back])}
         self.assertIn("b-l4-3", placed_now)
 
-    def test_one_that_comes_while_nothing_is_missing_waits(self):
+    def test_a_new_engine_waits_while_nothing_is_missing(self):
         holders = plan_until_done(users_holders())
         new = a_holder("b-new", "l4", "b", is_fresh=True)
         self.assertEqual(planner.plan(PROFILE, [*holders, new]), [])
@@ -80,10 +82,11 @@
         self.assertIn("b-new", {p.holder.address for p in placements})
 
     def test_fast_engines_keep_room_for_what_they_run_at_once(self):
-        """Requests take little memory; there are engines for more than two copies.
+        """Guards against using the fast engines' room for a third copy.
 
-        Filled up with a third copy, the fast engines run out of room at half of the
-        requests that they can run, and the rest goes to the slowest kind.
+        Requests need little memory, and there are engines for more than two copies.
+        With a third copy the fast engines run out of room at half of the requests that
+        they can run, and the rest goes to the slowest kind.
         """
         profile = a_profile(token_kv_bytes=400_000.0)
         holders = [a_holder(f"h{n}", "h100") for n in range(4)]
@@ -99,11 +102,10 @@
         )
         self.assertGreater(min(held), 1.8 * wanted)
 
-    def test_a_naive_plan_has_a_third_of_the_room(self):
-        """Pack every engine full, as a plan without room in mind would.
+    def test_a_plan_has_ten_times_the_room_of_full_engines(self):
+        """Guards against refusals for lack of memory on engines full of layers.
 
-        The callers see refusals for want of memory: an l4 with 12 layers keeps 3,400
-        tokens, three requests, beside them.
+        An l4 with 12 layers has room for 3,400 tokens, three requests, beside them.
         """
         l4 = KINDS[2]
         naive = room_tokens(PROFILE, l4, 12)
@@ -112,16 +114,16 @@
 
 
 class TwoCopiesTest(unittest.TestCase):
-    """A data centre has engines for two copies, and some of them die.
+    """Guards against stalled streams after the loss of an engine.
 
-    With two copies of some layers and one of others, each second death leaves a hole,
-    and the streams of the data centre stand still until it is loaded again. With two
-    copies throughout its streams go on over the other one at once.
+    A data centre has engines for two copies. With two copies of some layers and one of
+    others, each second loss leaves a hole, and streams stall until its layers are
+    loaded again. With two copies of all layers they go on over the other copy at once.
     """
 
     def setUp(self):
         kinds = ["a100s"] * 2 + ["l4"] * 6 + ["t4"] * 10
-        # Half the memory a token, as on the larger deployments.
+        # Half the memory per token, as on the larger deployments.
         self.profile = a_profile(token_kv_bytes=656_000.0)
         self.holders = [a_holder(f"{kind}-{n}", kind) for n, kind in enumerate(kinds)]
         self.holders = placed(self.holders, planner.plan(self.profile, self.holders))
@@ -143,13 +145,13 @@
 
 
 class LossTest(unittest.TestCase):
-    """An engine dies and takes its layers with it; its data centre has a hole.
+    """Guards against holes that stay open, or spread, after the loss of an engine.
 
-    Callers there are served by another data centre's copy meanwhile. The hole has to
-    close with few orders, and nobody else's layers may be lost for it.
+    Requests use another data centre's copy meanwhile. The hole has to be closed with
+    few orders, and without the loss of other engines' layers.
     """
 
-    def test_the_hole_of_any_one_engine_closes(self):
+    def test_the_hole_of_any_lost_engine_is_closed(self):
         holders = plan_until_done(users_holders())
         for lost in holders:
             rest = [h for h in holders if h is not lost]
@@ -157,7 +159,7 @@
                 after = plan_until_done(rest)
                 self.assertNotIn(0.0, rooms_of(after, lost.vm_zone))
 
-    def test_few_engines_change_for_one_loss(self):
+    def test_few_engines_change_after_one_loss(self):
         holders = plan_until_done(users_holders())
         for lost in holders:
             rest = [h for h in holders if h is not lost]
@@ -165,7 +167,7 @@
             with self.subTest(lost=lost.address):
                 self.assertLessEqual(len(placements), 5)
 
-    def test_neighbours_take_over_what_nobody_doubles(self):
+    def test_neighbours_take_over_layers_without_a_second_copy(self):
         holders = [
             a_holder("left", "l4", layers=(0, 8)),
             a_holder("right", "l4", layers=(12, 20)),
@@ -178,7 +180,7 @@
         self.assertLessEqual(set(range(0, 8)), set(left))
         self.assertLessEqual(set(range(12, 20)), set(right))
 
-    def test_an_engine_that_loads_is_not_moved(self):
+    def test_busy_engines_are_not_moved(self):
         holders = plan_until_done(users_holders())
         busy = [h._replace(is_busy=True) for h in holders[1:]]
         self.assertEqual(planner.plan(PROFILE, busy), [])
@@ -191,9 +193,10 @@
         self.assertNotIn(holders[0].address, [p.holder.address for p in placements])
 
     def test_a_new_engine_waits_for_the_one_that_it_replaces(self):
-        """Engines are replaced one by one: the new one comes, then the old one leaves.
+        """Guards against a hole when engines are replaced one by one.
 
-        Placed at once it would double another range, and the old one's would be a hole.
+        The new engine joins, then the old one leaves. If the new one were placed at
+        once, it would hold another range, and the old one's would be a hole.
         """
         holders = plan_until_done(users_holders())
         old = next(h for h in holders if h.address == "b-a100s-0")
@@ -225,7 +228,7 @@
 class AnyEnginesTest(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(HOLDERS, st.data())
-    def test_plans_fit_and_cover_whatever_can_be_covered(self, kinds, data):
+    def test_plans_fit_and_cover_all_layers_if_possible(self, kinds, data):
         holders = [a_holder(f"e{n}", k, z) for n, (k, z) in enumerate(kinds)]
         holders = plan_until_done(holders)
         lost = data.draw(st.sets(st.integers(0, len(holders) - 1), max_size=3))
@@ -242,7 +245,7 @@
             self.assertLessEqual(holder.holding.end, PROFILE.layers)
 
     def _check_cover(self, holders):
-        """All empty at the start and none lost: each group with enough is whole."""
+        """Check that each large enough data centre gets all layers, from empty ones."""
         fresh = plan_until_done([h._replace(holding=NOTHING) for h in holders])
         for zone in "ab":
             group = [h for h in fresh if h.vm_zone == zone]
