--- a/libs/layers/src/cherryrudder/layers/planner.py
+++ b/libs/layers/src/cherryrudder/layers/planner.py
@@ -48,18 +48,18 @@
 HOLE_VALUE = 1000.0
 
 
-def plan(profile: ModelProfile, holders: Iterable[Holder]) -> list[Placement]:
+def plan(profile: ModelProfile, states: Iterable[Holder]) -> list[Placement]:
     """Return the placements to order now, none if no change is needed."""
-    holders = list(holders)
+    states = list(states)
     engines = [
-        Engine(holder, kind)
-        for holder in holders
-        if not holder.is_leaving
-        and holder.holding.end <= profile.layers
-        and (kind := kind_of(profile, holder.kind)) is not None
+        Engine(state, kind)
+        for state in states
+        if not state.is_leaving
+        and state.holding.end <= profile.layers
+        and (kind := kind_of(profile, state.kind)) is not None
     ]
     placements = []
-    leaving = [holder for holder in holders if holder.is_leaving]
+    leaving = [state for state in states if state.is_leaving]
     for group in _groups(profile, engines):
         placements += _plan_group(profile, group, leaving)
     return placements
@@ -144,9 +144,9 @@
     """Return, by zone and kind, how many leaving engines have no replacement yet."""
     counts = collections.Counter((h.vm_zone, h.kind) for h in leaving)
     for engine in group:
-        holder = engine.holder
-        if holder.is_fresh and holder.holding != NOTHING:
-            counts[holder.vm_zone, holder.kind] -= 1
+        state = engine.holder
+        if state.is_fresh and state.holding != NOTHING:
+            counts[state.vm_zone, state.kind] -= 1
     return counts
 
 
--- a/libs/layers/test/builders.py
+++ b/libs/layers/test/builders.py
@@ -41,32 +41,32 @@
     return profile._replace(**changes)
 
 
-def a_holder(name, kind="l4", zone="a", layers=None, **changes):
+def an_engine_state(name, kind="l4", zone="a", layers=None, **changes):
     """Return an engine, empty unless it is given a range."""
     holding = Holding(*layers) if layers else NOTHING
     return Holder(name, f"boot-{name}", zone, kind, holding)._replace(**changes)
 
 
-def users_holders():
+def users_engine_states():
     """Return all engines of the users, empty."""
     return [
-        a_holder(f"{zone}-{kind}-{number}", kind, zone)
+        an_engine_state(f"{zone}-{kind}-{number}", kind, zone)
         for zone, kinds in USERS_ENGINES.items()
         for kind, count in kinds.items()
         for number in range(count)
     ]
 
 
-def placed(holders, placements):
-    """Return the holders after the placements have been carried out."""
+def placed(states, placements):
+    """Return the states after the placements have been carried out."""
     ranges = {p.holder.address: p.holding for p in placements}
-    return [h._replace(holding=ranges.get(h.address, h.holding)) for h in holders]
+    return [h._replace(holding=ranges.get(h.address, h.holding)) for h in states]
 
 
-def candidates(holders):
-    """Return holders as candidates for chains, with nothing running."""
+def candidates(states):
+    """Return engines as candidates for chains, with nothing running."""
     return [
         Candidate(h.address, h.engine_id, h.vm_zone, h.kind, *h.holding)
-        for h in holders
+        for h in states
         if h.holding != NOTHING
     ]
--- a/libs/layers/test/test_chains.py
+++ b/libs/layers/test/test_chains.py
@@ -1,7 +1,7 @@
 import itertools
 import unittest
 
-from builders import KINDS, a_profile, candidates, placed, users_holders
+from builders import KINDS, a_profile, candidates, placed, users_engine_states
 from hypothesis import given, settings, strategies as st
 
 from cherryrudder.layers import chains, planner
@@ -15,8 +15,8 @@
 
 def users_candidates():
     """Return the users' engines, with their planned ranges, as candidates."""
-    holders = users_holders()
-    return candidates(placed(holders, planner.plan(PROFILE, holders)))
+    states = users_engine_states()
+    return candidates(placed(states, planner.plan(PROFILE, states)))
 
 
 def an_engine(name, first, end, zone="a", kind="l4", **changes):
--- a/libs/layers/test/test_layout.py
+++ b/libs/layers/test/test_layout.py
@@ -1,7 +1,7 @@
 import random
 import unittest
 
-from builders import a_holder, a_profile, candidates, placed
+from builders import a_profile, an_engine_state, candidates, placed
 
 from cherryrudder.layers import chains, layout, planner
 from cherryrudder.layers.chains import Need
@@ -21,35 +21,35 @@
 ENGINES = {"a100": 1, "l40s": 5, "l4": 13}
 
 
-def engines_of(holders):
-    return [Engine(h, kind_of(PROFILE, h.kind)) for h in holders]
+def engines_of(states):
+    return [Engine(h, kind_of(PROFILE, h.kind)) for h in states]
 
 
-def empty_holders(counts=ENGINES):
+def empty_engine_states(counts=ENGINES):
     return [
-        a_holder(f"{kind}-{number}", kind)
+        an_engine_state(f"{kind}-{number}", kind)
         for kind, count in counts.items()
         for number in range(count)
     ]
 
 
 def laid_out(counts=ENGINES):
-    holders = empty_holders(counts)
-    return placed(holders, planner.plan(PROFILE, holders))
+    states = empty_engine_states(counts)
+    return placed(states, planner.plan(PROFILE, states))
 
 
 def naive(counts=ENGINES):
-    """Return the holders, placed one by one where the room is least."""
-    holders = empty_holders(counts)
+    """Return the engines, placed one by one where the room is least."""
+    states = empty_engine_states(counts)
     room = layout.slot_tokens(PROFILE)
-    for index, holder in enumerate(holders):
-        length = max_layers(PROFILE, kind_of(PROFILE, holder.kind), room)
-        sums = planner.rooms(PROFILE, engines_of(holders[:index]))
+    for index, state in enumerate(states):
+        length = max_layers(PROFILE, kind_of(PROFILE, state.kind), room)
+        sums = planner.rooms(PROFILE, engines_of(states[:index]))
         starts = range(PROFILE.layers - length + 1)
         first = min(starts, key=lambda at: sum(sums[at : at + length]))
         holding = layout.Holding(first, first + length)
-        holders[index] = holder._replace(holding=holding)
-    return holders
+        states[index] = state._replace(holding=holding)
+    return states
 
 
 class LoadTest(unittest.TestCase):
@@ -60,9 +60,9 @@
     room in the latter. Laid out for even room, the same engines take all of them.
     """
 
-    def refused_share(self, holders, arrivals_per_s, lasts_s):
+    def refused_share(self, states, arrivals_per_s, lasts_s):
         rng = random.Random(7)
-        engines = {c.address: c for c in candidates(holders)}
+        engines = {c.address: c for c in candidates(states)}
         ends, refused, now_s, count = [], 0, 0.0, 800
         for _ in range(count):
             now_s += rng.expovariate(arrivals_per_s)
@@ -104,9 +104,9 @@
         self.assertGreater(least, 1.3 * least_naive)
 
     def test_first_engines_have_slots_for_the_room_of_the_rest(self):
-        holders = laid_out()
-        aim = layout.choose_target(PROFILE, engines_of(holders))
-        firsts = [h for h in holders if h.holding.first == 0]
+        states = laid_out()
+        aim = layout.choose_target(PROFILE, engines_of(states))
+        firsts = [h for h in states if h.holding.first == 0]
         places = len(firsts) * layout.slot_tokens(PROFILE)
         self.assertGreaterEqual(places, aim.copies * aim.room_tokens)
 
@@ -117,11 +117,11 @@
         self.assertLess(first_room, 0.8 * aim.copies * aim.room_tokens)
 
     def test_large_engines_are_not_moved_after_a_loss(self):
-        holders = laid_out()
-        lost = [h for h in holders if h.address != "l4-3"]
+        states = laid_out()
+        lost = [h for h in states if h.address != "l4-3"]
         for placement in planner.plan(PROFILE, lost):
             self.assertNotEqual(placement.holder.kind, "a100")
 
     def test_too_few_engines_for_two_copies_hold_one(self):
-        aim = layout.choose_target(PROFILE, engines_of(empty_holders({"l4": 9})))
+        aim = layout.choose_target(PROFILE, engines_of(empty_engine_states({"l4": 9})))
         self.assertEqual(aim.copies, 1)
--- a/libs/layers/test/test_pace.py
+++ b/libs/layers/test/test_pace.py
@@ -1,6 +1,6 @@
 import unittest
 
-from builders import a_holder, a_profile, candidates
+from builders import a_profile, an_engine_state, candidates
 
 from cherryrudder.layers import chains, pace
 from cherryrudder.layers.chains import Need
@@ -11,7 +11,7 @@
 def two_copies():
     """Return the engines of two equal chains of ten parts."""
     return candidates(
-        a_holder(f"{copy}{n}", layers=(8 * n, 8 * n + 8))
+        an_engine_state(f"{copy}{n}", layers=(8 * n, 8 * n + 8))
         for copy in "xy"
         for n in range(10)
     )
