--- a/libs/routing/src/cherryrudder/routing/crashbook.py
+++ b/libs/routing/src/cherryrudder/routing/crashbook.py
@@ -63,7 +63,7 @@
         self.records: dict[str, Record] = {}
         # The book's version at which each record last changed.
         self.changed: dict[str, int] = {}
-        # Computed from the records by `blame.refresh`.
+        # Computed from the records; see `blame`.
         self.blocks: dict[str, Block] = {}
         self.suspects: set[str] = set()
 
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -36,7 +36,7 @@
     vm_zone: str
     version: str
     slots: int
-    # Rises by `WORD` with each heartbeat of this incarnation. The numbers between are
+    # Rises by a fixed step with each heartbeat of this incarnation. Those between are
     # for a leader's observations after the heartbeat.
     number: int
     # Set by a heartbeat: the endpoint still serves, and signs off when it ends.
