--- a/libs/layers/src/cherryrudder/layers/pace.py
+++ b/libs/layers/src/cherryrudder/layers/pace.py
@@ -40,7 +40,7 @@
     return profile.stride * step_s
 
 
-def is_stuck(silent_s: float, expected_s: float) -> bool:
+def is_stalled(silent_s: float, expected_s: float) -> bool:
     """Return whether a single pause indicates a slow engine in the chain."""
     return silent_s > STALL_FACTOR * expected_s + PREFILL_ALLOWANCE_S
 
--- a/libs/layers/test/test_pace.py
+++ b/libs/layers/test/test_pace.py
@@ -50,7 +50,7 @@
         self.assertFalse(
             pace.is_slow(expected_s + pace.PREFILL_ALLOWANCE_S, expected_s)
         )
-        self.assertFalse(pace.is_stuck(2 * expected_s, expected_s))
+        self.assertFalse(pace.is_stalled(2 * expected_s, expected_s))
 
 
 class SlowEnginesTest(unittest.TestCase):
--- a/libs/layers/test/test_planner.py
+++ b/libs/layers/test/test_planner.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings, strategies as st
 
 from cherryrudder.layers import layout, planner
-from cherryrudder.layers.profile import NOTHING, kind_of, room_tokens
+from cherryrudder.layers.profile import NO_LAYERS, kind_of, room_tokens
 
 PROFILE = a_profile()
 # Layers that can be held per layer of one copy; the last range rarely ends exactly at
@@ -67,8 +67,8 @@
         states = plan_until_done(users_engine_states())
         died = next(h for h in states if h.address == "b-l4-3")
         rest = plan_until_done([h for h in states if h is not died])
-        back = died._replace(engine_id="again", holding=NOTHING, is_fresh=True)
-        placed_now = {p.holder.address for p in planner.plan(PROFILE, [*rest, back])}
+        back = died._replace(engine_id="again", holding=NO_LAYERS, is_fresh=True)
+        placed_now = {p.state.address for p in planner.plan(PROFILE, [*rest, back])}
         self.assertIn("b-l4-3", placed_now)
 
     def test_a_new_engine_waits_while_nothing_is_missing(self):
@@ -79,7 +79,7 @@
         rest = [h for h in states if h is not leaving]
         leaving = leaving._replace(is_leaving=True)
         placements = planner.plan(PROFILE, [*rest, leaving, new])
-        self.assertIn("b-new", {p.holder.address for p in placements})
+        self.assertIn("b-new", {p.state.address for p in placements})
 
     def test_fast_engines_keep_room_for_what_they_run_at_once(self):
         """Guards against using the fast engines' room for a third copy.
@@ -192,7 +192,7 @@
         leaving = [states[0]._replace(is_leaving=True), *states[1:]]
         placements = planner.plan(PROFILE, leaving)
         self.assertTrue(placements)
-        self.assertNotIn(states[0].address, [p.holder.address for p in placements])
+        self.assertNotIn(states[0].address, [p.state.address for p in placements])
 
     def test_a_new_engine_waits_for_the_one_that_it_replaces(self):
         """Guards against a hole when engines are replaced one by one.
@@ -208,7 +208,7 @@
         leaving = old._replace(is_leaving=True)
         placements = planner.plan(PROFILE, [*rest, leaving, new])
         self.assertEqual(
-            [(p.holder, p.holding) for p in placements], [(new, old.holding)]
+            [(p.state, p.holding) for p in placements], [(new, old.holding)]
         )
 
     def test_a_new_engine_goes_where_room_is_short(self):
@@ -218,7 +218,7 @@
         rooms = rooms_of(after, "b")
         new = an_engine_state("b-new", "l4", "b")
         placement = planner.plan(PROFILE, [*after, new])[0]
-        self.assertEqual(placement.holder, new)
+        self.assertEqual(placement.state, new)
         chosen = [rooms[layer] for layer in range(*placement.holding)]
         self.assertLess(max(chosen), sum(rooms) / len(rooms))
 
@@ -248,7 +248,7 @@
 
     def _check_cover(self, states):
         """Check that each large enough data centre gets all layers, from empty ones."""
-        fresh = plan_until_done([h._replace(holding=NOTHING) for h in states])
+        fresh = plan_until_done([h._replace(holding=NO_LAYERS) for h in states])
         for zone in "ab":
             group = [h for h in fresh if h.vm_zone == zone]
             least = sum(
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -10,8 +10,8 @@
 from cherryrudder.layers.chains import Candidate, Chain
 from cherryrudder.layers.pipes import PipeBudget
 from cherryrudder.platform.settings import NodeSettings
-from cherryrudder.policy import otherload
-from cherryrudder.policy.otherload import Load, OtherLoad
+from cherryrudder.policy import peerload
+from cherryrudder.policy.peerload import Load, PeerLoad
 from cherryrudder.policy.sharedbudget import SharedBudget
 from cherryrudder.relay.pool import Pool
 from cherryrudder.replica.clock import new_id, now_s
@@ -25,11 +25,11 @@
 
 from . import backpressure, gossip
 from .brokenruns import BrokenRuns
-from .crashdesk import CrashDesk
+from .crashtracker import CrashTracker
 from .gossip import Usage
 from .linesink import LineSink
 from .metrics import Metrics
-from .ratekeeper import RateKeeper
+from .ratelimiter import RateLimiter
 from .roster import Roster
 from .tablesync import SharedTable
 
@@ -74,18 +74,18 @@
         self.suspicions = Suspicions()
         self.slowness = SlownessBook()
         self.hangs = Hangs()
-        self.rates = RateKeeper()
+        self.rates = RateLimiter()
         self.backoffs = BackoffBook()
         # Replaced by the uplink: tells all of engines that said that they leave.
         self.spread_endpoints: Callable[[list[str]], None] = lambda engine_ids: None
-        self.crashes = CrashDesk(self.boot, sink, metrics)
+        self.crashes = CrashTracker(self.boot, sink, metrics)
         self.broken = BrokenRuns()
         self.table: RouteTable | None = None
         # When the question was asked whose answer last confirmed the configuration.
         self.confirmed_s = float("-inf")
         self.pool = Pool()
         bounds = settings.bounds
-        self.budget = SharedBudget(
+        self.retry_budget = SharedBudget(
             bounds.retry_share,
             bounds.retry_slack,
             bounds.retry_window_s,
@@ -98,13 +98,13 @@
         self.firsts: dict[str, int] = {}
         # Tokens of this entry's prompts that gave no event yet, by engine address.
         self.unread: dict[str, int] = {}
-        self.others = OtherLoad()
+        self.others = PeerLoad()
         # Other entries that serve the same data centre.
         self.peers = FIRST_PEERS
         self.started_s = now_s()
         self.told: dict[str, ToldLoad] = {}
         # When this entry heard that an incarnation of an engine is about to leave.
-        self.leaving_s: dict[str, float] = {}
+        self.leaving_since_s: dict[str, float] = {}
         # The incarnation that was last heard of, by address.
         self.incarnations: dict[str, str] = {}
         # Until when engines are taken as full, by address.
@@ -165,18 +165,18 @@
     return tuple(Usage(address, *_own(state, address)) for address in state.running)
 
 
-def note_beat(state: EntryState) -> None:
+def record_report_sent(state: EntryState) -> None:
     """Take note of what this entry has running as it tells the others."""
     own = {address: _own(state, address) for address in state.running}
-    otherload.note_beat(state.others, own)
+    peerload.record_report_sent(state.others, own)
 
 
-def hear_others(
+def update_peer_load(
     state: EntryState, usages: tuple[Usage, ...], data_centres: int, now_s: float
 ) -> None:
     """Take what the other entries had running."""
     told = {one.address: Load(*one[1:]) for one in usages}
-    otherload.hear(state.others, told)
+    peerload.update_reported(state.others, told)
     is_new = now_s - state.started_s < FIRST_S
     least = FIRST_PEERS if is_new else 0.0
     state.peers = max(least, state.entries / max(1, data_centres) - 1)
@@ -184,7 +184,7 @@
 
 def _own(state, address):
     if address not in state.running:
-        return otherload.NONE
+        return peerload.NO_LOAD
     return Load(
         state.running.get(address, 0),
         state.tokens.get(address, 0),
@@ -192,12 +192,14 @@
     )
 
 
-def serving(state: EntryState, service: str, now_s: float) -> list[Announcement]:
+def serving_endpoints(
+    state: EntryState, service: str, now_s: float
+) -> list[Announcement]:
     """Return the endpoints of a service that may get new work."""
     return [
         announcement
         for announcement in endpoints.live(state.endpoints.table, now_s)
-        if announcement.service == service and endpoints.may_take_work(announcement)
+        if announcement.service == service and endpoints.accepts_requests(announcement)
     ]
 
 
@@ -210,7 +212,7 @@
     """
     return [
         _candidate(state, announcement, now_s)
-        for announcement in serving(state, service, now_s)
+        for announcement in serving_endpoints(state, service, now_s)
         if announcement.holding.end
         and vm_zone in ("", announcement.vm_zone)
         and not is_suspect(state, announcement.engine_id, now_s)
@@ -220,16 +222,16 @@
 def is_suspect(state: EntryState, engine_id: str, now_s: float) -> bool:
     """Tell whether this entry has evidence against an endpoint."""
     entry = state.endpoints.table.entries.get(engine_id)
-    heard_s = entry.heard_s if entry else now_s
-    return suspicion.is_resting(state.suspicions, engine_id, heard_s, now_s)
+    heard_s = entry.last_seen_s if entry else now_s
+    return suspicion.is_ejected(state.suspicions, engine_id, heard_s, now_s)
 
 
-def is_certainly_dead(state: EntryState, engine_id: str) -> bool:
+def is_confirmed_dead(state: EntryState, engine_id: str) -> bool:
     """Tell whether an engine's end is known from others as well."""
     entry = state.endpoints.table.entries.get(engine_id)
     if entry is None or entry.is_gone:
         return True
-    return suspicion.is_certainly_dead(state.suspicions, engine_id, entry.heard_s)
+    return suspicion.is_certainly_dead(state.suspicions, engine_id, entry.last_seen_s)
 
 
 def engine_name(state: EntryState, engine_id: str) -> str:
@@ -246,8 +248,8 @@
 def _candidate(state, announcement, now):
     address = announcement.address
     own = _own(state, address)
-    others = otherload.estimate(state.others, address, own, state.peers)
-    is_barred = hangs.is_resting(
+    others = peerload.estimate(state.others, address, own, state.peers)
+    is_barred = hangs.is_ejected(
         state.hangs, announcement.engine_id, now
     ) or not backpressure.may_begin(state, announcement.engine_id, now)
     is_full = now < state.full_until_s.get(address, 0.0) or backoffs.is_active(
--- a/libs/node/src/cherryrudder/node/layerkeeper.py
+++ b/libs/node/src/cherryrudder/node/layerkeeper.py
@@ -11,15 +11,15 @@
 from loguru import logger
 
 from cherryrudder.layers import planner
-from cherryrudder.layers.layout import Holder, Placement
-from cherryrudder.layers.profile import NOTHING, Holding, ModelProfile
+from cherryrudder.layers.layout import EngineState, Placement
+from cherryrudder.layers.profile import NO_LAYERS, LayerRange, ModelProfile
 from cherryrudder.platform import engines
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import endpoints
 from cherryrudder.routing.endpoints import Announcement
 
 from . import enginecalls, tablesync
-from .controlbeats import ControlBeats
+from .controlgossip import ControlGossip
 from .controlstate import ControlState
 from .errors import EngineCallFailed
 
@@ -52,14 +52,14 @@
 class Ordered(NamedTuple):
     """An order whose end was not seen yet."""
 
-    holding: Holding
+    holding: LayerRange
     until_s: float
 
 
 class LayerKeeper:
     """The orders of one control process while it leads."""
 
-    def __init__(self, state: ControlState, beats: ControlBeats, group):
+    def __init__(self, state: ControlState, beats: ControlGossip, group):
         self.state = state
         self.beats = beats
         self.group = group
@@ -96,17 +96,17 @@
         placements = planner.plan(service.model, holders)
         async with anyio.create_task_group() as group:
             for placement in placements:
-                not_before_s = self._not_before_s.get(placement.holder.engine_id, 0.0)
+                not_before_s = self._not_before_s.get(placement.state.engine_id, 0.0)
                 if now >= not_before_s:
                     group.start_soon(self._order, service.model, placement)
 
     def _is_dead(self, engine_id, now):
         """Tell whether an engine that entries found dead has not been heard since."""
-        accused_s = self.state.accused.get(engine_id)
+        accused_s = self.state.suspected_s.get(engine_id)
         if accused_s is None:
             return False
-        if self.state.endpoints.table.entries[engine_id].heard_s > accused_s:
-            del self.state.accused[engine_id]
+        if self.state.endpoints.table.entries[engine_id].last_seen_s > accused_s:
+            del self.state.suspected_s[engine_id]
             return False
         return now - accused_s > TOGETHER_S
 
@@ -125,7 +125,7 @@
                 del self._ordered[announcement.engine_id]
 
     def _is_settled(self, live, now):
-        is_first = all(a.holding == NOTHING for a in live) and not self._ordered
+        is_first = all(a.holding == NO_LAYERS for a in live) and not self._ordered
         if is_first:
             return bool(live) and now - self._changed_s > SETTLE_S
         return now - self._started_s > LISTEN_S
@@ -133,14 +133,14 @@
     def _holder(self, announcement: Announcement, now):
         ordered = self._ordered.get(announcement.engine_id)
         holding = ordered.holding if ordered else announcement.holding
-        return Holder(
+        return EngineState(
             address=announcement.address,
             engine_id=announcement.engine_id,
             vm_zone=announcement.vm_zone,
             kind=announcement.kind,
             holding=holding,
             is_busy=ordered is not None,
-            is_leaving=endpoints.leaves(announcement),
+            is_leaving=endpoints.has_leaving_notice(announcement),
             is_fresh=now - self._came_s[announcement.engine_id] < FRESH_S,
         )
 
@@ -174,7 +174,7 @@
             self._ordered[holder.engine_id] = ordered
             self.group.start_soon(self._follow, holder, ordered)
 
-    async def _follow(self, holder: Holder, ordered: Ordered):
+    async def _follow(self, holder: EngineState, ordered: Ordered):
         """Tell everybody what an engine holds as soon as a load has changed it.
 
         Its own word comes with the next heartbeat, up to 1.2 s later; until then
@@ -198,13 +198,13 @@
             self.state.sink.write(
                 "layers", "seen", True, engine_id=engine_id, layers=list(holding)
             )
-            self.beats.spread([engine_id])
+            self.beats.publish_endpoints([engine_id])
 
 
-def _kept(old: Holding, new: Holding) -> Holding:
+def _kept(old: LayerRange, new: LayerRange) -> LayerRange:
     """Return the layers that an engine goes on serving while it loads others."""
     first, end = max(old.first, new.first), min(old.end, new.end)
-    return Holding(first, end) if first < end else NOTHING
+    return LayerRange(first, end) if first < end else NO_LAYERS
 
 
 async def _place(placement: Placement, fence: int) -> str:
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -13,11 +13,11 @@
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import backoffs, picking, suspicion
 from cherryrudder.routing.crashbook import FINISHED
-from cherryrudder.routing.picking import Place
+from cherryrudder.routing.picking import EndpointLoad
 
-from . import attempts, backpressure, brokenruns, crashes, ratekeeper
-from .entrystate import ToldLoad, is_suspect, serving
-from .gossip import CrashNews
+from . import attempts, backpressure, brokenruns, crashes, ratelimiter
+from .entrystate import ToldLoad, is_suspect, serving_endpoints
+from .gossip import CrashUpdate
 from .job import ANSWER_MARGIN_S, Failed, Job, Whole
 
 # Part of the time left that an idempotent request waits for one endpoint while another
@@ -32,7 +32,7 @@
 BARRED = Failed("endpoints take no more requests", is_not_run=True, is_sent=False)
 
 
-async def serve(job: Job, tell: Callable[[CrashNews | None], None]) -> None:
+async def serve(job: Job, tell: Callable[[CrashUpdate | None], None]) -> None:
     """See a request to its answer; `tell` spreads what it shows of engines' ends."""
     excluded: set[str] = set()
     failed = NO_ENDPOINT
@@ -45,13 +45,13 @@
             break
         result = await _attempt(job, place)
         if isinstance(result, Whole):
-            brokenruns.answered(job.state.broken, place.engine_id, now_s())
-            tell(crashes.reached(job, FINISHED, now_s()))
+            brokenruns.record_answer(job.state.broken, place.engine_id, now_s())
+            tell(crashes.record_progress(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
         if result.is_broken:
-            tell(crashes.broke(job, place.engine_id, 0, now_s()))
-            await crashes.wait_for_fate(job, place.engine_id)
+            tell(crashes.record_broken_run(job, place.engine_id, 0, now_s()))
+            await crashes.wait_for_engine_verdict(job, place.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
             is_not_run=not has_run, whole=result.whole or failed.whole
@@ -61,7 +61,7 @@
             job, result, job.attempts, job.route.max_attempts, EXPECTED_S
         ):
             break
-        await crashes.wait_apart(job)
+        await crashes.delay_suspect(job)
         if crashes.is_blocked(job, now_s()):
             await job.refuse_for_good()
             return
@@ -75,7 +75,7 @@
         barred: set[str] = set()
         while (place := _pick(job, excluded | barred)) is not None:
             if await _takes_it(state, place.engine_id):
-                backpressure.begin(state, place.engine_id, now_s())
+                backpressure.record_request(state, place.engine_id, now_s())
                 return place
             barred.add(place.engine_id)
         if not barred:
@@ -90,9 +90,9 @@
 
 async def _takes_it(state, engine_id):
     """Tell whether an endpoint takes a request; ask for a permit if it needs one."""
-    if not backoffs.may_begin(state.backoffs, engine_id, now_s()):
+    if not backoffs.may_send(state.backoffs, engine_id, now_s()):
         return False
-    await ratekeeper.acquire(state, [engine_id])
+    await ratelimiter.acquire(state, [engine_id])
     return backpressure.may_begin(state, engine_id, now_s())
 
 
@@ -114,26 +114,26 @@
     state, now = job.state, now_s()
     return [
         _place(state, announcement, now)
-        for announcement in serving(state, job.service.name, now)
+        for announcement in serving_endpoints(state, job.service.name, now)
     ]
 
 
 def _place(state, announcement, now):
     engine_id = announcement.engine_id
     told = state.told.get(engine_id, ToldLoad(0.0, now))
-    return Place(
+    return EndpointLoad(
         engine_id=engine_id,
         address=announcement.address,
         vm_zone=announcement.vm_zone,
         slots=announcement.slots,
-        own_running=state.running.get(announcement.address, 0),
-        told_load=told.load,
-        told_age_s=now - told.told_s,
+        own_in_flight=state.running.get(announcement.address, 0),
+        reported_load=told.load,
+        report_age_s=now - told.told_s,
         is_suspect=is_suspect(state, engine_id, now),
     )
 
 
-async def _attempt(job: Job, place: Place) -> Whole | Failed:
+async def _attempt(job: Job, place: EndpointLoad) -> Whole | Failed:
     state = job.state
     state.running[place.address] = state.running.get(place.address, 0) + 1
     state.tokens.setdefault(place.address, 0)
@@ -149,7 +149,7 @@
 
 async def _exchange(job, place):
     try:
-        connection = await attempts.open_for(job, place.address)
+        connection = await attempts.open_connection(job, place.address)
     except ConnectFailed as error:
         return Failed(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
@@ -212,7 +212,7 @@
         # It lives, and says nothing of how it serves.
         return
     if isinstance(result, Failed) and not result.is_sent:
-        suspicion.died(suspicions, engine_id, now)
+        suspicion.record_failure(suspicions, engine_id, now)
     else:
         is_good = isinstance(result, Whole) or result.is_not_run
-        suspicion.answered(suspicions, engine_id, is_good, now)
+        suspicion.record_answer(suspicions, engine_id, is_good, now)
--- a/libs/node/src/cherryrudder/node/ratekeeper.py
+++ b/libs/node/src/cherryrudder/node/ratelimiter.py
@@ -38,14 +38,14 @@
     wait_s: float
 
 
-class RateKeeper:
+class RateLimiter:
     """What one entry knows of engines' limits, and its permits."""
 
     def __init__(self):
         self.book = LimitBook()
         self.holders: dict[str, Holder] = {}
         # Replaced by the uplink: send an ask to an engine's issuer, and a limit to all.
-        self.send_ask: Callable[[PermitRequest], None] = lambda ask: None
+        self.send_ask: Callable[[PermitRequest], None] = lambda request_permits: None
         self.spread: Callable[[LimitNews], None] = lambda news: None
         # Set when an issuer has answered, and replaced by whoever waits for it.
         self.answered = anyio.Event()
@@ -59,10 +59,10 @@
     if facts.has_bad_limit and facts.limit_per_s is None:
         return
     known = rates.book.limits.get(engine_id)
-    if facts.limit_per_s is None and (known is None or job.sent_s <= known.said_s):
+    if facts.limit_per_s is None and (known is None or job.sent_s <= known.stated_s):
         # The engine may have made this answer before it named the limit.
         return
-    if ratelimits.hear(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
+    if ratelimits.record_limit(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
         job.note("engine-limit-named", True, engine_id=engine_id)
         _note_change(job.state, engine_id, known)
         rates.spread(LimitNews((ToldLimit(engine_id, facts.limit_per_s, 0.0),)))
@@ -74,7 +74,7 @@
     for one in told:
         known = book.limits.get(one.engine_id)
         said = Limit(one.per_s, now_s - one.age_s)
-        if ratelimits.hear(book, one.engine_id, said):
+        if ratelimits.record_limit(book, one.engine_id, said):
             _note_change(state, one.engine_id, known)
 
 
@@ -93,12 +93,12 @@
 def told(book: LimitBook, now_s: float) -> tuple[ToldLimit, ...]:
     """Return the limits as other processes are told them."""
     return tuple(
-        ToldLimit(engine_id, limit.per_s, now_s - limit.said_s)
+        ToldLimit(engine_id, limit.per_s, now_s - limit.stated_s)
         for engine_id, limit in book.limits.items()
     )
 
 
-def sweep(rates: RateKeeper, known: Collection[str], now_s: float) -> None:
+def sweep(rates: RateLimiter, known: Collection[str], now_s: float) -> None:
     """Forget engines that are gone, and limits that ended long ago."""
     ratelimits.sweep(rates.book, known, now_s)
     rates.holders = {e: h for e, h in rates.holders.items() if e in rates.book.limits}
@@ -113,22 +113,24 @@
     return permits.has_permit(holder, limit_per_s, state.entries, now_s)
 
 
-def begin(state: "EntryState", engine_id: str, now_s: float) -> None:
+def use_permit(state: "EntryState", engine_id: str, now_s: float) -> None:
     """Take the permit of a request that is about to be sent."""
     if ratelimits.limit_of(state.rates.book, engine_id) is not None:
-        permits.use(_holder(state.rates, engine_id), now_s)
+        permits.use_permit(_holder(state.rates, engine_id), now_s)
 
 
-def ask(state: "EntryState", engine_ids: Collection[str], now_s: float) -> None:
+def request_permits(
+    state: "EntryState", engine_ids: Collection[str], now_s: float
+) -> None:
     """Ask for a permit at each engine whose issuer may have one."""
     rates = state.rates
     for engine_id in engine_ids:
         holder = _holder(rates, engine_id)
-        if not permits.may_ask(holder, now_s):
+        if not permits.may_request(holder, now_s):
             continue
-        permits.note_ask(holder, now_s)
+        permits.record_request(holder, now_s)
         limit = rates.book.limits[engine_id]
-        named = ToldLimit(engine_id, limit.per_s, now_s - limit.said_s)
+        named = ToldLimit(engine_id, limit.per_s, now_s - limit.stated_s)
         rates.send_ask(PermitRequest(state.address, named, 1))
 
 
@@ -138,7 +140,7 @@
     needed = [e for e in engine_ids if not may_begin(state, e, asked_s)]
     if not needed:
         return
-    ask(state, needed, asked_s)
+    request_permits(state, needed, asked_s)
 
     def is_open(engine_id):
         if may_begin(state, engine_id, now_s()):
@@ -157,7 +159,7 @@
     """Take an issuer's answer."""
     rates = state.rates
     holder = _holder(rates, answer.engine_id)
-    permits.take(holder, answer.grant, now_s)
+    permits.record_grant(holder, answer.grant, now_s)
     outcome = "granted" if answer.grant.permits else "denied"
     state.metrics.permits.labels(outcome).inc()
     rates.answered.set()
@@ -171,13 +173,13 @@
     return permits.wait_s(_holder(state.rates, engine_id), now_s)
 
 
-def dump(rates: RateKeeper, now_s: float) -> list[LimitShown]:
+def dump(rates: RateLimiter, now_s: float) -> list[LimitShown]:
     """Return the limits for the operators."""
     return [
         LimitShown(
             engine_id,
             limit.per_s,
-            round(now_s - limit.said_s, 3),
+            round(now_s - limit.stated_s, 3),
             len(_holder(rates, engine_id).until_s),
             round(permits.wait_s(_holder(rates, engine_id), now_s), 3),
         )
--- a/libs/routing/src/cherryrudder/routing/gatekeeping.py
+++ b/libs/routing/src/cherryrudder/routing/authorization.py
@@ -28,7 +28,7 @@
 RECONNECT_S = 1.5
 
 
-class Asked(NamedTuple):
+class AccessRequest(NamedTuple):
     """Host, target and key of a request."""
 
     host: str
@@ -52,16 +52,16 @@
     retry_after_s: float | None = None
 
 
-UNKNOWN = Refused(503, "no configuration yet", FIRST_CONFIGURATION_S)
+NO_CONFIGURATION = Refused(503, "no configuration yet", FIRST_CONFIGURATION_S)
 UNCONFIRMED = Refused(503, "configuration unconfirmed", RECONNECT_S)
 # This entry receives nothing from any control VM, so its own link is at fault and
 # other entries can serve the client. The delay only covers the way to another entry.
 CUT_OFF = Refused(503, "cut off from the control VMs", 0.05)
 
 
-def decide(
+def authorize(
     table: RouteTable | None,
-    request: Asked,
+    request: AccessRequest,
     confirmed_age_s: float,
     revoke_s: float,
     is_cut_off: bool = False,
@@ -76,7 +76,7 @@
 
 def _authorize(table, request, confirmed_age_s, revoke_s):
     if table is None:
-        return UNKNOWN
+        return NO_CONFIGURATION
     is_trusted = confirmed_age_s < TRUSTED_SHARE * revoke_s
     is_certain = confirmed_age_s < CERTAIN_SHARE * revoke_s
     route = table.route(request.host, request.target)
--- a/libs/routing/src/cherryrudder/routing/backoffs.py
+++ b/libs/routing/src/cherryrudder/routing/backoffs.py
@@ -42,7 +42,7 @@
     return backoff is not None and now_s < backoff.until_s
 
 
-def may_begin(book: BackoffBook, engine_id: str, now_s: float) -> bool:
+def may_send(book: BackoffBook, engine_id: str, now_s: float) -> bool:
     """Return whether a request may be sent to an endpoint now."""
     return left_s(book, engine_id, now_s) <= 0
 
@@ -57,14 +57,14 @@
     )
 
 
-def note_sent(book: BackoffBook, engine_id: str, now_s: float) -> None:
+def record_sent(book: BackoffBook, engine_id: str, now_s: float) -> None:
     """Record a request that is about to be sent; after a backoff it is the probe."""
     backoff = book.backoffs.get(engine_id)
     if backoff is not None:
         book.backoffs[engine_id] = backoff._replace(probe_sent_s=now_s)
 
 
-def answered(book: BackoffBook, engine_id: str, sent_s: float) -> bool:
+def record_answer(book: BackoffBook, engine_id: str, sent_s: float) -> bool:
     """Record an answer that asks for no backoff; return whether it ends one.
 
     Only answers to requests that were sent after the backoff count. Earlier requests
@@ -77,6 +77,6 @@
     return True
 
 
-def forget(book: BackoffBook, known: Container[str]) -> None:
+def prune(book: BackoffBook, known: Container[str]) -> None:
     """Drop the backoffs of all incarnations except the known ones."""
     book.backoffs = {e: backoff for e, backoff in book.backoffs.items() if e in known}
--- a/libs/routing/src/cherryrudder/routing/blame.py
+++ b/libs/routing/src/cherryrudder/routing/blame.py
@@ -14,7 +14,7 @@
 
 import bisect
 
-from .crashbook import Block, CrashBook, Record, place
+from .crashbook import Block, CrashBook, RequestRecord, furthest_event
 
 # Weighted crashes after which a request is blocked.
 BLOCK_CRASHES = 3.0
@@ -22,7 +22,7 @@
 # are sent at different times.
 SUSPECT_CRASHES = 2.0
 # Engines of the same kind differ in how many events they have sent when they crash.
-SAME_PLACE_EVENTS = 8
+POSITION_TOLERANCE_EVENTS = 8
 # Crashes in one data centre this close together may have one cause, such as a rack
 # failure.
 SIMULTANEOUS_S = 0.1
@@ -37,7 +37,7 @@
 STAGGER_STEP_S = 0.25
 
 
-def refresh(book: CrashBook, now_s: float) -> tuple[set[str], set[str]]:
+def update_blocks(book: CrashBook, now_s: float) -> tuple[set[str], set[str]]:
     """Recompute blocks and suspects; return the blocks that were added and removed."""
     before = set(book.blocks)
     weights = _weights_by_request(book)
@@ -99,13 +99,13 @@
 
 
 def _crash_weights(record, simultaneous):
-    furthest = place(record)
+    furthest = furthest_event(record)
     own = {crash.engine_id for crash in record.crashes}
     return {
         crash.engine_id: _weight(simultaneous[crash.engine_id], own)
         for crash in record.crashes
         if crash.at_s > record.lifted_s
-        and crash.last_event + SAME_PLACE_EVENTS >= furthest
+        and crash.last_event + POSITION_TOLERANCE_EVENTS >= furthest
     }
 
 
@@ -137,7 +137,7 @@
             del weights[fingerprint]
 
 
-def _block(record: Record, engine_ids: set[str]) -> Block:
+def _block(record: RequestRecord, engine_ids: set[str]) -> Block:
     crashes = [crash for crash in record.crashes if crash.engine_id in engine_ids]
     extra = max(0, len(crashes) - int(BLOCK_CRASHES))
     block_s = min(MAX_BLOCK_S, BLOCK_S * 2**extra)
--- a/libs/routing/src/cherryrudder/routing/crashbook.py
+++ b/libs/routing/src/cherryrudder/routing/crashbook.py
@@ -34,7 +34,7 @@
     at_s: float
 
 
-class Record(NamedTuple):
+class RequestRecord(NamedTuple):
     """The crashes of one request, and how far it got without one."""
 
     account: str
@@ -60,7 +60,7 @@
     def __init__(self, boot: str):
         self.boot = boot
         self.version = 0
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, RequestRecord] = {}
         # The book's version at which each record last changed.
         self.changed: dict[str, int] = {}
         # Computed from the records; see `blame`.
@@ -68,7 +68,7 @@
         self.suspects: set[str] = set()
 
 
-def merge(book: CrashBook, fingerprint: str, received: Record) -> bool:
+def merge(book: CrashBook, fingerprint: str, received: RequestRecord) -> bool:
     """Merge another process's record of a request; return whether it changed."""
     known = book.records.get(fingerprint)
     merged = _merged(known, received) if known else received
@@ -91,12 +91,12 @@
     )
 
 
-def place(record: Record) -> int:
+def furthest_event(record: RequestRecord) -> int:
     """Return the furthest event that any run of a request has reached."""
     return max(record.passed, *(crash.last_event for crash in record.crashes), -1)
 
 
-def sweep(book: CrashBook, now_s: float) -> None:
+def prune(book: CrashBook, now_s: float) -> None:
     """Drop expired records, and the oldest beyond `MAX_RECORDS`, blocked ones last."""
     for fingerprint, record in list(book.records.items()):
         retention_s = (
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from cherryrudder.layers.profile import NOTHING, Holding
+from cherryrudder.layers.profile import NO_LAYERS, LayerRange
 
 # An endpoint sends a heartbeat every 1.2 s to one control VM of its choice. If that VM
 # is cut off from the others, they receive nothing about a live endpoint until it has
@@ -23,7 +23,7 @@
 
 # Difference between the numbers of two heartbeats. The numbers between are for the
 # leader's observations, of which there are a few at most between two heartbeats.
-WORD = 16
+NUMBER_STEP = 16
 
 
 class Announcement(NamedTuple):
@@ -43,7 +43,7 @@
     is_leaving: bool = False
     cold_s: float = 0.0
     kind: str = ""
-    holding: Holding = NOTHING
+    holding: LayerRange = NO_LAYERS
     # The endpoint's name, which it may keep over a restart.
     name: str = ""
     # Orders the incarnations of one name; 0 if the endpoint doesn't send it.
@@ -52,14 +52,14 @@
     # requests for as long as others do, and ends without another notice.
     has_signed_off: bool = False
     # Its answers said that it leaves. Either of the other notices may still follow.
-    has_told_senders: bool = False
+    has_notified_senders: bool = False
 
 
-class Entry(NamedTuple):
+class TableEntry(NamedTuple):
     """An announcement, and when it was received, by this process's clock."""
 
     announcement: Announcement
-    heard_s: float
+    last_seen_s: float
     is_gone: bool = False
 
 
@@ -71,18 +71,20 @@
     """
 
     def __init__(self):
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, TableEntry] = {}
         self.version = 0
 
 
-def hear(table: EndpointTable, received: Announcement, now_s: float) -> bool:
+def record_heartbeat(
+    table: EndpointTable, received: Announcement, now_s: float
+) -> bool:
     """Merge a heartbeat; return whether to forward it to others at once."""
     known = table.entries.get(received.engine_id)
     if known is None:
         if _has_later_incarnation(table, received):
             return False
         _end_earlier_incarnations(table, received, now_s)
-        table.entries[received.engine_id] = Entry(received, now_s)
+        table.entries[received.engine_id] = TableEntry(received, now_s)
         table.version += 1
         return True
     if known.is_gone:
@@ -90,21 +92,25 @@
         _end_earlier_incarnations(table, received, now_s)
         return False
     if received.number <= known.announcement.number:
-        return leaves(received) and _merge_notices(table, known, received, now_s)
+        return has_leaving_notice(received) and _merge_notices(
+            table, known, received, now_s
+        )
     # Leaving is final: a heartbeat that overtook the notice must not undo it.
     received = _with_notices(received, known.announcement)
-    table.entries[received.engine_id] = Entry(received, now_s, _has_ended(received))
+    table.entries[received.engine_id] = TableEntry(
+        received, now_s, _has_ended(received)
+    )
     is_news = received._replace(number=0) != known.announcement._replace(number=0)
     table.version += is_news
     return is_news
 
 
-def leaves(announcement: Announcement) -> bool:
+def has_leaving_notice(announcement: Announcement) -> bool:
     """Return whether an endpoint has given any notice of leaving."""
     return (
         announcement.is_leaving
         or announcement.has_signed_off
-        or announcement.has_told_senders
+        or announcement.has_notified_senders
     )
 
 
@@ -113,7 +119,8 @@
     return announcement._replace(
         is_leaving=announcement.is_leaving or other.is_leaving,
         has_signed_off=announcement.has_signed_off or other.has_signed_off,
-        has_told_senders=announcement.has_told_senders or other.has_told_senders,
+        has_notified_senders=announcement.has_notified_senders
+        or other.has_notified_senders,
     )
 
 
@@ -173,19 +180,19 @@
     leaving = _with_notices(known.announcement, received)
     if leaving == known.announcement:
         return False
-    table.entries[leaving.engine_id] = Entry(leaving, now_s, _has_ended(leaving))
+    table.entries[leaving.engine_id] = TableEntry(leaving, now_s, _has_ended(leaving))
     table.version += 1
     return True
 
 
 def _gone_entry(announcement, now_s):
-    return Entry(
+    return TableEntry(
         announcement._replace(is_leaving=True, has_signed_off=True), now_s, True
     )
 
 
-def observe(
-    table: EndpointTable, engine_id: str, holding: Holding, now_s: float
+def record_holding(
+    table: EndpointTable, engine_id: str, holding: LayerRange, now_s: float
 ) -> bool:
     """Record the layers that a leader saw on an endpoint between two heartbeats.
 
@@ -195,10 +202,10 @@
     if known is None or known.is_gone:
         return False
     number = known.announcement.number + 1
-    if number % WORD == 0 or holding == known.announcement.holding:
+    if number % NUMBER_STEP == 0 or holding == known.announcement.holding:
         return False
     seen = known.announcement._replace(holding=holding, number=number)
-    table.entries[engine_id] = Entry(seen, now_s)
+    table.entries[engine_id] = TableEntry(seen, now_s)
     table.version += 1
     return True
 
@@ -207,23 +214,23 @@
     """Record that an endpoint has signed off; return whether that is new."""
     known = table.entries.get(engine_id)
     if known is None:
-        return depart(table, engine_id, now_s)
+        return record_departure(table, engine_id, now_s)
     if known.is_gone:
         return False
     signed = known.announcement._replace(has_signed_off=True)
-    return _merge_notices(table, known, signed, known.heard_s)
+    return _merge_notices(table, known, signed, known.last_seen_s)
 
 
-def tell_senders(table: EndpointTable, engine_id: str, now_s: float) -> bool:
+def record_leaving(table: EndpointTable, engine_id: str, now_s: float) -> bool:
     """Record that an endpoint's answer said that it leaves; return whether it's new."""
     known = table.entries.get(engine_id)
     if known is None or known.is_gone:
         return False
-    notified = known.announcement._replace(has_told_senders=True)
+    notified = known.announcement._replace(has_notified_senders=True)
     return _merge_notices(table, known, notified, now_s)
 
 
-def depart(table: EndpointTable, engine_id: str, now_s: float) -> bool:
+def record_departure(table: EndpointTable, engine_id: str, now_s: float) -> bool:
     """Record that an endpoint has ended; return whether that is new."""
     known = table.entries.get(engine_id)
     if known is not None and known.is_gone:
@@ -236,7 +243,9 @@
     return True
 
 
-def merge(table: EndpointTable, received: Entry, age_s: float, now_s: float) -> bool:
+def merge(
+    table: EndpointTable, received: TableEntry, age_s: float, now_s: float
+) -> bool:
     """Merge another process's entry, received there `age_s` ago.
 
     Return whether to forward it to others.
@@ -246,13 +255,13 @@
         # The sender never had a heartbeat of it and can't know whether it has drained.
         return sign_off(table, engine_id, now_s)
     if received.is_gone:
-        return depart(table, engine_id, now_s)
+        return record_departure(table, engine_id, now_s)
     known = table.entries.get(engine_id)
-    is_news = hear(table, received.announcement, now_s - age_s)
-    known_later = known is not None and known.heard_s > now_s - age_s
+    is_news = record_heartbeat(table, received.announcement, now_s - age_s)
+    known_later = known is not None and known.last_seen_s > now_s - age_s
     if known_later and not table.entries[engine_id].is_gone:
         entry = table.entries[engine_id]
-        table.entries[engine_id] = entry._replace(heard_s=known.heard_s)
+        table.entries[engine_id] = entry._replace(last_seen_s=known.last_seen_s)
     return is_news
 
 
@@ -260,7 +269,7 @@
     """Drop expired entries; return the incarnations that stopped sending heartbeats."""
     lost = []
     for engine_id, entry in list(table.entries.items()):
-        age_s = now_s - entry.heard_s
+        age_s = now_s - entry.last_seen_s
         if age_s > RETENTION_S:
             del table.entries[engine_id]
             if not entry.is_gone:
@@ -270,9 +279,9 @@
 
 def live(table: EndpointTable, now_s: float) -> list[Announcement]:
     """Return the endpoints that are neither gone nor lost, one for each address."""
-    newest: dict[str, Entry] = {}
+    newest: dict[str, TableEntry] = {}
     for entry in table.entries.values():
-        if entry.is_gone or now_s - entry.heard_s > LOST_AFTER_S:
+        if entry.is_gone or now_s - entry.last_seen_s > LOST_AFTER_S:
             continue
         address = entry.announcement.address
         other = newest.get(address)
@@ -287,9 +296,9 @@
     starts_ms = entry.announcement.started_ms, other.announcement.started_ms
     if all(starts_ms) and starts_ms[0] != starts_ms[1]:
         return starts_ms[0] > starts_ms[1]
-    return entry.heard_s > other.heard_s
+    return entry.last_seen_s > other.last_seen_s
 
 
-def may_take_work(announcement: Announcement) -> bool:
+def accepts_requests(announcement: Announcement) -> bool:
     """Return whether an endpoint may get new requests."""
-    return not leaves(announcement)
+    return not has_leaving_notice(announcement)
--- a/libs/routing/src/cherryrudder/routing/hangs.py
+++ b/libs/routing/src/cherryrudder/routing/hangs.py
@@ -37,7 +37,7 @@
         self.ejections: dict[str, tuple[float, float]] = {}
 
 
-def sent(
+def record_sent(
     hangs: Hangs, engine_id: str, request_id: str, objective_s: float, now_s: float
 ) -> None:
     """Record that a request was sent to an engine."""
@@ -45,14 +45,14 @@
     hangs.waiting.setdefault(engine_id, {})[request_id] = waiting
 
 
-def begun(hangs: Hangs, engine_id: str, request_id: str, now_s: float) -> None:
+def record_start(hangs: Hangs, engine_id: str, request_id: str, now_s: float) -> None:
     """Record that an engine has started or refused a request, so it doesn't hang."""
-    ended(hangs, engine_id, request_id)
+    record_end(hangs, engine_id, request_id)
     hangs.last_started_s[engine_id] = now_s
     hangs.ejections.pop(engine_id, None)
 
 
-def ended(hangs: Hangs, engine_id: str, request_id: str) -> None:
+def record_end(hangs: Hangs, engine_id: str, request_id: str) -> None:
     """Record that a request is no longer pending at an engine."""
     waiting = hangs.waiting.get(engine_id, {})
     waiting.pop(request_id, None)
@@ -60,11 +60,11 @@
         hangs.waiting.pop(engine_id, None)
 
 
-def find(hangs: Hangs, now_s: float) -> list[str]:
+def find_hanging(hangs: Hangs, now_s: float) -> list[str]:
     """Eject engines that hang; return those that were not ejected before."""
     found = []
     for engine_id, waiting in hangs.waiting.items():
-        if is_resting(hangs, engine_id, now_s):
+        if is_ejected(hangs, engine_id, now_s):
             continue
         if _is_hanging(hangs, engine_id, waiting, now_s):
             _, last_s = hangs.ejections.get(engine_id, (0.0, FIRST_EJECTION_S / 2))
@@ -82,13 +82,13 @@
     )
 
 
-def is_resting(hangs: Hangs, engine_id: str, now_s: float) -> bool:
+def is_ejected(hangs: Hangs, engine_id: str, now_s: float) -> bool:
     """Return whether an engine gets no requests for now."""
     until_s, _ = hangs.ejections.get(engine_id, (0.0, 0.0))
     return now_s < until_s
 
 
-def forget(hangs: Hangs, known: set[str]) -> None:
+def prune(hangs: Hangs, known: set[str]) -> None:
     """Drop the state of all incarnations except the known ones."""
     for kept in (hangs.last_started_s, hangs.ejections):
         for engine_id in set(kept) - known:
--- a/libs/routing/src/cherryrudder/routing/picking.py
+++ b/libs/routing/src/cherryrudder/routing/picking.py
@@ -18,7 +18,7 @@
 REMOTE_ZONE_LOAD = 0.5
 
 
-class Place(NamedTuple):
+class EndpointLoad(NamedTuple):
     """An endpoint and its load as one entry sees it."""
 
     engine_id: str
@@ -26,16 +26,19 @@
     vm_zone: str
     slots: int
     # Requests of this entry that are in flight there.
-    own_running: int = 0
+    own_in_flight: int = 0
     # Requests running and queued as of its last answer, and the age of that answer.
-    told_load: float = 0.0
-    told_age_s: float = 0.0
+    reported_load: float = 0.0
+    report_age_s: float = 0.0
     is_suspect: bool = False
 
 
 def pick(
-    places: Iterable[Place], home_zone: str, exclude: set[str], rng: random.Random
-) -> Place | None:
+    places: Iterable[EndpointLoad],
+    home_zone: str,
+    exclude: set[str],
+    rng: random.Random,
+) -> EndpointLoad | None:
     """Return the least loaded endpoint; suspects only if there is no other, or None."""
     usable = [place for place in places if place.engine_id not in exclude]
     sound = [place for place in usable if not place.is_suspect]
@@ -46,7 +49,7 @@
 
 
 def _load(endpoint, home_zone):
-    weight = 0.5 ** (endpoint.told_age_s / REPORT_HALF_LIFE_S)
-    others = max(0.0, endpoint.told_load - endpoint.own_running) * weight
+    weight = 0.5 ** (endpoint.report_age_s / REPORT_HALF_LIFE_S)
+    others = max(0.0, endpoint.reported_load - endpoint.own_in_flight) * weight
     remote = REMOTE_ZONE_LOAD if endpoint.vm_zone != home_zone else 0.0
-    return (endpoint.own_running + others + remote) / max(1, endpoint.slots)
+    return (endpoint.own_in_flight + others + remote) / max(1, endpoint.slots)
--- a/libs/routing/src/cherryrudder/routing/ratelimits.py
+++ b/libs/routing/src/cherryrudder/routing/ratelimits.py
@@ -20,7 +20,7 @@
     # Requests a second from all senders together; None once the limit has ended.
     per_s: float | None
     # Time of the statement, by this process's clock.
-    said_s: float
+    stated_s: float
 
 
 class LimitBook:
@@ -30,12 +30,12 @@
         self.limits: dict[str, Limit] = {}
 
 
-def hear(book: LimitBook, engine_id: str, received: Limit) -> bool:
+def record_limit(book: LimitBook, engine_id: str, received: Limit) -> bool:
     """Record a statement; return whether it changes the limit."""
     known = book.limits.get(engine_id)
     if known is None and received.per_s is None:
         return False
-    if known is not None and received.said_s <= known.said_s:
+    if known is not None and received.stated_s <= known.stated_s:
         return False
     book.limits[engine_id] = received
     return known is None or known.per_s != received.per_s
@@ -53,5 +53,5 @@
         engine_id: limit
         for engine_id, limit in book.limits.items()
         if engine_id in known
-        and (limit.per_s is not None or now_s - limit.said_s < ENDED_RETENTION_S)
+        and (limit.per_s is not None or now_s - limit.stated_s < ENDED_RETENTION_S)
     }
--- a/libs/routing/src/cherryrudder/routing/slowness.py
+++ b/libs/routing/src/cherryrudder/routing/slowness.py
@@ -10,7 +10,7 @@
 # A slow endpoint is measured again every half second; this is three measurements.
 REPORT_TTL_S = 1.6
 # Engines' speeds vary somewhat anyway. Smaller factors aren't worth a detour.
-LEAST_SLOWNESS = 1.3
+MIN_SLOWNESS = 1.3
 
 
 class SlownessReport(NamedTuple):
@@ -27,13 +27,15 @@
         self.reports: dict[str, SlownessReport] = {}
 
 
-def believe(book: SlownessBook, engine_id: str, slowness: float, now_s: float) -> bool:
+def record_slowness(
+    book: SlownessBook, engine_id: str, slowness: float, now_s: float
+) -> bool:
     """Record how many times slower an endpoint is than its kind.
 
     Return whether this makes it slow or ends its slowness.
     """
     known = slowness_of(book, engine_id, now_s)
-    if slowness < LEAST_SLOWNESS:
+    if slowness < MIN_SLOWNESS:
         book.reports.pop(engine_id, None)
         return known > 1.0
     book.reports[engine_id] = SlownessReport(slowness, now_s + REPORT_TTL_S)
--- a/libs/routing/src/cherryrudder/routing/suspicion.py
+++ b/libs/routing/src/cherryrudder/routing/suspicion.py
@@ -49,7 +49,7 @@
         self.records: dict[str, Evidence] = {}
 
 
-def is_resting(
+def is_ejected(
     suspicions: Suspicions, engine_id: str, last_seen_s: float, now_s: float
 ) -> bool:
     """Return whether an endpoint is ejected, given the time of its last heartbeat."""
@@ -59,7 +59,7 @@
     return now_s < record.ejected_until_s or last_seen_s < record.failed_s
 
 
-def died(
+def record_failure(
     suspicions: Suspicions, engine_id: str, now_s: float, is_unreached: bool = False
 ) -> None:
     """Record a timeout, a refused connection or a reset, and eject the endpoint."""
@@ -78,18 +78,20 @@
     )
 
 
-def told(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
+def record_report(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
     """Record that other processes had no answer; return whether this ejects it."""
     record = suspicions.records.get(engine_id)
     is_news = record is None or now_s >= record.ejected_until_s
     if is_news:
-        died(suspicions, engine_id, now_s)
+        record_failure(suspicions, engine_id, now_s)
     return is_news
 
 
-def verified(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
+def record_confirmed_death(
+    suspicions: Suspicions, engine_id: str, now_s: float
+) -> bool:
     """Record that an endpoint has certainly ended; return whether this ejects it."""
-    is_news = told(suspicions, engine_id, now_s)
+    is_news = record_report(suspicions, engine_id, now_s)
     record = suspicions.records[engine_id]
     suspicions.records[engine_id] = record._replace(is_confirmed=True)
     return is_news
@@ -103,7 +105,7 @@
     return record is not None and record.is_confirmed and last_seen_s < record.failed_s
 
 
-def acquitted(suspicions: Suspicions, engine_id: str) -> bool:
+def reinstate(suspicions: Suspicions, engine_id: str) -> bool:
     """End an ejection after a process near the endpoint had an answer from it.
 
     Return whether the ejection has ended. An endpoint that this entry itself could not
@@ -119,7 +121,7 @@
     return True
 
 
-def answered(
+def record_answer(
     suspicions: Suspicions, engine_id: str, is_good: bool, now_s: float
 ) -> bool:
     """Record a good or bad answer; return whether the endpoint is ejected now."""
@@ -137,7 +139,7 @@
     return is_bad
 
 
-def forget(suspicions: Suspicions, known: set[str]) -> None:
+def prune(suspicions: Suspicions, known: set[str]) -> None:
     """Drop the evidence of all incarnations except the known ones."""
     for engine_id in set(suspicions.records) - known:
         del suspicions.records[engine_id]
--- a/libs/routing/test/test_picking.py
+++ b/libs/routing/test/test_picking.py
@@ -2,12 +2,12 @@
 import unittest
 
 from cherryrudder.routing import picking
-from cherryrudder.routing.picking import Place
+from cherryrudder.routing.picking import EndpointLoad
 
 
 def an_endpoint(name, **changes):
     """Return an idle endpoint with six slots."""
-    return Place(name, f"{name}:80", "a", 6)._replace(**changes)
+    return EndpointLoad(name, f"{name}:80", "a", 6)._replace(**changes)
 
 
 class PickTest(unittest.TestCase):
@@ -17,18 +17,18 @@
 
     def test_the_least_loaded_is_picked(self):
         self.assertEqual(
-            self.pick(an_endpoint("e", own_running=2), an_endpoint("f")), "f"
+            self.pick(an_endpoint("e", own_in_flight=2), an_endpoint("f")), "f"
         )
 
     def test_reported_load_decays(self):
-        busy = an_endpoint("e", told_load=6.0)
-        own = an_endpoint("f", own_running=1)
+        busy = an_endpoint("e", reported_load=6.0)
+        own = an_endpoint("f", own_in_flight=1)
         self.assertEqual(self.pick(busy, own), "f")
-        self.assertEqual(self.pick(busy._replace(told_age_s=1.0), own), "e")
+        self.assertEqual(self.pick(busy._replace(report_age_s=1.0), own), "e")
 
     def test_a_suspect_is_picked_only_without_alternative(self):
         suspect = an_endpoint("e", is_suspect=True)
-        self.assertEqual(self.pick(suspect, an_endpoint("f", own_running=5)), "f")
+        self.assertEqual(self.pick(suspect, an_endpoint("f", own_in_flight=5)), "f")
         self.assertEqual(self.pick(suspect), "e")
 
     def test_excluded_endpoints_are_not_picked(self):
@@ -62,7 +62,7 @@
 
     def test_more_requests_are_in_time_than_with_a_random_choice(self):
         def by_load(running, rng):
-            places = [an_endpoint(n, own_running=r) for n, r in running.items()]
+            places = [an_endpoint(n, own_in_flight=r) for n, r in running.items()]
             return picking.pick(places, "a", set(), rng).engine_id
 
         def at_random(running, rng):
--- a/libs/routing/test/test_suspicion.py
+++ b/libs/routing/test/test_suspicion.py
@@ -12,10 +12,10 @@
 
     def setUp(self):
         self.suspicions = Suspicions()
-        suspicion.died(self.suspicions, "boot", 10.0)
+        suspicion.record_failure(self.suspicions, "boot", 10.0)
 
     def is_ejected(self, heard_s, now_s):
-        return suspicion.is_resting(self.suspicions, "boot", heard_s, now_s)
+        return suspicion.is_ejected(self.suspicions, "boot", heard_s, now_s)
 
     def test_ejection_lasts_until_the_next_heartbeat(self):
         self.assertTrue(self.is_ejected(9.0, 10.0))
@@ -26,17 +26,17 @@
         self.assertTrue(self.is_ejected(10.1, 10.2))
 
     def test_each_further_failure_ejects_for_longer(self):
-        suspicion.died(self.suspicions, "boot", 13.0)
+        suspicion.record_failure(self.suspicions, "boot", 13.0)
         self.assertTrue(self.is_ejected(13.5, 13.0 + 1.5 * suspicion.FIRST_EJECTION_S))
 
     def test_a_failure_long_ago_does_not_lengthen_the_ejection(self):
         later_s = 10.0 + suspicion.FAILURE_MEMORY_S + 1.0
-        suspicion.died(self.suspicions, "boot", later_s)
+        suspicion.record_failure(self.suspicions, "boot", later_s)
         end_s = later_s + suspicion.FIRST_EJECTION_S
         self.assertFalse(self.is_ejected(end_s, end_s + 0.1))
 
     def test_other_endpoints_are_not_ejected(self):
-        self.assertFalse(suspicion.is_resting(self.suspicions, "other", 0.0, 10.0))
+        self.assertFalse(suspicion.is_ejected(self.suspicions, "other", 0.0, 10.0))
 
 
 class ReinstatementTest(unittest.TestCase):
@@ -49,9 +49,9 @@
     def is_ejected_after(self, deaths, is_unreached):
         suspicions = Suspicions()
         for _ in range(deaths):
-            suspicion.died(suspicions, "boot", 10.0, is_unreached)
-            suspicion.acquitted(suspicions, "boot")
-        return suspicion.is_resting(suspicions, "boot", 9.0, 10.1)
+            suspicion.record_failure(suspicions, "boot", 10.0, is_unreached)
+            suspicion.reinstate(suspicions, "boot")
+        return suspicion.is_ejected(suspicions, "boot", 9.0, 10.1)
 
     def test_a_part_inside_a_chain_is_used_again(self):
         self.assertFalse(self.is_ejected_after(1, is_unreached=False))
@@ -63,19 +63,19 @@
 
     def test_an_end_is_certain_once_confirmed_and_until_the_next_heartbeat(self):
         suspicions = Suspicions()
-        suspicion.died(suspicions, "boot", 10.0)
+        suspicion.record_failure(suspicions, "boot", 10.0)
         self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
-        self.assertFalse(suspicion.verified(suspicions, "boot", 10.1))
+        self.assertFalse(suspicion.record_confirmed_death(suspicions, "boot", 10.1))
         self.assertTrue(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
         self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 10.2))
 
     def test_a_confirmed_end_ejects_an_engine_without_own_evidence(self):
         suspicions = Suspicions()
-        self.assertTrue(suspicion.verified(suspicions, "boot", 10.0))
-        self.assertTrue(suspicion.is_resting(suspicions, "boot", 9.0, 10.1))
+        self.assertTrue(suspicion.record_confirmed_death(suspicions, "boot", 10.0))
+        self.assertTrue(suspicion.is_ejected(suspicions, "boot", 9.0, 10.1))
 
     def test_an_endpoint_without_evidence_is_not_reinstated(self):
-        self.assertFalse(suspicion.acquitted(Suspicions(), "boot"))
+        self.assertFalse(suspicion.reinstate(Suspicions(), "boot"))
 
 
 class FailureTest(unittest.TestCase):
@@ -85,7 +85,7 @@
         suspicions = Suspicions()
         for number in range(40):
             is_good = number % 10 >= failed_of_ten
-            if suspicion.answered(suspicions, "boot", is_good, 0.0):
+            if suspicion.record_answer(suspicions, "boot", is_good, 0.0):
                 return True
         return False
 
@@ -97,8 +97,8 @@
 
     def test_evidence_of_gone_incarnations_is_dropped(self):
         suspicions = Suspicions()
-        suspicion.died(suspicions, "boot", 0.0)
-        suspicion.forget(suspicions, set())
+        suspicion.record_failure(suspicions, "boot", 0.0)
+        suspicion.prune(suspicions, set())
         self.assertEqual(suspicions.records, {})
 
 
@@ -112,15 +112,15 @@
     def test_a_refuted_end_does_not_count(self):
         found = Suspicions()
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
-        suspicion.died(found, "e", 1.0)
-        suspicion.verified(found, "e", 1.0)
+        suspicion.record_failure(found, "e", 1.0)
+        suspicion.record_confirmed_death(found, "e", 1.0)
         self.assertTrue(suspicion.is_certainly_dead(found, "e", 0.5))
-        suspicion.acquitted(found, "e")
+        suspicion.reinstate(found, "e")
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
 
     def test_an_engine_that_others_missed_is_ejected_but_not_ended(self):
         """All processes that queried it may have been behind the same full links."""
         found = Suspicions()
-        self.assertTrue(suspicion.told(found, "e", 1.0))
-        self.assertTrue(suspicion.is_resting(found, "e", 0.5, 1.1))
+        self.assertTrue(suspicion.record_report(found, "e", 1.0))
+        self.assertTrue(suspicion.is_ejected(found, "e", 0.5, 1.1))
         self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
