--- a/libs/layers/src/cherryrudder/layers/planner.py
+++ b/libs/layers/src/cherryrudder/layers/planner.py
@@ -1,69 +1,79 @@
-"""Which layers each engine is to hold.
+"""Planning of which layers each engine is to hold.
 
 Load pattern: engines of several sizes start empty, die with their layers, leave and
-come back empty, while requests go on. What an engine's memory has left beside its
-layers holds requests, and the range with the least room bounds its data centre.
-Without a plan some ranges have room for three times the requests of others, and one
-engine's death stops a data centre with memory idle beside it.
-
-Each data centre is planned by itself as far as its engines hold one whole copy, since
-the pipes between them are shared and slow. What the engines of an empty one get is
-laid out at once (`layout`); whoever comes later goes where the room is least. Another
-centre's copy stands in for a hole until the neighbours of the lost range have taken it
-over.
+come back empty, while requests go on. The memory of an engine beside its layers holds
+requests, and the range with the least such room limits its data centre. Without a plan
+some ranges have room for three times the requests of others, and the loss of one engine
+stops a data centre although other engines have free memory.
+
+Each data centre is planned by itself if its engines can hold one whole copy, since the
+pipes between data centres are shared and slow. The engines of an empty data centre are
+laid out at once (`layout`); engines that join later go where the room is least. While
+there is a hole, requests use another data centre's copy, until the neighbours of the
+lost range have taken it over.
 """
 
 import collections
 from collections.abc import Iterable
 
-from .layout import Engine, EngineState, Placement, aim_of, by_size, lay_out, layer_room
+from .layout import (
+    Engine,
+    EngineState,
+    Placement,
+    by_size,
+    choose_target,
+    lay_out,
+    layer_room,
+)
 from .profile import (
     NO_LAYERS,
     LayerRange,
     ModelProfile,
     kind_of,
-    most_layers,
+    max_layers,
     room_tokens,
 )
 
-# The least room beside its layers that an engine may be left with. It is a dozen
-# usual requests; with less a burst stops every stream through it.
-LEAST_ROOM_TOKENS = 12_000.0
-# A neighbour takes over a hole at once while it keeps this much room, some 25 usual
-# requests: it goes on serving its own range, and loads only what it lacks.
-EASY_ROOM_TOKENS = 25_000.0
-# Part of a copy's room that may be missing before a data centre counts as short of an
-# engine. Ranges differ by a tenth, and one that its neighbours took over has half.
-SHORT_SHARE = 0.3
-# A move takes an engine's range away from where it was, so it has to close a hole.
-MOVE_GAIN = 500.0
-# What loading one layer takes off the worth of a move: among moves that close as much,
-# the one that is done first.
-LOAD_COST = 2.0
-# What a layer that nobody holds is worth, against 1 for one with the planned room: it
-# stops the data centre.
+# The least room that an engine keeps beside its layers, a dozen usual requests. With
+# less a burst stops every stream through it.
+MIN_ROOM_TOKENS = 12_000.0
+# Neighbours take over a hole before any engine is moved as long as they keep this much
+# room, some 25 usual requests: they go on serving their own range, and load only the
+# missing layers.
+EARLY_EXTENSION_ROOM_TOKENS = 25_000.0
+# Share of a copy's room that may be missing before a data centre counts as short of an
+# engine. Ranges differ by a tenth; a range that its neighbours took over has half.
+SHORTAGE_SHARE = 0.3
+# The least gain of a move. The moved engine's old range loses room, so the move has to
+# close a hole.
+MIN_MOVE_GAIN = 500.0
+# Cost of loading one layer, deducted from the gain of a move: of moves with equal gain
+# the fastest is preferred.
+LAYER_LOAD_COST = 2.0
+# Value of covering a layer that no engine holds, against 1 for a layer with the planned
+# room. A hole stops the data centre.
 HOLE_VALUE = 1000.0
 
 
-def plan(profile: ModelProfile, holders: Iterable[EngineState]) -> list[Placement]:
-    """Return the placements to order now; none when all is as it should be."""
-    holders = list(holders)
+def plan(profile: ModelProfile, states: Iterable[EngineState]) -> list[Placement]:
+    """Return the placements to order now, none if no change is needed."""
+    states = list(states)
     engines = [
-        Engine(holder, kind)
-        for holder in holders
-        if not holder.is_leaving
-        and holder.holding.end <= profile.layers
-        and (kind := kind_of(profile, holder.kind)) is not None
+        Engine(state, kind)
+        for state in states
+        if not state.is_leaving
+        and state.holding.end <= profile.layers
+        and (kind := kind_of(profile, state.kind)) is not None
     ]
     placements = []
-    leaving = [holder for holder in holders if holder.is_leaving]
+    leaving = [state for state in states if state.is_leaving]
     for group in _groups(profile, engines):
         placements += _plan_group(profile, group, leaving)
     return placements
 
 
 def rooms(profile: ModelProfile, engines: Iterable[Engine]) -> list[float]:
-    """Return the room in tokens that each layer has on all engines that hold it."""
+    """Return, by layer, the room in tokens on all engines that hold it together."""
     sums = [0.0] * profile.layers
     for engine in engines:
         _add(profile, sums, engine, engine.state.holding, 1)
@@ -71,14 +81,14 @@
 
 
 def _groups(profile, engines):
-    """Return the engines by data centre; centres without a whole copy share one."""
+    """Return the engines by data centre; those too small for a copy form one group."""
     zones: dict[str, list[Engine]] = {}
     for engine in engines:
         zones.setdefault(engine.state.vm_zone, []).append(engine)
     groups, pooled = [], []
     for _, group in sorted(zones.items()):
-        least = sum(most_layers(profile, e.kind, LEAST_ROOM_TOKENS) for e in group)
-        if least >= profile.layers:
+        max_held = sum(max_layers(profile, e.kind, MIN_ROOM_TOKENS) for e in group)
+        if max_held >= profile.layers:
             groups.append(group)
         else:
             pooled += group
@@ -86,29 +96,29 @@
 
 
 def _plan_group(profile, group, leaving):
-    """Return the placements for one data centre.
-
-    An engine that has just come waits while nothing is missing: when engines are
-    replaced one by one the new one comes first, and the old one says a second later
-    that it leaves. Placed at once, the new one would be elsewhere by then. One of its
-    kind that leaves ends the wait, and so does a lack of room: an engine that is back
-    after a crash is needed, though its neighbours have closed the hole meanwhile with
-    what room they had. With the wait, it held layers 2 s later.
+    """Return the placements for one group of engines.
+
+    An engine that has just joined is not placed while nothing is missing. When engines
+    are replaced one by one, the new engine joins first, and the old one announces a
+    second later that it leaves. If the new one were placed at once, it would hold other
+    layers by then. It is placed when an engine of its kind leaves, or when room is
+    short: an engine that is back after a crash is needed, even if its neighbours have
+    closed the hole at the expense of their room. Waiting would delay its layers by 2 s.
     """
-    awaited = _awaited(group, leaving)
-    aim = aim_of(profile, group)
-    copies, room = aim
+    awaited = _count_awaited(group, leaving)
+    target = choose_target(profile, group)
+    copies, room = target
     sums = rooms(profile, group)
-    placements = _lay_out_empty(profile, group, aim)
+    placements = _lay_out_empty(profile, group, target)
     for placement in placements:
         _add(profile, sums, _engine_of(group, placement), placement.holding, 1)
-    is_short = min(sums) < (copies - SHORT_SHARE) * room
+    is_short = min(sums) < (copies - SHORTAGE_SHARE) * room
     empty = [
         e
         for e in _without(group, placements)
         if e.state.holding == NO_LAYERS
         and not e.state.is_busy
-        and (is_short or not e.state.is_fresh or _is_awaited(e, awaited))
+        and (is_short or not e.state.is_fresh or _claim_awaited(e, awaited))
     ]
     for engine in by_size(empty):
         holding = _best_range(profile, engine, sums, room)
@@ -118,36 +128,36 @@
     if 0.0 not in sums:
         return placements
     movable = [e for e in group if e.state.holding != NO_LAYERS and not e.state.is_busy]
-    extended = _extend(profile, movable, sums, EASY_ROOM_TOKENS)
+    extended = _extend(profile, movable, sums, EARLY_EXTENSION_ROOM_TOKENS)
     movable = _without(movable, extended)
     moved = _move(profile, movable, sums, room)
     movable = _without(movable, moved)
-    stretched = _extend(profile, movable, sums, LEAST_ROOM_TOKENS)
+    stretched = _extend(profile, movable, sums, MIN_ROOM_TOKENS)
     return placements + extended + moved + stretched
 
 
-def _lay_out_empty(profile, group, aim):
-    """Return the first ranges of a data centre whose engines hold nothing at all."""
+def _lay_out_empty(profile, group, target):
+    """Return the initial layout if no engine of the group holds any layers."""
     if any(e.state.holding != NO_LAYERS or e.state.is_busy for e in group):
         return []
-    return lay_out(profile, group, aim)
+    return lay_out(profile, group, target)
 
 
 def _engine_of(group, placement):
     return next(e for e in group if e.state is placement.state)
 
 
-def _awaited(group, leaving):
-    """Return how many engines leave for which none has come, by place and kind."""
+def _count_awaited(group, leaving):
+    """Return, by zone and kind, how many leaving engines have no replacement yet."""
     counts = collections.Counter((h.vm_zone, h.kind) for h in leaving)
     for engine in group:
-        holder = engine.state
-        if holder.is_fresh and holder.holding != NO_LAYERS:
-            counts[holder.vm_zone, holder.kind] -= 1
+        state = engine.state
+        if state.is_fresh and state.holding != NO_LAYERS:
+            counts[state.vm_zone, state.kind] -= 1
     return counts
 
 
-def _is_awaited(engine, awaited):
+def _claim_awaited(engine, awaited):
     place = engine.state.vm_zone, engine.state.kind
     awaited[place] -= 1
     return awaited[place] >= 0
@@ -160,45 +170,45 @@
 
 def _add(profile, sums, engine, holding, sign):
     for layer in range(holding.first, holding.end):
-        # A layer that is held counts as held however little room is beside it.
+        # A held layer never counts as a hole, however little room there is.
         room = max(1.0, layer_room(profile, engine.kind, holding, layer))
-        # Rounded, so that taking a range away again leaves a true zero.
+        # Rounded, so that removing a range again leaves exactly zero.
         sums[layer] = max(0.0, round(sums[layer] + sign * room))
 
 
-def _value(room, planned):
+def _layer_value(room, planned):
     if room <= 0.0:
         return HOLE_VALUE
     return (planned / room) ** 2
 
 
-def _worth(sums, holding, planned):
+def _range_value(sums, holding, planned):
     layers = range(holding.first, holding.end)
-    return sum(_value(sums[layer], planned) for layer in layers)
+    return sum(_layer_value(sums[layer], planned) for layer in layers)
 
 
 def _best_range(profile, engine, sums, room):
-    """Return the range with the least room, as long as the planned room allows."""
-    length = most_layers(profile, engine.kind, room)
+    """Return the range of most value, of the length that leaves the planned room."""
+    length = max_layers(profile, engine.kind, room)
     if length < 1:
-        length = min(1, most_layers(profile, engine.kind, LEAST_ROOM_TOKENS))
-    best, best_worth = NO_LAYERS, -1.0
+        length = min(1, max_layers(profile, engine.kind, MIN_ROOM_TOKENS))
+    best, best_value = NO_LAYERS, -1.0
     for first in range(0, profile.layers - length + 1) if length else ():
         holding = LayerRange(first, first + length)
-        worth = _worth(sums, holding, room)
-        if worth > best_worth + 1e-9:
-            best, best_worth = holding, worth
+        value = _range_value(sums, holding, room)
+        if value > best_value + 1e-9:
+            best, best_value = holding, value
     return best
 
 
-def _extend(profile, movable, sums, least_room):
-    """Let the neighbours of each hole take it over beside what they hold.
+def _extend(profile, movable, sums, min_room):
+    """Extend the ranges of the neighbours of each hole until they cover it.
 
-    They go on serving their own range while the new layers load.
+    The neighbours go on serving their own range while the new layers load.
     """
     held = {e.state.engine_id: e.state.holding for e in movable}
     while (hole := _first_hole(sums)) is not None:
-        step = _best_extension(profile, movable, held, hole, least_room)
+        step = _best_extension(profile, movable, held, hole, min_room)
         if step is None:
             break
         engine, holding = step
@@ -222,14 +232,14 @@
     return LayerRange(first, end)
 
 
-def _best_extension(profile, movable, held, hole, least_room):
+def _best_extension(profile, movable, held, hole, min_room):
     """Return the extension by one layer that leaves the most room, or None."""
     best = None
     for engine in movable:
         old = held[engine.state.engine_id]
-        for new in _wider(old, hole):
+        for new in _extended_ranges(old, hole):
             length = new.end - new.first
-            if length > most_layers(profile, engine.kind, least_room):
+            if length > max_layers(profile, engine.kind, min_room):
                 continue
             room = room_tokens(profile, engine.kind, length)
             if best is None or room > best[0]:
@@ -237,20 +247,20 @@
     return best and best[1:]
 
 
-def _wider(old, hole):
+def _extended_ranges(old, hole):
     if old.first <= hole.first <= old.end:
         yield LayerRange(old.first, max(old.end, hole.first + 1))
     if old.first <= hole.end <= old.end:
         yield LayerRange(min(old.first, hole.end - 1), old.end)
 
 
-def _new_layers(old, new):
+def _count_new_layers(old, new):
     common = min(old.end, new.end) - max(old.first, new.first)
     return new.end - new.first - max(0, common)
 
 
 def _move(profile, movable, sums, room):
-    """Move engines whose layers others hold to where nobody holds any."""
+    """Move engines whose layers others hold as well to layers that no engine holds."""
     placements = []
     while 0.0 in sums:
         best = None
@@ -258,10 +268,10 @@
             old = engine.state.holding
             _add(profile, sums, engine, old, -1)
             holding = _best_range(profile, engine, sums, room)
-            gain = _worth(sums, holding, room) - _worth(sums, old, room)
-            gain -= LOAD_COST * _new_layers(old, holding)
+            gain = _range_value(sums, holding, room) - _range_value(sums, old, room)
+            gain -= LAYER_LOAD_COST * _count_new_layers(old, holding)
             _add(profile, sums, engine, old, 1)
-            if gain > MOVE_GAIN and (best is None or gain > best[0]):
+            if gain > MIN_MOVE_GAIN and (best is None or gain > best[0]):
                 best = (gain, engine, holding)
         if best is None:
             break
--- a/libs/layers/test/builders.py
+++ b/libs/layers/test/builders.py
@@ -4,14 +4,14 @@
 from cherryrudder.layers.layout import EngineState
 from cherryrudder.layers.profile import NO_LAYERS, KindProfile, LayerRange, ModelProfile
 
-# The users' own kinds.
+# The users' kinds of accelerators.
 KINDS = (
     KindProfile("h100", 72_000.0, 1.4, 1.0),
     KindProfile("a100s", 36_000.0, 3.1, 3.2),
     KindProfile("l4", 21_600.0, 16.0, 8.2),
     KindProfile("t4", 14_400.0, 15.0, 15.0),
 )
-# Engines by data centre and kind, as on the users' sheets.
+# The users' engines by data centre and kind.
 USERS_ENGINES = {
     "a": {"h100": 1, "a100s": 1, "l4": 5, "t4": 7},
     "b": {"a100s": 1, "l4": 8, "t4": 3},
@@ -41,32 +41,32 @@
     return profile._replace(**changes)
 
 
-def a_holder(name, kind="l4", zone="a", layers=None, **changes):
+def an_engine_state(name, kind="l4", zone="a", layers=None, **changes):
     """Return an engine, empty unless it is given a range."""
     holding = LayerRange(*layers) if layers else NO_LAYERS
     return EngineState(name, f"boot-{name}", zone, kind, holding)._replace(**changes)
 
 
-def users_holders():
+def users_engine_states():
     """Return all engines of the users, empty."""
     return [
-        a_holder(f"{zone}-{kind}-{number}", kind, zone)
+        an_engine_state(f"{zone}-{kind}-{number}", kind, zone)
         for zone, kinds in USERS_ENGINES.items()
         for kind, count in kinds.items()
         for number in range(count)
     ]
 
 
-def placed(holders, placements):
-    """Return the holders after the placements were carried out."""
+def placed(states, placements):
+    """Return the states after the placements have been carried out."""
     ranges = {p.state.address: p.holding for p in placements}
-    return [h._replace(holding=ranges.get(h.address, h.holding)) for h in holders]
+    return [h._replace(holding=ranges.get(h.address, h.holding)) for h in states]
 
 
-def candidates(holders):
-    """Return holders as candidates for chains, with nothing running."""
+def candidates(states):
+    """Return engines as candidates for chains, with nothing running."""
     return [
         Candidate(h.address, h.engine_id, h.vm_zone, h.kind, *h.holding)
-        for h in holders
+        for h in states
         if h.holding != NO_LAYERS
     ]
--- a/libs/layers/test/test_layout.py
+++ b/libs/layers/test/test_layout.py
@@ -1,68 +1,68 @@
 import random
 import unittest
 
-from builders import a_holder, a_profile, candidates, placed
+from builders import a_profile, an_engine_state, candidates, placed
 
 from cherryrudder.layers import chains, layout, planner
 from cherryrudder.layers.chains import Need
 from cherryrudder.layers.layout import Engine
-from cherryrudder.layers.profile import KindProfile, kind_of, most_layers
+from cherryrudder.layers.profile import KindProfile, kind_of, max_layers
 
 KINDS = (
     KindProfile("a100", 72_000.0, 2.4, 3.2),
     KindProfile("l40s", 43_200.0, 5.6, 2.7),
     KindProfile("l4", 21_600.0, 16.0, 8.2),
 )
-# Requests that take little memory: 96 of them run on an engine at once.
+# Requests that need little memory: 96 of them run on an engine at once.
 PROFILE = a_profile(
     kinds=KINDS, token_kv_bytes=786_000.0, usual_answer_tokens=217.0, slots=96
 )
-# One of several data centres, with three sizes of engines.
+# Engines by kind in one of several data centres.
 ENGINES = {"a100": 1, "l40s": 5, "l4": 13}
 
 
-def engines_of(holders):
-    return [Engine(h, kind_of(PROFILE, h.kind)) for h in holders]
+def engines_of(states):
+    return [Engine(h, kind_of(PROFILE, h.kind)) for h in states]
 
 
-def empty_holders(counts=ENGINES):
+def empty_engine_states(counts=ENGINES):
     return [
-        a_holder(f"{kind}-{number}", kind)
+        an_engine_state(f"{kind}-{number}", kind)
         for kind, count in counts.items()
         for number in range(count)
     ]
 
 
 def laid_out(counts=ENGINES):
-    holders = empty_holders(counts)
-    return placed(holders, planner.plan(PROFILE, holders))
+    states = empty_engine_states(counts)
+    return placed(states, planner.plan(PROFILE, states))
 
 
 def naive(counts=ENGINES):
-    """Place one engine after the other where the room is least."""
-    holders = empty_holders(counts)
+    """Return the engines, placed one by one where the room is least."""
+    states = empty_engine_states(counts)
     room = layout.slot_tokens(PROFILE)
-    for index, holder in enumerate(holders):
-        length = most_layers(PROFILE, kind_of(PROFILE, holder.kind), room)
-        sums = planner.rooms(PROFILE, engines_of(holders[:index]))
+    for index, state in enumerate(states):
+        length = max_layers(PROFILE, kind_of(PROFILE, state.kind), room)
+        sums = planner.rooms(PROFILE, engines_of(states[:index]))
         starts = range(PROFILE.layers - length + 1)
         first = min(starts, key=lambda at: sum(sums[at : at + length]))
         holding = layout.LayerRange(first, first + length)
-        holders[index] = holder._replace(holding=holding)
-    return holders
+        states[index] = state._replace(holding=holding)
+    return states
 
 
 class LoadTest(unittest.TestCase):
-    """A burst comes to a data centre with engines for more than two copies.
+    """Guards against refusing a burst although most engines have room.
 
-    Laid out one by one, the engines hold three copies of some layers and two of others,
-    and the requests that find no room there are refused, though most engines could take
-    as many again. Laid out for the most even room, the same engines take all of them.
+    A data centre has engines for more than two copies. Placed one by one, they hold
+    three copies of some layers and two of others, and requests are refused for lack of
+    room in the latter. Laid out for even room, the same engines take all of them.
     """
 
-    def refused_share(self, holders, arrivals_per_s, lasts_s):
+    def refused_share(self, states, arrivals_per_s, lasts_s):
         rng = random.Random(7)
-        engines = {c.address: c for c in candidates(holders)}
+        engines = {c.address: c for c in candidates(states)}
         ends, refused, now_s, count = [], 0, 0.0, 800
         for _ in range(count):
             now_s += rng.expovariate(arrivals_per_s)
@@ -90,38 +90,38 @@
             )
 
     def test_a_burst_finds_room(self):
-        # 60 requests a second that last 3.2 s each are some 190 at once.
+        # 60 requests a second of 3.2 s each are some 190 at once.
         self.assertLess(self.refused_share(laid_out(), 60.0, 3.2), 0.02)
 
-    def test_laid_out_one_by_one_the_burst_is_refused(self):
+    def test_a_layout_one_by_one_refuses_the_burst(self):
         self.assertGreater(self.refused_share(naive(), 60.0, 3.2), 0.1)
 
 
 class LayoutTest(unittest.TestCase):
-    def test_two_copies_have_much_more_room_than_one_by_one(self):
+    def test_the_layout_has_more_room_than_one_by_one(self):
         least = min(planner.rooms(PROFILE, engines_of(laid_out())))
         least_naive = min(planner.rooms(PROFILE, engines_of(naive())))
         self.assertGreater(least, 1.3 * least_naive)
 
-    def test_first_engines_have_places_for_what_the_rest_has_room_for(self):
-        holders = laid_out()
-        aim = layout.aim_of(PROFILE, engines_of(holders))
-        firsts = [h for h in holders if h.holding.first == 0]
+    def test_first_engines_have_slots_for_the_room_of_the_rest(self):
+        states = laid_out()
+        aim = layout.choose_target(PROFILE, engines_of(states))
+        firsts = [h for h in states if h.holding.first == 0]
         places = len(firsts) * layout.slot_tokens(PROFILE)
         self.assertGreaterEqual(places, aim.copies * aim.room_tokens)
 
-    def test_without_places_in_mind_the_first_engines_bound_the_rest(self):
+    def test_the_slots_of_two_first_engines_would_limit_the_rest(self):
         """Two engines with the first layer take 192 requests; memory takes 270."""
         first_room = 2 * layout.slot_tokens(PROFILE)
-        aim = layout.aim_of(PROFILE, engines_of(laid_out()))
+        aim = layout.choose_target(PROFILE, engines_of(laid_out()))
         self.assertLess(first_room, 0.8 * aim.copies * aim.room_tokens)
 
-    def test_engines_that_hold_layers_are_left_where_they_are(self):
-        holders = laid_out()
-        lost = [h for h in holders if h.address != "l4-3"]
+    def test_large_engines_are_not_moved_after_a_loss(self):
+        states = laid_out()
+        lost = [h for h in states if h.address != "l4-3"]
         for placement in planner.plan(PROFILE, lost):
             self.assertNotEqual(placement.state.kind, "a100")
 
     def test_too_few_engines_for_two_copies_hold_one(self):
-        aim = layout.aim_of(PROFILE, engines_of(empty_holders({"l4": 9})))
+        aim = layout.choose_target(PROFILE, engines_of(empty_engine_states({"l4": 9})))
         self.assertEqual(aim.copies, 1)
--- a/libs/routing/src/cherryrudder/routing/crashbook.py
+++ b/libs/routing/src/cherryrudder/routing/crashbook.py
@@ -1,53 +1,53 @@
-"""What is known of requests under which engines ended.
+"""Records of requests that were running when an engine crashed.
 
-Every entry and control VM keeps such a book and merges what it hears of others. Merging
-gives the same result in any order, so that all come to the same blocks without asking
-one another (`blame`).
+Every entry and control VM keeps a copy and merges the records that it receives from
+other processes. Merging gives the same result in any order, so all processes compute
+the same blocks (see `blame`) without coordination.
 """
 
 from typing import NamedTuple
 
-# A request that comes again does so within seconds; one that doesn't was cut off beside
-# another one, or has served its time.
-KEEP_S = 120.0
-# One under which several engines ended is tried once when its block is over; if it does
-# harm again, the next block is longer.
-REPEATED_KEEP_S = 7200.0
-REPEATED = 3
-MOST_RECORDS = 1000
-MOST_CRASHES = 16
-# Stands for the end of an answer among the numbers of its events.
+# Retries come within seconds. A request that isn't retried was cut while another one
+# crashed the engine, or its block has ended.
+RETENTION_S = 120.0
+# A request with several crashes may run once when its block ends. If it crashes an
+# engine again, the next block is longer, so its record is kept for longer.
+REPEATED_RETENTION_S = 7200.0
+MIN_REPEATED_CRASHES = 3
+MAX_RECORDS = 1000
+MAX_CRASHES = 16
+# Event number that stands for a completed answer.
 FINISHED = 2**31 - 1
-# Two notes of one lift differ by what their messages took.
-SAME_LIFT_S = 5.0
+# Times of the same lift differ between processes by the delay of their messages.
+LIFT_TOLERANCE_S = 5.0
 
 
 class Crash(NamedTuple):
-    """An engine that ended after it had begun a request."""
+    """A crash of an engine that had started a request."""
 
     engine_id: str
     vm_zone: str
-    # Of the engine's software.
+    # Version of the engine's software.
     version: str
-    # Last event that had come; 0 where there are none.
+    # Number of the last event received; 0 if there was none.
     last_event: int
     at_s: float
 
 
 class RequestRecord(NamedTuple):
-    """What is known of one request."""
+    """The crashes of one request, and how far it got without one."""
 
     account: str
     service: str
     crashes: tuple[Crash, ...] = ()
-    # Furthest event of a run whose engine lived on, -1 for none.
+    # Furthest event of a run whose engine survived, -1 for none.
     passed: int = -1
-    # When an operator last said that it may run.
+    # When an operator last lifted the request's block.
     lifted_s: float = float("-inf")
 
 
 class Block(NamedTuple):
-    """Why a request is refused, and how long."""
+    """The crashes for which a request is refused, and until when."""
 
     engine_ids: tuple[str, ...]
     versions: frozenset[str]
@@ -55,7 +55,7 @@
 
 
 class CrashBook:
-    """Records by fingerprint; `version` rises with each change, for readers."""
+    """Records by fingerprint; `version` rises with each change, for synchronization."""
 
     def __init__(self, boot: str):
         self.boot = boot
@@ -63,15 +63,15 @@
         self.records: dict[str, RequestRecord] = {}
         # The book's version at which each record last changed.
         self.changed: dict[str, int] = {}
-        # What follows from the records; see `blame.refresh`.
+        # Computed from the records; see `blame`.
         self.blocks: dict[str, Block] = {}
         self.suspects: set[str] = set()
 
 
-def merge(book: CrashBook, fingerprint: str, heard: RequestRecord) -> bool:
-    """Take what another process knows of a request; tell whether it is news."""
+def merge(book: CrashBook, fingerprint: str, received: RequestRecord) -> bool:
+    """Merge another process's record of a request; return whether it changed."""
     known = book.records.get(fingerprint)
-    merged = _merged(known, heard) if known else heard
+    merged = _merged(known, received) if known else received
     if merged == known:
         return False
     book.records[fingerprint] = merged
@@ -80,14 +80,14 @@
     return True
 
 
-def _merged(known, heard):
+def _merged(known, received):
     known_ids = {crash.engine_id for crash in known.crashes}
-    fresh = [crash for crash in heard.crashes if crash.engine_id not in known_ids]
-    is_lifted = heard.lifted_s > known.lifted_s + SAME_LIFT_S
+    fresh = [crash for crash in received.crashes if crash.engine_id not in known_ids]
+    is_lifted = received.lifted_s > known.lifted_s + LIFT_TOLERANCE_S
     return known._replace(
-        crashes=(*known.crashes, *fresh)[:MOST_CRASHES],
-        passed=max(known.passed, heard.passed),
-        lifted_s=heard.lifted_s if is_lifted else known.lifted_s,
+        crashes=(*known.crashes, *fresh)[:MAX_CRASHES],
+        passed=max(known.passed, received.passed),
+        lifted_s=received.lifted_s if is_lifted else known.lifted_s,
     )
 
 
@@ -97,26 +97,30 @@
 
 
 def prune(book: CrashBook, now_s: float) -> None:
-    """Forget requests that did no harm lately; the oldest first when there are many."""
+    """Drop expired records, and the oldest beyond `MAX_RECORDS`, blocked ones last."""
     for fingerprint, record in list(book.records.items()):
-        keep_s = REPEATED_KEEP_S if len(record.crashes) >= REPEATED else KEEP_S
-        if now_s - _last_s(record) > keep_s:
-            _forget(book, fingerprint)
-    surplus = len(book.records) - MOST_RECORDS
+        retention_s = (
+            REPEATED_RETENTION_S
+            if len(record.crashes) >= MIN_REPEATED_CRASHES
+            else RETENTION_S
+        )
+        if now_s - _last_crash_s(record) > retention_s:
+            _drop(book, fingerprint)
+    surplus = len(book.records) - MAX_RECORDS
     if surplus > 0:
         order = sorted(
             book.records,
-            key=lambda one: (one in book.blocks, _last_s(book.records[one])),
+            key=lambda one: (one in book.blocks, _last_crash_s(book.records[one])),
         )
         for fingerprint in order[:surplus]:
-            _forget(book, fingerprint)
+            _drop(book, fingerprint)
 
 
-def _last_s(record):
+def _last_crash_s(record):
     return max((crash.at_s for crash in record.crashes), default=record.lifted_s)
 
 
-def _forget(book, fingerprint):
+def _drop(book, fingerprint):
     del book.records[fingerprint]
     del book.changed[fingerprint]
     book.blocks.pop(fingerprint, None)
--- a/libs/routing/src/cherryrudder/routing/slowness.py
+++ b/libs/routing/src/cherryrudder/routing/slowness.py
@@ -1,49 +1,55 @@
-"""How slow the endpoints are that were found to be slower than their kind.
+"""Reports of endpoints that are slower than others of their kind.
 
-Load pattern: see `layers.pace`. A belief ends by itself, since whoever told it may be
-gone: an engine that was slow once would be avoided for ever, and its copy overloaded.
+Load pattern: see `layers.pace`. Reports expire, since their sender may be gone.
+Otherwise an engine that was slow once would be avoided for ever, and the other engines
+with its layers would be overloaded.
 """
 
 from typing import NamedTuple
 
-# A slow endpoint is looked at again every half second; this is three such looks.
-BELIEVED_S = 1.6
-# Engines answer somewhat unevenly by themselves. What is less isn't worth a detour.
+# A slow endpoint is measured again every half second; this is three measurements.
+REPORT_TTL_S = 1.6
+# Engines' speeds vary somewhat anyway. Smaller factors aren't worth a detour.
 MIN_SLOWNESS = 1.3
 
 
-class Told(NamedTuple):
-    """What was told of an endpoint, and until when it counts."""
+class SlownessReport(NamedTuple):
+    """An endpoint's reported slowness, and until when it is valid."""
 
     slowness: float
     until_s: float
 
 
 class SlownessBook:
-    """What was told, by the endpoint's incarnation."""
+    """The reports by the endpoint's incarnation."""
 
     def __init__(self):
-        self.told: dict[str, Told] = {}
+        self.reports: dict[str, SlownessReport] = {}
 
 
 def record_slowness(
     book: SlownessBook, engine_id: str, slowness: float, now_s: float
 ) -> bool:
-    """Take how many times slower an endpoint is than its kind; tell whether news."""
+    """Record how many times slower an endpoint is than its kind.
+
+    Return whether this makes it slow or ends its slowness.
+    """
     known = slowness_of(book, engine_id, now_s)
     if slowness < MIN_SLOWNESS:
-        book.told.pop(engine_id, None)
+        book.reports.pop(engine_id, None)
         return known > 1.0
-    book.told[engine_id] = Told(slowness, now_s + BELIEVED_S)
+    book.reports[engine_id] = SlownessReport(slowness, now_s + REPORT_TTL_S)
     return known == 1.0
 
 
 def slowness_of(book: SlownessBook, engine_id: str, now_s: float) -> float:
-    """Return how many times slower an endpoint is than its kind, 1 if nobody says."""
-    told = book.told.get(engine_id)
-    return told.slowness if told is not None and now_s < told.until_s else 1.0
+    """Return how many times slower an endpoint is than its kind, 1 without a report."""
+    report = book.reports.get(engine_id)
+    return report.slowness if report is not None and now_s < report.until_s else 1.0
 
 
 def sweep(book: SlownessBook, now_s: float) -> None:
-    """Forget what counts no longer."""
-    book.told = {name: told for name, told in book.told.items() if now_s < told.until_s}
+    """Drop expired reports."""
+    book.reports = {
+        name: told for name, told in book.reports.items() if now_s < told.until_s
+    }
--- a/libs/routing/src/cherryrudder/routing/suspicion.py
+++ b/libs/routing/src/cherryrudder/routing/suspicion.py
@@ -1,82 +1,87 @@
-"""An entry's own evidence against endpoints, beside what they say of themselves.
+"""Ejection of endpoints that fail requests, as in outlier detection.
 
-Load pattern: an endpoint dies, hangs or fails part of its requests while its heartbeats
-are still believed. Without this each new request waits there until it times out, and a
-data centre is lost for the seconds until the heartbeats are missed.
+Each entry collects its own evidence, independent of the endpoints' heartbeats.
+
+Load pattern: an endpoint dies, hangs or fails part of its requests while its last
+heartbeat still counts. Without ejection each new request waits there until it times
+out, and a data centre is lost for the seconds until the missing heartbeats are noticed.
 """
 
 from typing import NamedTuple
 
-# After one sign of death an endpoint is left alone for so long, and until it is heard
-# again. It announces itself every 1.2 s, so one that lives is heard within it.
-FIRST_REST_S = 2.0
-MOST_REST_S = 12.0
-# A death that is longer ago doesn't make the next rest longer: a link that loses
-# packets for some seconds would leave the engines behind it with rests of 12 s.
-REMEMBERED_S = 15.0
-# Failures among recent answers that make an endpoint suspect. Sound plain services fail
-# up to 14 in 100 of their requests by themselves.
-WORST_FAILED_SHARE = 0.3
-# Weight of the newest answer; some ten answers are remembered.
-MEMORY = 0.1
-# Answers before a share of failures counts.
-FEWEST_ANSWERS = 6
-
-
-class Record(NamedTuple):
-    """What one entry has seen of one incarnation of an endpoint."""
-
-    died_s: float = float("-inf")
-    rests_until_s: float = 0.0
-    rest_s: float = 0.0
+# Ejection after the first failure; it also lasts until the next heartbeat. Endpoints
+# send one every 1.2 s, so a live endpoint sends at least one within this time.
+FIRST_EJECTION_S = 2.0
+MAX_EJECTION_S = 12.0
+# An earlier failure doubles the next ejection only within this time. Otherwise a link
+# that loses packets for some seconds would get the engines behind it ejected for 12 s.
+FAILURE_MEMORY_S = 15.0
+# Share of failed recent answers above which an endpoint is ejected. Healthy plain
+# services fail up to 14 in 100 of their requests.
+MAX_FAILED_SHARE = 0.3
+# Weight of the newest answer in the moving average, which covers some ten answers.
+ANSWER_WEIGHT = 0.1
+# Answers needed before the share of failures is used.
+MIN_ANSWERS = 6
+
+
+class Evidence(NamedTuple):
+    """Evidence of one entry against one incarnation of an endpoint."""
+
+    failed_s: float = float("-inf")
+    ejected_until_s: float = 0.0
+    ejection_s: float = 0.0
     failed_share: float = 0.0
     answers: int = 0
-    # This entry itself couldn't reach it; else it was a part in the middle of a chain.
+    # This entry itself could not reach it. Otherwise the endpoint failed as a part in
+    # the middle of a chain.
     is_unreached: bool = False
-    # Until then another death makes for a longer rest.
+    # A failure before this time doubles the ejection.
     remembered_until_s: float = 0.0
-    # No control VM has had an answer or a heartbeat from it either.
-    is_verified: bool = False
+    # The control VMs have had no answer or heartbeat from it either.
+    is_confirmed: bool = False
 
 
 class Suspicions:
-    """Evidence by the endpoint's incarnation."""
+    """Evidence by the endpoint's incarnation (`engine_id`)."""
 
     def __init__(self):
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, Evidence] = {}
 
 
 def is_ejected(
-    suspicions: Suspicions, engine_id: str, heard_s: float, now_s: float
+    suspicions: Suspicions, engine_id: str, last_seen_s: float, now_s: float
 ) -> bool:
-    """Tell whether an endpoint, last heard at a time, is to be left alone."""
+    """Return whether an endpoint is ejected, given the time of its last heartbeat."""
     record = suspicions.records.get(engine_id)
     if record is None:
         return False
-    return now_s < record.rests_until_s or heard_s < record.died_s
+    return now_s < record.ejected_until_s or last_seen_s < record.failed_s
 
 
 def record_failure(
     suspicions: Suspicions, engine_id: str, now_s: float, is_unreached: bool = False
 ) -> None:
-    """Take note of a sign of death: silence, a refused connection, a reset."""
-    record = suspicions.records.get(engine_id, Record())
+    """Record a timeout, a refused connection or a reset, and eject the endpoint."""
+    record = suspicions.records.get(engine_id, Evidence())
     is_first = now_s > record.remembered_until_s
-    rest_s = FIRST_REST_S if is_first else min(MOST_REST_S, 2 * record.rest_s)
+    ejection_s = (
+        FIRST_EJECTION_S if is_first else min(MAX_EJECTION_S, 2 * record.ejection_s)
+    )
     suspicions.records[engine_id] = record._replace(
-        died_s=now_s,
-        rests_until_s=now_s + rest_s,
-        rest_s=rest_s,
+        failed_s=now_s,
+        ejected_until_s=now_s + ejection_s,
+        ejection_s=ejection_s,
         is_unreached=is_unreached,
-        remembered_until_s=now_s + REMEMBERED_S,
-        is_verified=False,
+        remembered_until_s=now_s + FAILURE_MEMORY_S,
+        is_confirmed=False,
     )
 
 
 def record_report(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
-    """Take note that others had no answer from an endpoint; tell whether it is news."""
+    """Record that other processes had no answer; return whether this ejects it."""
     record = suspicions.records.get(engine_id)
-    is_news = record is None or now_s >= record.rests_until_s
+    is_news = record is None or now_s >= record.ejected_until_s
     if is_news:
         record_failure(suspicions, engine_id, now_s)
     return is_news
@@ -85,30 +90,33 @@
 def record_confirmed_death(
     suspicions: Suspicions, engine_id: str, now_s: float
 ) -> bool:
-    """Take note that an endpoint has certainly ended; tell whether it is news."""
+    """Record that an endpoint has certainly ended; return whether this ejects it."""
     is_news = record_report(suspicions, engine_id, now_s)
     record = suspicions.records[engine_id]
-    suspicions.records[engine_id] = record._replace(is_verified=True)
+    suspicions.records[engine_id] = record._replace(is_confirmed=True)
     return is_news
 
 
-def is_certainly_dead(suspicions: Suspicions, engine_id: str, heard_s: float) -> bool:
-    """Tell whether others confirmed its death and it was not heard since."""
+def is_certainly_dead(
+    suspicions: Suspicions, engine_id: str, last_seen_s: float
+) -> bool:
+    """Return whether its end was confirmed and no heartbeat has come since."""
     record = suspicions.records.get(engine_id)
-    return record is not None and record.is_verified and heard_s < record.died_s
+    return record is not None and record.is_confirmed and last_seen_s < record.failed_s
 
 
 def reinstate(suspicions: Suspicions, engine_id: str) -> bool:
-    """End a rest, as somebody near the endpoint had its answer; tell whether it did.
+    """End an ejection after a process near the endpoint had an answer from it.
 
-    An endpoint that this entry itself doesn't reach is tried again once. If it still
-    isn't reached, the link is cut, and each request would wait at it in vain.
+    Return whether the ejection has ended. An endpoint that this entry itself could not
+    reach is retried only once: if that fails too, the link is down, and each further
+    request would wait there until it times out.
     """
     record = suspicions.records.get(engine_id)
-    if record is None or (record.is_unreached and record.rest_s > FIRST_REST_S):
+    if record is None or (record.is_unreached and record.ejection_s > FIRST_EJECTION_S):
         return False
     suspicions.records[engine_id] = record._replace(
-        died_s=float("-inf"), rests_until_s=0.0, is_verified=False
+        failed_s=float("-inf"), ejected_until_s=0.0, is_confirmed=False
     )
     return True
 
@@ -116,20 +124,22 @@
 def record_answer(
     suspicions: Suspicions, engine_id: str, is_good: bool, now_s: float
 ) -> bool:
-    """Take note of an answer; tell whether the endpoint rests from now on."""
-    record = suspicions.records.get(engine_id, Record())
-    share = record.failed_share + MEMORY * ((not is_good) - record.failed_share)
+    """Record a good or bad answer; return whether the endpoint is ejected now."""
+    record = suspicions.records.get(engine_id, Evidence())
+    share = record.failed_share + ANSWER_WEIGHT * ((not is_good) - record.failed_share)
     record = record._replace(failed_share=share, answers=record.answers + 1)
     if is_good:
-        record = record._replace(rest_s=0.0)
-    is_bad = record.answers >= FEWEST_ANSWERS and share > WORST_FAILED_SHARE
+        record = record._replace(ejection_s=0.0)
+    is_bad = record.answers >= MIN_ANSWERS and share > MAX_FAILED_SHARE
     if is_bad:
-        record = Record(rests_until_s=now_s + FIRST_REST_S, rest_s=FIRST_REST_S)
+        record = Evidence(
+            ejected_until_s=now_s + FIRST_EJECTION_S, ejection_s=FIRST_EJECTION_S
+        )
     suspicions.records[engine_id] = record
     return is_bad
 
 
 def prune(suspicions: Suspicions, known: set[str]) -> None:
-    """Drop the records of incarnations that are gone."""
+    """Drop the evidence of all incarnations except the known ones."""
     for engine_id in set(suspicions.records) - known:
         del suspicions.records[engine_id]
