--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -12,11 +12,11 @@
 from cherryrudder.replica.clock import now_s
 
 from . import backpressure
-from .job import Failed, Job, Whole
+from .job import FailedAttempt, Job, WholeAnswer
 
 # A connection in the same region is there within some milliseconds. One lost packet is
 # repeated after a second; another endpoint is there sooner.
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 # An engine that crashes breaks all its streams at once, more than the entries of its
 # data centre may send again at that moment. Each gets a new part of the budget with the
 # next word of the control VMs, twice a second.
@@ -25,9 +25,9 @@
 # A success without the engine's seal is none of its answers.
 FIRST_OK, LAST_OK = 200, 299
 # The status of an engine that isn't the incarnation that was asked for.
-OTHER_INCARNATION = 421
+WRONG_INCARNATION_STATUS = 421
 # To clients these statuses promise that the request has not run and never will.
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 async def open_for(job: Job, address: str) -> EngineConnection:
@@ -36,7 +36,7 @@
     A request that may not be repeated never goes out on a kept connection: the engine
     may close it at that moment, and nobody could tell whether the request has run.
     """
-    timeout_s = max(0.0, min(CONNECT_S, job.left_s()))
+    timeout_s = max(0.0, min(CONNECT_TIMEOUT_S, job.left_s()))
     if not job.is_idempotent:
         return await pool.take_new(job.state.pool, address, timeout_s, now_s())
     connection, _ = await pool.take(job.state.pool, address, timeout_s, now_s())
@@ -51,7 +51,7 @@
     await connection.send(request.method, request.target, headers, request.body)
 
 
-def is_foreign(job: Job, facts: AnswerFacts) -> bool:
+def is_for_other_request(job: Job, facts: AnswerFacts) -> bool:
     """Tell whether an answer names another request than this one."""
     return bool(facts.request_id) and facts.request_id != job.facts.request_id
 
@@ -62,7 +62,7 @@
         raise AnswerBroken("a success without a seal")
 
 
-async def read_own_head(
+async def read_matching_head(
     job: Job, connection: EngineConnection, engine_id: str, timeout_s: float
 ) -> tuple[Head, AnswerFacts]:
     """Return the answer's head, past late answers to other requests.
@@ -73,9 +73,9 @@
     while True:
         head = await connection.read_head(end_s - now_s())
         facts = messages.read_answer(head.headers)
-        if not is_foreign(job, facts):
+        if not is_for_other_request(job, facts):
             check_seal(head, facts)
-            if head.status != OTHER_INCARNATION:
+            if head.status != WRONG_INCARNATION_STATUS:
                 backpressure.note_answer(job, engine_id, head.status, facts, now_s())
             return head, facts
         job.note("foreign-answer", address=connection.address)
@@ -86,9 +86,9 @@
 
 async def may_retry(
     job: Job,
-    failed: Failed,
-    ran: int,
-    most_runs: int,
+    failed: FailedAttempt,
+    runs: int,
+    max_runs: int,
     expected_s: float,
     has_begun: bool | None = None,
 ) -> bool:
@@ -102,15 +102,15 @@
         # Nothing has left; another endpoint costs no retry.
         return job.left_s() > expected_s
     attempt = Attempt(
-        attempts=ran,
+        attempts=runs,
         is_idempotent=job.is_idempotent,
         is_certain_not_run=failed.is_not_run,
         expected_s=expected_s,
         deadline_s=job.end_s,
-        max_attempts=most_runs,
+        max_attempts=max_runs,
     )
     budget, service = job.state.budget, job.service.name
-    until_s = job.leaves_s() if has_begun else now_s() + BUDGET_WAIT_S
+    until_s = job.client_leaves_s() if has_begun else now_s() + BUDGET_WAIT_S
     verdict = sharedbudget.may_retry(budget, service, attempt, now_s(), has_begun)
     while verdict is Verdict.NO_BUDGET and now_s() < until_s:
         await anyio.sleep(BUDGET_POLL_S)
@@ -119,15 +119,15 @@
     return verdict is Verdict.RETRY
 
 
-def failure_of(whole: Whole, is_idempotent: bool) -> Failed | None:
+def failure_of(whole: WholeAnswer, is_idempotent: bool) -> FailedAttempt | None:
     """Return why an engine's answer is not passed on at once, None when it is.
 
     For an engine that doesn't vouch that the request has not run. A status that would
     promise so to the client never passes, also for a request that may be repeated: the
     promise would be a guess.
     """
-    if whole.status in PROMISES_NOT_RUN:
-        return Failed(f"status {whole.status} after a run", is_not_run=False)
+    if whole.status in NOT_RUN_STATUSES:
+        return FailedAttempt(f"status {whole.status} after a run", is_not_run=False)
     if whole.status >= 500 and is_idempotent:
-        return Failed(f"status {whole.status}", is_not_run=False, whole=whole)
+        return FailedAttempt(f"status {whole.status}", is_not_run=False, answer=whole)
     return None
--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -17,10 +17,10 @@
     from .job import Job
 
 # An engine's answer with one of these may say for how long it wants nothing more.
-TURNED_AWAY = frozenset({429, 503})
+BACKOFF_STATUSES = frozenset({429, 503})
 # Clients are told to come back after this at least, spread over so much more time.
-LEAST_RETRY_S = 0.1
-RETRY_SPREAD = 0.5
+MIN_RETRY_AFTER_S = 0.1
+RETRY_AFTER_JITTER = 0.5
 
 
 def note_answer(
@@ -39,7 +39,7 @@
 
 def asks_for_backoff(status: int, facts: AnswerFacts) -> bool:
     """Tell whether an answer turns this machine away for some time."""
-    return status in TURNED_AWAY and bool(facts.retry_after_s)
+    return status in BACKOFF_STATUSES and bool(facts.retry_after_s)
 
 
 def _note_leaving(job, engine_id, now_s):
@@ -104,4 +104,6 @@
 
 def retry_after_s(state: "EntryState", wait_s: float) -> float:
     """Return when a client may come back, spread so that not all come at once."""
-    return max(LEAST_RETRY_S, wait_s) * (1.0 + RETRY_SPREAD * state.rng.random())
+    return max(MIN_RETRY_AFTER_S, wait_s) * (
+        1.0 + RETRY_AFTER_JITTER * state.rng.random()
+    )
--- a/libs/node/src/cherryrudder/node/brokenruns.py
+++ b/libs/node/src/cherryrudder/node/brokenruns.py
@@ -9,8 +9,8 @@
 
 # An engine that nobody asks for is missed when it is back at its address.
 PENDING_S = 10.0
-MOST_ENGINES = 64
-MOST_RUNS = 256
+MAX_ENGINES = 64
+MAX_RUNS = 256
 # What an engine had sent before it ended is read within this time.
 IN_FLIGHT_S = 0.2
 
@@ -39,7 +39,7 @@
     """Keep a run."""
     kept = runs.runs.setdefault(engine_id, [])
     kept.append(run)
-    del kept[:-MOST_RUNS]
+    del kept[:-MAX_RUNS]
 
 
 def ended(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
@@ -63,7 +63,7 @@
             del runs.runs[engine_id]
 
 
-def take(runs: BrokenRuns, engine_id: str, leaving_s: float) -> list[BrokenRun]:
+def take(runs: BrokenRuns, engine_id: str, leaving_since_s: float) -> list[BrokenRun]:
     """Return the runs that an engine ended under, once, if it is known to have.
 
     Not those that broke after it had said that it leaves: that end was planned.
@@ -71,7 +71,7 @@
     if engine_id not in runs.ended_s:
         return []
     broken = runs.runs.pop(engine_id, [])
-    return [run for run in broken if run.broke_s < leaving_s]
+    return [run for run in broken if run.broke_s < leaving_since_s]
 
 
 def sweep(runs: BrokenRuns, now_s: float) -> None:
@@ -85,5 +85,5 @@
         if now_s - ended_s > PENDING_S:
             del runs.ended_s[engine_id]
     for kept in (runs.runs, runs.ended_s):
-        for engine_id in list(kept)[: max(0, len(kept) - MOST_ENGINES)]:
+        for engine_id in list(kept)[: max(0, len(kept) - MAX_ENGINES)]:
             del kept[engine_id]
--- a/libs/node/src/cherryrudder/node/enginecalls.py
+++ b/libs/node/src/cherryrudder/node/enginecalls.py
@@ -13,12 +13,12 @@
 
 # A report or an order is answered within some milliseconds; an engine that takes
 # longer is dead or cut off.
-CALL_S = 0.5
+CALL_TIMEOUT_S = 0.5
 MAX_ANSWER_BYTES = 1024 * 1024
 
 
 async def get_report(
-    address: str, timeout_s: float = CALL_S, kept: Pool | None = None
+    address: str, timeout_s: float = CALL_TIMEOUT_S, kept: Pool | None = None
 ) -> engines.Report:
     """Return an engine's report; raises EngineCallFailed.
 
@@ -40,7 +40,7 @@
     Without an answer the order may still be carried out seconds later.
     """
     body = engines.write_order(order)
-    status, _ = await _call(address, (b"POST", calls.ORDER_PATH, body), CALL_S)
+    status, _ = await _call(address, (b"POST", calls.ORDER_PATH, body), CALL_TIMEOUT_S)
     return status
 
 
@@ -51,7 +51,7 @@
     """
     body = engines.write_reroute(request_id, chain)
     call = (b"POST", calls.ORDER_PATH, body)
-    status, answer = await _call(address, call, CALL_S)
+    status, answer = await _call(address, call, CALL_TIMEOUT_S)
     return status, engines.read_fault_address(answer)
 
 
--- a/libs/node/src/cherryrudder/node/entry.py
+++ b/libs/node/src/cherryrudder/node/entry.py
@@ -14,10 +14,10 @@
 
 from . import httpserver, ratekeeper, surface
 from .entrystate import EntryState
-from .frontdoor import FrontDoor
 from .httpserver import HttpServer
 from .linesink import LineSink
 from .metrics import Metrics
+from .request_handler import RequestHandler
 from .surface import Shown
 from .uplink import Uplink
 
@@ -25,8 +25,8 @@
 # until then new connections go on coming, and are served.
 OUT_OF_ROTATION_S = 2.6
 # Left of the platform's patience for closing what has still not ended.
-LAST_S = 0.4
-SWEEP_S = 1.0
+CLOSE_MARGIN_S = 0.4
+SWEEP_INTERVAL_S = 1.0
 
 
 async def run(
@@ -37,8 +37,8 @@
     async with anyio.create_task_group() as group:
         uplink = Uplink(state, group)
         uplink.start()
-        door = FrontDoor(state, uplink)
-        group.start_soon(door.watch.run)
+        door = RequestHandler(state, uplink)
+        group.start_soon(door.supervisor.run)
         server = HttpServer(door.handle)
         server.limits = Limits(*DEFAULT_LIMITS)
         group.start_soon(httpserver.serve, server, settings.client_address)
@@ -53,7 +53,7 @@
                 partial(ratekeeper.dump, state.rates),
             ),
         )
-        group.start_soon(_tidy, state, server, door)
+        group.start_soon(_sweep, state, server, door)
         await leaving.wait()
         await _stop(door, server, settings.bounds.grace_s)
         group.cancel_scope.cancel()
@@ -80,23 +80,23 @@
     return age_s < gatekeeping.READY_SHARE * state.settings.bounds.revoke_s
 
 
-async def _tidy(state, server, door):
+async def _sweep(state, server, door):
     """Follow the configured limits, and close connections that grew old."""
     while True:
-        await anyio.sleep(SWEEP_S)
+        await anyio.sleep(SWEEP_INTERVAL_S)
         if state.table is not None:
             server.limits = Limits(*state.table.configuration.limits)
         now = now_s()
         live = endpoints.live(state.endpoints.table, now)
         known = {announcement.address for announcement in live}
         pool.sweep(state.pool, known, now)
-        door.watch.stalls.forget(known)
+        door.supervisor.stalls.drop_unknown(known)
 
 
 async def _stop(door, server, grace_s):
     """Serve on until the platform sends nobody, then until all requests have ended."""
     server.is_closing = True
-    deadline_s = door.ends_s = now_s() + grace_s - LAST_S
+    deadline_s = door.process_ends_s = now_s() + grace_s - CLOSE_MARGIN_S
     await anyio.sleep(min(OUT_OF_ROTATION_S, grace_s / 2))
     door.is_closed = True
     server.close_idle()
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -36,26 +36,26 @@
 # An engine that refused a stream for want of memory is taken as full for so long. What
 # other entries have running there is known half a second late; meanwhile all streams
 # would go to the same full engine, and each refusal costs a retry.
-FULL_S = 0.4
+FULL_HOLD_S = 0.4
 # How much an engine's cost differs from choice to choice: less than kinds differ, more
 # than two engines of one kind that have a few streams more or less.
 JITTER = 0.15
 # Entries assumed until the control VMs tell how many there are.
-FIRST_ENTRIES = 32
+INITIAL_ENTRIES = 32
 # Other entries of a data centre that are assumed at least for the first seconds of a
 # process. After a loss of power all entries start together, each with the requests that
 # came meanwhile, and control VMs that have started too know few of them. Each thought
 # itself alone then, and all sent to the same engines, which refused most of it. Assumed
 # too many, they leave room unused for a moment.
-FIRST_PEERS = 10.0
-FIRST_S = 2.0
+INITIAL_PEERS = 10.0
+STARTUP_S = 2.0
 
 
-class ToldLoad(NamedTuple):
+class ReportedLoad(NamedTuple):
     """What an endpoint said of its load in an answer."""
 
     load: float
-    told_s: float
+    reported_s: float
 
 
 class EntryState:
@@ -89,7 +89,7 @@
             bounds.retry_share,
             bounds.retry_slack,
             bounds.retry_window_s,
-            FIRST_ENTRIES,
+            INITIAL_ENTRIES,
         )
         # By engine address: requests, their tokens and the chains that begin there, of
         # this entry and of the others.
@@ -98,11 +98,11 @@
         self.firsts: dict[str, int] = {}
         # Tokens of this entry's prompts that gave no event yet, by engine address.
         self.unread: dict[str, int] = {}
-        self.others = OtherLoad()
+        self.other_load = OtherLoad()
         # Other entries that serve the same data centre.
-        self.peers = FIRST_PEERS
+        self.peers = INITIAL_PEERS
         self.started_s = now_s()
-        self.told: dict[str, ToldLoad] = {}
+        self.reported_loads: dict[str, ReportedLoad] = {}
         # When this entry heard that an incarnation of an engine is about to leave.
         self.leaving_s: dict[str, float] = {}
         # The incarnation that was last heard of, by address.
@@ -111,7 +111,7 @@
         self.full_until_s: dict[str, float] = {}
         self.pipes = PipeBudget()
         # How many entries there are, as the control VMs tell.
-        self.entries = FIRST_ENTRIES
+        self.entries = INITIAL_ENTRIES
         # Set when an engine is found dead, and replaced by whoever waits for it.
         self.engine_died = anyio.Event()
         # Set once the process is to end.
@@ -123,7 +123,7 @@
         return self.table.version if self.table else 0
 
 
-def began(state: EntryState, chain: Chain, tokens: int) -> None:
+def add_load(state: EntryState, chain: Chain, tokens: int) -> None:
     """Count a request in on every engine of its chain."""
     for part in chain:
         state.running[part.address] = state.running.get(part.address, 0) + 1
@@ -132,7 +132,7 @@
     state.firsts[first] = state.firsts.get(first, 0) + 1
 
 
-def ended(state: EntryState, chain: Chain, tokens: int) -> None:
+def remove_load(state: EntryState, chain: Chain, tokens: int) -> None:
     """Count a request out again."""
     for part in chain:
         state.running[part.address] -= 1
@@ -146,13 +146,13 @@
         del state.firsts[first]
 
 
-def prompt_sent(state: EntryState, chain: Chain, tokens: int) -> None:
+def add_unread(state: EntryState, chain: Chain, tokens: int) -> None:
     """Count a prompt that every engine of a chain has yet to read."""
     for part in chain:
         state.unread[part.address] = state.unread.get(part.address, 0) + tokens
 
 
-def prompt_read(state: EntryState, chain: Chain, tokens: int) -> None:
+def remove_unread(state: EntryState, chain: Chain, tokens: int) -> None:
     """Count a prompt out again: it was read, or its attempt has ended."""
     for part in chain:
         left = state.unread.pop(part.address, 0) - tokens
@@ -168,7 +168,7 @@
 def note_beat(state: EntryState) -> None:
     """Take note of what this entry has running as it tells the others."""
     own = {address: _own(state, address) for address in state.running}
-    otherload.note_beat(state.others, own)
+    otherload.note_beat(state.other_load, own)
 
 
 def hear_others(
@@ -176,9 +176,9 @@
 ) -> None:
     """Take what the other entries had running."""
     told = {one.address: Load(*one[1:]) for one in usages}
-    otherload.hear(state.others, told)
-    is_new = now_s - state.started_s < FIRST_S
-    least = FIRST_PEERS if is_new else 0.0
+    otherload.hear(state.other_load, told)
+    is_new = now_s - state.started_s < STARTUP_S
+    least = INITIAL_PEERS if is_new else 0.0
     state.peers = max(least, state.entries / max(1, data_centres) - 1)
 
 
@@ -240,13 +240,13 @@
 
 def note_full(state: EntryState, address: str, now_s: float) -> None:
     """Take note that an engine had no room for a stream."""
-    state.full_until_s[address] = now_s + FULL_S
+    state.full_until_s[address] = now_s + FULL_HOLD_S
 
 
 def _candidate(state, announcement, now):
     address = announcement.address
     own = _own(state, address)
-    others = otherload.estimate(state.others, address, own, state.peers)
+    others = otherload.estimate(state.other_load, address, own, state.peers)
     is_barred = hangs.is_resting(
         state.hangs, announcement.engine_id, now
     ) or not backpressure.may_begin(state, announcement.engine_id, now)
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -20,15 +20,15 @@
 ANSWER_MARGIN_S = 0.02
 # Clients leave a stream that shows nothing for the longest of these: two seconds, some
 # objectives, some of the longest pauses that are still on time.
-LEAST_PATIENCE_S = 2.0
-PATIENCE_OBJECTIVES = 4.0
-PATIENCE_PAUSES = 8.0
+MIN_CLIENT_TIMEOUT_S = 2.0
+CLIENT_TIMEOUT_OBJECTIVES = 4.0
+CLIENT_TIMEOUT_PAUSES = 8.0
 # A client that is about to leave is left to do so: ended just before, its answer would
 # look broken off by this system.
 LEAVE_MARGIN_S = 0.3
 
 
-class Whole(NamedTuple):
+class WholeAnswer(NamedTuple):
     """A whole answer of an engine."""
 
     status: int
@@ -36,7 +36,7 @@
     body: bytes
 
 
-class Failed(NamedTuple):
+class FailedAttempt(NamedTuple):
     """An attempt that brought no answer to pass on."""
 
     reason: str
@@ -48,9 +48,9 @@
     # The engine broke its answer off, or gave none before the connection ended.
     is_broken: bool = False
     # An engine's own failure, to be passed on if nothing better comes.
-    whole: Whole | None = None
+    answer: WholeAnswer | None = None
     # The engine wants nothing from this machine for a while.
-    is_turned_away: bool = False
+    is_backoff: bool = False
     # When the client may come back, where that is known.
     retry_after_s: float | None = None
 
@@ -80,10 +80,10 @@
         self.outcome = "cut"
         self.first_byte_s: float | None = None
         # The last piece that the client got, and the longest pause before one.
-        self.piece_s = 0.0
+        self.last_chunk_s = 0.0
         self.longest_pause_s = 0.0
         # When that pause was over.
-        self.paused_until_s = 0.0
+        self.longest_pause_end_s = 0.0
         # How long it waited for a chain before its first event, and for want of what.
         self.waited_s = 0.0
         self.waited_for = ""
@@ -100,18 +100,18 @@
             return self.route.is_resumable
         return self.route.kind is RouteKind.SAFE
 
-    def note_piece(self, now: float) -> None:
+    def note_chunk(self, now: float) -> None:
         """Take note that the client gets a piece of a stream."""
         if self.first_byte_s is None:
             self.first_byte_s = now
         else:
             self._note_pause(now)
-        self.piece_s = now
+        self.last_chunk_s = now
 
     def _note_pause(self, now):
-        if now - self.piece_s > self.longest_pause_s:
-            self.longest_pause_s = now - self.piece_s
-            self.paused_until_s = now
+        if now - self.last_chunk_s > self.longest_pause_s:
+            self.longest_pause_s = now - self.last_chunk_s
+            self.longest_pause_end_s = now
 
     def note_wait(self, waited_s: float, waited_for: str) -> None:
         """Take note of a wait for a chain; only those before the first event count."""
@@ -119,18 +119,18 @@
             self.waited_s += waited_s
             self.waited_for = waited_for
 
-    def patience_s(self) -> float:
+    def client_timeout_s(self) -> float:
         """Return how long the client stays with a stream that shows nothing."""
         return max(
-            LEAST_PATIENCE_S,
-            PATIENCE_OBJECTIVES * self.route.objective_s,
-            PATIENCE_PAUSES * self.route.gap_s,
+            MIN_CLIENT_TIMEOUT_S,
+            CLIENT_TIMEOUT_OBJECTIVES * self.route.objective_s,
+            CLIENT_TIMEOUT_PAUSES * self.route.gap_s,
         )
 
-    def leaves_s(self) -> float:
+    def client_leaves_s(self) -> float:
         """Return when the client of a stream that has begun leaves by itself."""
-        shown_s = max(self.arrived_s, self.piece_s)
-        return min(self.end_s, shown_s + self.patience_s() + LEAVE_MARGIN_S)
+        shown_s = max(self.arrived_s, self.last_chunk_s)
+        return min(self.end_s, shown_s + self.client_timeout_s() + LEAVE_MARGIN_S)
 
     def left_s(self) -> float:
         """Return the time until the client or the route gives up."""
@@ -152,7 +152,7 @@
         name = entrystate.engine_name(self.state, engine_id)
         return Sending(name, self.end_s - now_s(), self.admitted.account, **fields)
 
-    async def pass_on(self, whole: Whole) -> None:
+    async def pass_on(self, whole: WholeAnswer) -> None:
         """Send an engine's whole answer to the client, unchanged."""
         self.outcome = f"status {whole.status}"
         self.first_byte_s = now_s()
@@ -165,18 +165,18 @@
         self.outcome = f"refused {refused.status}"
         await refuse(self.state, self.exchange, self.facts, refused, self.route.kind)
 
-    async def refuse_for_good(self) -> None:
+    async def refuse_permanently(self) -> None:
         """Answer a request that ends its engines."""
         crashes.note_refused(self, now_s())
         await self.refuse(crashes.ENDS_ENGINES)
 
-    async def fail(self, failed: Failed) -> None:
+    async def fail(self, failed: FailedAttempt) -> None:
         """Send the final answer after attempts that brought none.
 
         Only an engine's word, or that nothing was sent, makes it a "not run".
         """
-        if failed.whole is not None:
-            await self.pass_on(failed.whole)
+        if failed.answer is not None:
+            await self.pass_on(failed.answer)
             return
         if failed.is_not_run:
             retry_after_s = failed.retry_after_s or self.retry_after_s()
--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -21,15 +21,15 @@
 from .gossip import Complaint, PaceNews
 
 # Between looks at a slow engine; its report is some 0.2 s old by itself.
-AGAIN_S = 0.5
+POLL_INTERVAL_S = 0.5
 # After a look that found an engine sound, it is left alone for so long, twice as long
 # after each further one. The first one is short, as a report is some 0.2 s old: a look
 # at the moment at which an engine turns slow finds nothing.
-FIRST_REST_S = 0.4
-MOST_REST_S = 4.0
+MIN_REST_S = 0.4
+MAX_REST_S = 4.0
 # A report takes some milliseconds inside a data centre, and 15 from a busy engine; a
 # lost packet is sent again after 0.2 s.
-REPORT_S = 0.3
+REPORT_TIMEOUT_S = 0.3
 
 log = logger.bind(part="pace")
 
@@ -63,18 +63,18 @@
         is_known = engine_id in self.state.endpoints.table.entries
         if is_known and engine_id not in self._watched:
             self._watched.add(engine_id)
-            self._tell(engine_id, news.slowness, is_news=True)
+            self._send_pace(engine_id, news.slowness, is_news=True)
             self.group.start_soon(self._watch, engine_id)
 
     async def _watch(self, engine_id):
         was_slow = False
         try:
             while (slowness := await self._slowness(engine_id)) >= LEAST_SLOWNESS:
-                self._tell(engine_id, slowness, is_news=not was_slow)
+                self._send_pace(engine_id, slowness, is_news=not was_slow)
                 was_slow = True
-                await anyio.sleep(AGAIN_S)
+                await anyio.sleep(POLL_INTERVAL_S)
             if was_slow:
-                self._tell(engine_id, slowness, is_news=True)
+                self._send_pace(engine_id, slowness, is_news=True)
         finally:
             self._watched.discard(engine_id)
             self._rest(engine_id, was_slow)
@@ -86,12 +86,12 @@
             return 1.0
         address = known.announcement.address
         try:
-            return (await enginecalls.get_report(address, REPORT_S)).slowness
+            return (await enginecalls.get_report(address, REPORT_TIMEOUT_S)).slowness
         except EngineCallFailed as error:
             log.info("No report: {}.", error)
             return 1.0
 
-    def _tell(self, engine_id, slowness, is_news):
+    def _send_pace(self, engine_id, slowness, is_news):
         news = PaceNews(engine_id, slowness)
         for address in roster.present(self.state.entries, now_s()):
             self.links.send(address, news)
@@ -104,6 +104,6 @@
         known = set(self.state.endpoints.table.entries)
         self._rests = {name: r for name, r in self._rests.items() if name in known}
         _, last_s = self._rests.get(engine_id, (0.0, 0.0))
-        rest_s = FIRST_REST_S if was_slow else min(MOST_REST_S, 2 * last_s)
-        rest_s = max(FIRST_REST_S, rest_s)
+        rest_s = MIN_REST_S if was_slow else min(MAX_REST_S, 2 * last_s)
+        rest_s = max(MIN_REST_S, rest_s)
         self._rests[engine_id] = (now_s() + rest_s, rest_s)
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -16,20 +16,22 @@
 from cherryrudder.routing.picking import Place
 
 from . import attempts, backpressure, brokenruns, crashes, ratekeeper
-from .entrystate import ToldLoad, is_suspect, serving
+from .entrystate import ReportedLoad, is_suspect, serving
 from .gossip import CrashNews
-from .job import ANSWER_MARGIN_S, Failed, Job, Whole
+from .job import ANSWER_MARGIN_S, FailedAttempt, Job, WholeAnswer
 
 # Part of the time left that an idempotent request waits for one endpoint while another
 # could still answer in time: of the objective, and once that has passed, of the time
 # that its client waits.
-PATIENCE_SHARE = 0.4
+TIMEOUT_SHARE = 0.4
 # Time that a second attempt needs to be worth sending: the work is 20 to 70 ms.
 EXPECTED_S = 0.05
 # Between two looks for a permit at endpoints that limit their requests.
-LEAST_PAUSE_S = 0.01
-NO_ENDPOINT = Failed("no endpoint", is_not_run=True, is_sent=False)
-BARRED = Failed("endpoints take no more requests", is_not_run=True, is_sent=False)
+MIN_POLL_INTERVAL_S = 0.01
+NO_ENDPOINT = FailedAttempt("no endpoint", is_not_run=True, is_sent=False)
+BARRED = FailedAttempt(
+    "endpoints take no more requests", is_not_run=True, is_sent=False
+)
 
 
 async def serve(job: Job, tell: Callable[[CrashNews | None], None]) -> None:
@@ -39,12 +41,12 @@
     has_run = False
     while True:
         place = await _choose(job, excluded)
-        if isinstance(place, Failed):
+        if isinstance(place, FailedAttempt):
             if failed is NO_ENDPOINT:
                 failed = place
             break
         result = await _attempt(job, place)
-        if isinstance(result, Whole):
+        if isinstance(result, WholeAnswer):
             brokenruns.answered(job.state.broken, place.engine_id, now_s())
             tell(crashes.reached(job, FINISHED, now_s()))
             await job.pass_on(result)
@@ -54,7 +56,7 @@
             await crashes.wait_for_fate(job, place.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
-            is_not_run=not has_run, whole=result.whole or failed.whole
+            is_not_run=not has_run, answer=result.answer or failed.answer
         )
         excluded.add(place.engine_id)
         if not await attempts.may_retry(
@@ -63,7 +65,7 @@
             break
         await crashes.wait_apart(job)
         if crashes.is_blocked(job, now_s()):
-            await job.refuse_for_good()
+            await job.refuse_permanently()
             return
     await job.fail(failed)
 
@@ -74,7 +76,7 @@
     while True:
         barred: set[str] = set()
         while (place := _pick(job, excluded | barred)) is not None:
-            if await _takes_it(state, place.engine_id):
+            if await _accepts_request(state, place.engine_id):
                 backpressure.begin(state, place.engine_id, now_s())
                 return place
             barred.add(place.engine_id)
@@ -85,10 +87,10 @@
         if now + wait_s > job.arrived_s + job.route.objective_s - EXPECTED_S:
             retry_after_s = backpressure.retry_after_s(state, wait_s)
             return BARRED._replace(retry_after_s=retry_after_s)
-        await anyio.sleep(max(LEAST_PAUSE_S, wait_s))
+        await anyio.sleep(max(MIN_POLL_INTERVAL_S, wait_s))
 
 
-async def _takes_it(state, engine_id):
+async def _accepts_request(state, engine_id):
     """Tell whether an endpoint takes a request; ask for a permit if it needs one."""
     if not backoffs.may_begin(state.backoffs, engine_id, now_s()):
         return False
@@ -120,20 +122,20 @@
 
 def _place(state, announcement, now):
     engine_id = announcement.engine_id
-    told = state.told.get(engine_id, ToldLoad(0.0, now))
+    reported = state.reported_loads.get(engine_id, ReportedLoad(0.0, now))
     return Place(
         engine_id=engine_id,
         address=announcement.address,
         vm_zone=announcement.vm_zone,
         slots=announcement.slots,
         own_running=state.running.get(announcement.address, 0),
-        told_load=told.load,
-        told_age_s=now - told.told_s,
+        told_load=reported.load,
+        told_age_s=now - reported.reported_s,
         is_suspect=is_suspect(state, engine_id, now),
     )
 
 
-async def _attempt(job: Job, place: Place) -> Whole | Failed:
+async def _attempt(job: Job, place: Place) -> WholeAnswer | FailedAttempt:
     state = job.state
     state.running[place.address] = state.running.get(place.address, 0) + 1
     state.tokens.setdefault(place.address, 0)
@@ -143,7 +145,7 @@
         state.running[place.address] -= 1
         if not state.running[place.address]:
             del state.running[place.address], state.tokens[place.address]
-    _judge(job, place, result)
+    _note_health(job, place, result)
     return result
 
 
@@ -151,7 +153,7 @@
     try:
         connection = await attempts.open_for(job, place.address)
     except ConnectFailed as error:
-        return Failed(str(error), is_not_run=True, is_sent=False)
+        return FailedAttempt(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
     is_kept = False
     try:
@@ -161,9 +163,9 @@
         is_kept = True
         return result
     except AnswerLate as error:
-        return Failed(str(error), is_not_run=False, is_late=True)
+        return FailedAttempt(str(error), is_not_run=False, is_late=True)
     except AnswerBroken as error:
-        return Failed(str(error), is_not_run=False, is_broken=True)
+        return FailedAttempt(str(error), is_not_run=False, is_broken=True)
     finally:
         if is_kept:
             pool.give_back(job.state.pool, connection, now_s())
@@ -172,30 +174,32 @@
 
 
 async def _read(job, connection, place):
-    head, facts = await attempts.read_own_head(
-        job, connection, place.engine_id, patience_s(job, now_s())
+    head, facts = await attempts.read_matching_head(
+        job, connection, place.engine_id, attempt_timeout_s(job, now_s())
     )
     body = await _read_body(connection)
     if facts.load is not None:
         running, waiting, _ = facts.load
-        job.state.told[place.engine_id] = ToldLoad(running + waiting, now_s())
+        job.state.reported_loads[place.engine_id] = ReportedLoad(
+            running + waiting, now_s()
+        )
     if facts.is_not_run:
-        return Failed(
+        return FailedAttempt(
             f"status {head.status} from the endpoint",
             is_not_run=True,
-            is_turned_away=backpressure.asks_for_backoff(head.status, facts),
+            is_backoff=backpressure.asks_for_backoff(head.status, facts),
         )
-    whole = Whole(head.status, head.headers, body)
+    whole = WholeAnswer(head.status, head.headers, body)
     return attempts.failure_of(whole, job.is_idempotent) or whole
 
 
-def patience_s(job: Job, now: float) -> float:
+def attempt_timeout_s(job: Job, now: float) -> float:
     """Return how long the present endpoint may take until its answer begins."""
     left_s = job.end_s - now - ANSWER_MARGIN_S
     if not job.is_idempotent or job.attempts >= job.route.max_attempts:
         return left_s
     in_time_s = job.arrived_s + job.route.objective_s - now
-    return PATIENCE_SHARE * min(left_s, in_time_s if in_time_s > 0 else left_s)
+    return TIMEOUT_SHARE * min(left_s, in_time_s if in_time_s > 0 else left_s)
 
 
 async def _read_body(connection):
@@ -205,14 +209,14 @@
     return b"".join(pieces)
 
 
-def _judge(job, place, result):
+def _note_health(job, place, result):
     """Take what the attempt tells of the endpoint."""
     suspicions, engine_id, now = job.state.suspicions, place.engine_id, now_s()
-    if isinstance(result, Failed) and result.is_turned_away:
+    if isinstance(result, FailedAttempt) and result.is_backoff:
         # It lives, and says nothing of how it serves.
         return
-    if isinstance(result, Failed) and not result.is_sent:
+    if isinstance(result, FailedAttempt) and not result.is_sent:
         suspicion.died(suspicions, engine_id, now)
     else:
-        is_good = isinstance(result, Whole) or result.is_not_run
+        is_good = isinstance(result, WholeAnswer) or result.is_not_run
         suspicion.answered(suspicions, engine_id, is_good, now)
--- a/libs/node/src/cherryrudder/node/frontdoor.py
+++ b/libs/node/src/cherryrudder/node/request_handler.py
@@ -20,8 +20,8 @@
 from .entrystate import EntryState
 from .job import Job, refuse
 from .roomdesk import RoomDesks
-from .stalls import StallDesk
-from .supervision import Watch
+from .stalls import StallDetector
+from .supervision import StreamSupervisor
 from .uplink import Uplink
 
 # A request that comes in the last seconds may not end in time: most streams take 2 to 5
@@ -30,10 +30,10 @@
 # How long a request waits for this entry's configuration, or for a control VM's word on
 # it: a new leader and its first word take 1.2 s after a loss of power. Clients leave a
 # stream that shows nothing for 2 s.
-HOLD_S = 1.3
+MAX_HOLD_S = 1.3
 # Part of the time that a client gives its request; the rest is for serving it.
 HOLD_SHARE = 0.5
-HOLD_POLL_S = 0.02
+HOLD_POLL_INTERVAL_S = 0.02
 # A usual chain makes a token in 12 to 14 ms.
 TOKEN_S = 0.014
 # Clients' guesses of their answers' length are right at the median. If they are off
@@ -42,7 +42,7 @@
 GUESS_FACTOR = 2.5
 
 
-class FrontDoor:
+class RequestHandler:
     """Takes requests and sees each to its one final answer."""
 
     def __init__(self, state: EntryState, uplink: Uplink):
@@ -50,10 +50,10 @@
         # Set in the last seconds before the process ends.
         self.is_closed = False
         # When the process ends, once that is known.
-        self.ends_s: float | None = None
+        self.process_ends_s: float | None = None
         desks = RoomDesks(uplink.group)
         self._tell_crashes = uplink.tell_crashes
-        self.watch = Watch(state, StallDesk(state, uplink), desks)
+        self.supervisor = StreamSupervisor(state, StallDetector(state, uplink), desks)
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve or refuse one request."""
@@ -76,12 +76,12 @@
         and those that were refused before don't come back at all.
         """
         decision = self._decide_now(exchange.request, facts)
-        wait_s = HOLD_S
+        wait_s = MAX_HOLD_S
         if facts.deadline_s is not None:
             wait_s = min(wait_s, HOLD_SHARE * facts.deadline_s)
         until_s = exchange.request.arrived_s + wait_s
         while decision in (UNKNOWN, UNCONFIRMED) and now_s() < until_s:
-            await anyio.sleep(HOLD_POLL_S)
+            await anyio.sleep(HOLD_POLL_INTERVAL_S)
             decision = self._decide_now(exchange.request, facts)
         return decision
 
@@ -116,10 +116,10 @@
         )
         try:
             if crashes.is_blocked(job, now_s()):
-                await job.refuse_for_good()
+                await job.refuse_permanently()
                 return
             if service.model is not None and service.model.layers:
-                await streamrelay.serve(job, self.watch)
+                await streamrelay.serve(job, self.supervisor)
             else:
                 await plainrelay.serve(job, self._tell_crashes)
         finally:
@@ -133,14 +133,14 @@
         that it has not run, its client goes elsewhere and loses some milliseconds.
         """
         model = job.service.model
-        if self.ends_s is None or model is None or not model.layers:
+        if self.process_ends_s is None or model is None or not model.layers:
             return False
         facts = job.facts
         tokens = facts.guessed_answer_tokens or model.usual_answer_tokens
         tokens *= GUESS_FACTOR
         if facts.max_answer_tokens:
             tokens = min(tokens, facts.max_answer_tokens)
-        return now_s() + tokens * TOKEN_S > self.ends_s
+        return now_s() + tokens * TOKEN_S > self.process_ends_s
 
 
 def _record(job):
@@ -165,7 +165,7 @@
         first_byte_s=first_s and round(first_s, 3),
         total_s=round(total_s, 3),
         longest_pause_s=round(job.longest_pause_s, 3),
-        paused_at_s=round(max(0.0, job.paused_until_s - job.arrived_s), 3),
+        paused_at_s=round(max(0.0, job.longest_pause_end_s - job.arrived_s), 3),
         waited_s=round(job.waited_s, 3),
         waited_for=job.waited_for,
         objective_s=job.route.objective_s,
--- a/libs/node/src/cherryrudder/node/reroute.py
+++ b/libs/node/src/cherryrudder/node/reroute.py
@@ -16,7 +16,7 @@
 
 from . import enginecalls, entrystate, streamchains
 from .errors import EngineCallFailed
-from .stream import FIRST_LOST_S, FIRST_SILENCE_S
+from .stream import FIRST_ENGINE_EXCLUSION_S, INITIAL_SILENCE_S
 
 if TYPE_CHECKING:
     from .stream import Stream
@@ -25,7 +25,7 @@
 MAX_REROUTES = 3
 # Between two looks for a part that a hole in the layers or a full range left out. Room
 # comes free as other streams end, every 30 to 90 ms in a busy data centre.
-PART_POLL_S = 0.08
+REPLACEMENT_POLL_S = 0.08
 
 
 async def go_on_without(
@@ -37,52 +37,54 @@
     what was read of it, and broken off, the stream would wait all the same, with an
     attempt less and nothing kept.
     """
-    job, since_s = stream.job, stream.progressed_s
+    job, since_s = stream.job, stream.last_progress_s
     for address in lost:
         is_first = address == stream.chain[0].address
-        stream.exclude(address, now_s() + FIRST_LOST_S if is_first else math.inf)
+        stream.exclude(
+            address, now_s() + FIRST_ENGINE_EXCLUSION_S if is_first else math.inf
+        )
     for _ in range(MAX_REROUTES):
-        chain = await _wait_without(stream, connection, lost)
+        chain = await _wait_for_replacement(stream, connection, lost)
         if chain is None:
             break
-        status, missing = await order(stream, chain)
+        status, missing = await request_reroute(stream, chain)
         if stream.connection is not connection:
             # The attempt ended meanwhile, and its chain was counted out already.
             return
         if status in (200, 202):
-            take(stream, chain)
+            switch_chain(stream, chain)
             return
         if status != 409 or not missing:
             break
         lost = lost | {missing}
         stream.exclude(missing)
-    if stream.connection is not connection or stream.progressed_s > since_s:
+    if stream.connection is not connection or stream.last_progress_s > since_s:
         # It has ended meanwhile, or goes on over the chain that seemed lost.
         return
     job.state.metrics.reroutes.labels("failed").inc()
     stream.has_lost_first = stream.chain[0].address in lost
-    stream.break_off("an engine of the chain died")
+    stream.abort_attempt("an engine of the chain died")
 
 
-async def _wait_without(stream, connection, lost):
+async def _wait_for_replacement(stream, connection, lost):
     """Return a chain without the lost parts, None when the stream should go elsewhere.
 
     Elsewhere is another whole chain; until there is either, the stream waits.
     """
-    since_s = stream.progressed_s
-    while stream.connection is connection and stream.progressed_s <= since_s:
+    since_s = stream.last_progress_s
+    while stream.connection is connection and stream.last_progress_s <= since_s:
         chain = without(stream, lost)
         is_first_lost = stream.chain[0].address in lost
         if chain is not None or is_first_lost or not stream.has_begun:
             return chain
-        is_over = now_s() >= stream.job.leaves_s()
+        is_over = now_s() >= stream.job.client_leaves_s()
         if is_over or streamchains.has_other_chain(stream, lost):
             return None
-        await anyio.sleep(PART_POLL_S)
+        await anyio.sleep(REPLACEMENT_POLL_S)
     return None
 
 
-async def order(
+async def request_reroute(
     stream: "Stream", chain: Chain, is_move: bool = False
 ) -> tuple[int, str]:
     """Order the first engine to carry a stream on; return status and fault address."""
@@ -100,7 +102,7 @@
         is_move=is_move,
         chain=engines.write_chain(chain),
         last_event=stream.last_event,
-        silent_s=round(now_s() - stream.progressed_s, 3),
+        silent_s=round(now_s() - stream.last_progress_s, 3),
     )
     return status, missing
 
@@ -114,7 +116,7 @@
     # may be leaving, and so not among the usable ones.
     first = job.state.endpoints.table.entries.get(stream.chain[0].engine_id)
     need = Need(stream.tokens, first.announcement.vm_zone if first else "")
-    usable = streamchains.usable(stream, lost, now_s(), vm_zone=need.home_zone)
+    usable = streamchains.usable_engines(stream, lost, now_s(), vm_zone=need.home_zone)
     model = job.service.model
     chain = chains.replace_parts(model, stream.chain, usable, lost, need)
     if chain is None or not chains.covers(chain, model.layers):
@@ -122,16 +124,16 @@
     return chain
 
 
-def take(stream: "Stream", chain: Chain) -> None:
+def switch_chain(stream: "Stream", chain: Chain) -> None:
     """Count a stream over from its chain to the one that it goes on over."""
     state = stream.job.state
-    entrystate.ended(state, stream.chain, stream.tokens)
-    entrystate.began(state, chain, stream.tokens)
+    entrystate.remove_load(state, stream.chain, stream.tokens)
+    entrystate.add_load(state, chain, stream.tokens)
     stream.chain = chain
     service = stream.job.service
     usable = entrystate.candidates(state, service.name, now_s())
     stream.expected_pause_s = pace.expected_pause_s(service.model, chain, usable)
     # The new part reads the whole request first.
-    stream.progressed_s = now_s()
-    stream.silence_s = FIRST_SILENCE_S
+    stream.last_progress_s = now_s()
+    stream.silence_limit_s = INITIAL_SILENCE_S
     state.metrics.reroutes.labels("done").inc()
--- a/libs/node/src/cherryrudder/node/stalls.py
+++ b/libs/node/src/cherryrudder/node/stalls.py
@@ -28,12 +28,12 @@
 # an engine lives is good for longer: streams that are merely slow ask again and again.
 # An engine without an answer counts as silent from the end of the look on, which takes
 # longer than this by itself.
-DEAD_AGE_S = 0.1
-ALIVE_AGE_S = 0.3
+SILENT_MAX_AGE_S = 0.1
+REPORT_MAX_AGE_S = 0.3
 # Time limits of an answer: at least some turns of the scheduler at either side, at most
 # half of a pause that clients notice. A lost packet is sent again after 0.2 s only.
 REPORT_BOUNDS = Bounds(least_s=0.015, first_s=0.03, most_s=0.12)
-RESENT_S = 0.2
+RETRANSMIT_S = 0.2
 # Tries at a report, each in usual time limits and in seconds beyond them. An engine
 # that answers none is taken as dead; the second try is longer, for one that has just
 # become busy.
@@ -41,7 +41,7 @@
 # Links between data centres lose packets at times. Of the reports over one that loses
 # 4 in 100, one in seven needs a packet sent again, and each look asks for some ten. The
 # last try is left out once others over that link have answered in the same look.
-FAR_TRIES = ((1.0, 0.0), (1.5, 0.0), (1.5, RESENT_S))
+FAR_TRIES = ((1.0, 0.0), (1.5, 0.0), (1.5, RETRANSMIT_S))
 # A stream that loses its first engine runs once more, over other engines: more than a
 # part that is read again, so that an engine which is merely starved isn't left for it.
 FIRST_EXTRA_S = (0.045, 0.2, 0.0)
@@ -52,57 +52,57 @@
 log = logger.bind(part="stalls")
 
 
-class Look(NamedTuple):
+class SharedReport(NamedTuple):
     """A report, or None when the engine gave none, and when it counts from."""
 
     report: Report | None
-    seen_s: float
+    valid_from_s: float
 
 
-class StallDesk:
+class StallDetector:
     """The newest reports of engines, shared by the streams that are silent."""
 
     def __init__(self, state: EntryState, uplink: Uplink):
         self.state = state
         self.uplink = uplink
         # By address, and whether it is the first engine of the chain that is looked at.
-        self._looks: dict[tuple[str, bool], Look] = {}
+        self._reports: dict[tuple[str, bool], SharedReport] = {}
         self._locks: dict[tuple[str, bool], anyio.Lock] = {}
         # How long reports take, by the engine's data centre.
-        self._times: dict[str, AnswerTimes] = {}
+        self._answer_times: dict[str, AnswerTimes] = {}
         # When an engine of a data centre last gave one.
         self._answered_s: dict[str, float] = {}
 
-    async def look(self, addresses: list[str]) -> dict[str, Look]:
+    async def get_reports(self, addresses: list[str]) -> dict[str, SharedReport]:
         """Ask a chain's engines for their reports, all at the same time."""
         # Kept apart from the shared ones: an address may be forgotten meanwhile.
-        found: dict[str, Look] = {}
+        found: dict[str, SharedReport] = {}
 
-        async def look(address):
-            found[address] = await self._look(address, address == addresses[0])
+        async def fetch(address):
+            found[address] = await self._get_shared(address, address == addresses[0])
 
         async with anyio.create_task_group() as group:
             for address in addresses:
-                group.start_soon(look, address)
+                group.start_soon(fetch, address)
         return found
 
-    async def _look(self, address, is_first):
+    async def _get_shared(self, address, is_first):
         key = (address, is_first)
         lock = self._locks.setdefault(key, anyio.Lock())
         async with lock:
-            known = self._looks.get(key)
+            known = self._reports.get(key)
             if known is not None and _is_fresh(known, now_s()):
                 return known
             asked_s = now_s()
             report = await self._ask(address, is_first)
             seen_s = now_s() if report is None else asked_s
-            fresh = self._looks[key] = Look(report, seen_s)
+            fresh = self._reports[key] = SharedReport(report, seen_s)
             return fresh
 
     async def _ask(self, address, is_first):
         """Return an engine's report, or None when it gives none in any try."""
         zone = self._zone_of(address)
-        times = self._times.setdefault(zone, AnswerTimes())
+        times = self._answer_times.setdefault(zone, AnswerTimes())
         is_near = zone == self.state.settings.vm_zone
         began_s = now_s()
         tries = NEAR_TRIES if is_near else FAR_TRIES
@@ -135,13 +135,13 @@
             if now_s() - asked_s < timeout_s + OWN_DELAY_S:
                 return None
 
-    def forget(self, known: set[str]) -> None:
+    def drop_unknown(self, known: set[str]) -> None:
         """Drop what was found about addresses that are no longer known."""
-        for key in [key for key in self._looks if key[0] not in known]:
-            del self._looks[key]
+        for key in [key for key in self._reports if key[0] not in known]:
+            del self._reports[key]
             self._locks.pop(key, None)
 
-    def accuse(self, address: str, why: str, is_unreached: bool = False) -> None:
+    def mark_dead(self, address: str, why: str, is_unreached: bool = False) -> None:
         """Take an engine as dead, and have a control VM look at it, too."""
         state, now = self.state, now_s()
         engine = entrystate.engine_at(state, address, now)
@@ -168,5 +168,5 @@
 
 
 def _is_fresh(look, now):
-    limit_s = DEAD_AGE_S if look.report is None else ALIVE_AGE_S
-    return now - look.seen_s < limit_s
+    limit_s = SILENT_MAX_AGE_S if look.report is None else REPORT_MAX_AGE_S
+    return now - look.valid_from_s < limit_s
--- a/libs/node/src/cherryrudder/node/stream.py
+++ b/libs/node/src/cherryrudder/node/stream.py
@@ -13,17 +13,17 @@
 from .job import Job
 
 if TYPE_CHECKING:
-    from .supervision import Watch
+    from .supervision import StreamSupervisor
 
 # A prompt of usual size is read in less than 0.1 s; the objective is 0.5 s.
-FIRST_SILENCE_S = 0.25
+INITIAL_SILENCE_S = 0.25
 # How long a stream keeps away from the first engine of a chain that broke. A control VM
 # has told by then whether that engine lives; for good, a stream that has run on all the
 # engines that its route allows had none left that it might go back to.
-FIRST_LOST_S = 0.6
+FIRST_ENGINE_EXCLUSION_S = 0.6
 
 
-class Offer(NamedTuple):
+class KeptChain(NamedTuple):
     """A chain that was found for a stream while it leaves another."""
 
     chain: Chain
@@ -34,10 +34,10 @@
 class Stream:
     """A stream on its way from engines to its client."""
 
-    def __init__(self, job: Job, watch: "Watch"):
+    def __init__(self, job: Job, supervisor: "StreamSupervisor"):
         self.job = job
-        self.watch = watch
-        self.stalls = watch.stalls
+        self.supervisor = supervisor
+        self.stalls = supervisor.stalls
         self.tokens = expected_tokens(job)
         self.chain: Chain = ()
         # The chain's engines are counted as having this stream.
@@ -52,23 +52,23 @@
         self.unread_chain: Chain = ()
         # The connection of the present attempt.
         self.connection: EngineConnection | None = None
-        self.progressed_s = now_s()
+        self.last_progress_s = now_s()
         # The usual pause between pieces, and what it should be over this chain.
-        self.pause_s = 0.0
+        self.mean_pause_s = 0.0
         self.expected_pause_s = 0.0
         self.pauses = AnswerTimes()
         # When it is to be moved away from engines that leave; 0 while none does.
-        self.moves_s = 0.0
+        self.move_at_s = 0.0
         # When this entry last complained of the chain's pace.
-        self.complained_s = float("-inf")
-        self.silence_s = FIRST_SILENCE_S
-        self.is_looked_at = False
-        self.offer: Offer | None = None
+        self.last_complaint_s = float("-inf")
+        self.silence_limit_s = INITIAL_SILENCE_S
+        self.is_under_review = False
+        self.kept_chain: KeptChain | None = None
         # Why there was no chain, and when there may be one.
         self.refusal = ""
         self.retry_after_s = 0.0
         # Why the watch broke the present attempt off, and whether for want of time.
-        self.broken = ""
+        self.break_reason = ""
         self.is_late = False
         # The watch has taken the present attempt's first engine as dead.
         self.has_lost_first = False
@@ -83,12 +83,12 @@
         """Count the prompt as on its way through the chain."""
         self.unread_chain = self.chain
         tokens = self.job.facts.prompt_tokens
-        entrystate.prompt_sent(self.job.state, self.unread_chain, tokens)
+        entrystate.add_unread(self.job.state, self.unread_chain, tokens)
 
     def note_read(self) -> None:
         """Count the prompt as read, if it isn't yet."""
         chain, self.unread_chain = self.unread_chain, ()
-        entrystate.prompt_read(self.job.state, chain, self.job.facts.prompt_tokens)
+        entrystate.remove_unread(self.job.state, chain, self.job.facts.prompt_tokens)
 
     def exclude(self, address: str, until_s: float = math.inf) -> None:
         """Keep the request away from an engine, for good unless a time is given."""
@@ -107,9 +107,9 @@
         told = self.job.facts.last_event
         return int(told) if told.isdecimal() else 0
 
-    def break_off(self, why: str) -> None:
+    def abort_attempt(self, why: str) -> None:
         """End the present attempt; its reader finds the connection closed."""
-        self.broken = why
+        self.break_reason = why
         if self.connection is not None:
             self.connection.close()
 
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -10,7 +10,7 @@
 from cherryrudder.routing import backoffs
 
 from . import backpressure, entrystate, ratekeeper
-from .stream import Offer
+from .stream import KeptChain
 
 if TYPE_CHECKING:
     from .stream import Stream
@@ -20,7 +20,7 @@
 WAIT_SHARE = 0.65
 # A usual prompt is read in this time, so that a stream which gets its chain later than
 # this before its objective is late.
-READ_S = 0.1
+PROMPT_READ_S = 0.1
 # Some layers are held by no engine that may be used, or by none with room.
 NO_CHAIN = "no chain"
 NO_ROOM = "no room"
@@ -32,22 +32,22 @@
 # not as an engine that is yet to be heard, in times between two heartbeats.
 ANNOUNCED_SHARE = 0.5
 # How long a chain that was found for a stream is kept: until its attempt has ended.
-OFFER_S = 0.05
+KEPT_CHAIN_S = 0.05
 
 
 async def wait_for_chain(stream: "Stream") -> Chain | None:
     """Return a chain that is counted in, or None when none will be free in time."""
     job, began_s = stream.job, now_s()
     stream.refusal = ""
-    desk = stream.watch.desks.of(job.service.name)
+    desk = stream.supervisor.desks.of(job.service.name)
     await _acquire_permit(stream)
-    if _backs_off_too_long(stream, now_s()):
+    if _is_backoff_too_long(stream, now_s()):
         stream.refusal = BACKING_OFF
         stream.retry_after_s = _backpressure_s(stream, now_s())
         return None
     try:
         chain = await desk.find(
-            _waiting(stream),
+            _queue_entry(stream),
             lambda: _take_chain(stream),
             is_picky=bool(stream.excluded(began_s) or bounding_firsts(stream)),
         )
@@ -62,7 +62,7 @@
         if stream.refusal in (LIMITED, BACKING_OFF):
             told_s = _backpressure_s(stream, now_s())
             stream.retry_after_s = max(stream.retry_after_s, told_s)
-        _note_no_chain(stream)
+        _log_no_chain(stream)
     return chain
 
 
@@ -85,14 +85,14 @@
         return []
     return [
         one.engine_id
-        for one in _firsts(stream, now)
+        for one in _first_engines(stream, now)
         if vm_zone in ("", one.vm_zone)
         and not ratekeeper.may_begin(state, one.engine_id, now)
         and not backoffs.is_active(state.backoffs, one.engine_id, now)
     ]
 
 
-def _firsts(stream, now):
+def _first_engines(stream, now):
     """Return the engines at which a stream could begin if they took requests."""
     state, avoided = stream.job.state, stream.excluded(now)
     only_at = bounding_firsts(stream)
@@ -106,17 +106,17 @@
     ]
 
 
-def _are_barred(stream, now):
+def _are_all_barred(stream, now):
     """Tell whether no engine at which a stream could begin takes a request now."""
     state = stream.job.state
     if not state.backoffs.backoffs and not state.rates.book.limits:
         return False
-    firsts = _firsts(stream, now)
+    firsts = _first_engines(stream, now)
     may_begin = (backpressure.may_begin(state, one.engine_id, now) for one in firsts)
     return bool(firsts) and not any(may_begin)
 
 
-def _backs_off_too_long(stream, now):
+def _is_backoff_too_long(stream, now):
     """Tell whether all engines at which a stream could begin want nothing for too long.
 
     An answer that has begun can't be refused, so it waits.
@@ -124,34 +124,34 @@
     book = stream.job.state.backoffs
     if not book.backoffs or stream.has_begun:
         return False
-    firsts = _firsts(stream, now)
+    firsts = _first_engines(stream, now)
     lefts_s = [backoffs.left_s(book, one.engine_id, now) for one in firsts]
-    return min(lefts_s, default=0.0) > max(0.0, _waiting(stream).give_up_s - now)
+    return min(lefts_s, default=0.0) > max(0.0, _queue_entry(stream).give_up_s - now)
 
 
 def _backpressure_s(stream, now):
     """Return when some engine may take a stream, spread over those that wait."""
     state = stream.job.state
-    engine_ids = [one.engine_id for one in _firsts(stream, now)]
+    engine_ids = [one.engine_id for one in _first_engines(stream, now)]
     wait_s = backpressure.wait_s(state, engine_ids, now)
     return backpressure.retry_after_s(state, wait_s)
 
 
-def _waiting(stream):
+def _queue_entry(stream):
     """Return what the queue is told of a stream.
 
     One that was interrupted waits until its client leaves. Given up after a part of
     that time it ended in the middle while others were given room.
     """
     job, route = stream.job, stream.job.route
-    give_up_s = min(job.arrived_s + WAIT_SHARE * job.patience_s(), job.end_s)
+    give_up_s = min(job.arrived_s + WAIT_SHARE * job.client_timeout_s(), job.end_s)
     return Waiting(
         request_id=f"{job.facts.request_id}-{id(stream)}",
         account=job.admitted.account,
         tokens=stream.tokens,
         arrived_s=job.arrived_s,
-        in_time_until_s=job.arrived_s + route.objective_s - READ_S,
-        give_up_s=job.leaves_s() if stream.has_begun else give_up_s,
+        in_time_until_s=job.arrived_s + route.objective_s - PROMPT_READ_S,
+        give_up_s=job.client_leaves_s() if stream.has_begun else give_up_s,
         has_begun=stream.has_begun,
     )
 
@@ -185,17 +185,17 @@
     for by the next one.
     """
     job, now = stream.job, now_s()
-    engines = usable(stream, lost, now, is_running=True)
+    engines = usable_engines(stream, lost, now, is_running=True)
     need = Need(stream.tokens, job.state.settings.vm_zone)
     chain = chains.choose_chain(job.service.model, engines, need)
     if chain is None or not chains.covers(chain, job.service.model.layers):
         return False
     pause_s = pace.expected_pause_s(job.service.model, chain, engines)
-    stream.offer = Offer(chain, pause_s, now + OFFER_S)
+    stream.kept_chain = KeptChain(chain, pause_s, now + KEPT_CHAIN_S)
     return True
 
 
-def usable(
+def usable_engines(
     stream: "Stream",
     lost: set[str],
     now: float,
@@ -219,18 +219,18 @@
 
 def _take_chain(stream):
     """Return a chain and count it in; it is counted out when its attempt ends."""
-    chain = _take_offer(stream, now_s()) or _choose(stream)
+    chain = _take_kept_chain(stream, now_s()) or _choose(stream)
     if chain is not None:
         stream.chain = chain
         stream.is_counted = True
         backpressure.begin(stream.job.state, chain[0].engine_id, now_s())
-        entrystate.began(stream.job.state, chain, stream.tokens)
+        entrystate.add_load(stream.job.state, chain, stream.tokens)
     return chain
 
 
-def _take_offer(stream, now):
+def _take_kept_chain(stream, now):
     """Return the chain that was kept for a stream, if it may still go over it."""
-    offer, stream.offer = stream.offer, None
+    offer, stream.kept_chain = stream.kept_chain, None
     if offer is None or now > offer.until_s:
         return None
     if stream.excluded(now) & {part.address for part in offer.chain}:
@@ -250,13 +250,13 @@
     """Count a stream's chain out, if it is counted in."""
     if stream.is_counted:
         stream.is_counted = False
-        entrystate.ended(stream.job.state, stream.chain, stream.tokens)
+        entrystate.remove_load(stream.job.state, stream.chain, stream.tokens)
 
 
 def _choose(stream):
     """Return a chain, or None and why there is none in `refusal`."""
     job, now = stream.job, now_s()
-    engines = usable(stream, set(), now)
+    engines = usable_engines(stream, set(), now)
     need = Need(stream.tokens, job.state.settings.vm_zone)
     chain = chains.choose_chain(job.service.model, engines, need)
     if chain is None:
@@ -278,7 +278,7 @@
     job = stream.job
     limited = _limited_firsts(stream, now)
     ratekeeper.ask(job.state, limited, now)
-    if _are_barred(stream, now):
+    if _are_all_barred(stream, now):
         return LIMITED if limited else BACKING_OFF
     is_whole = chains.is_whole(job.service.model, engines)
     return NO_ROOM if is_whole else NO_CHAIN
@@ -311,7 +311,7 @@
     return chain
 
 
-def _note_no_chain(stream):
+def _log_no_chain(stream):
     """Log what a stream lacked: which layer is held by too few, or too full."""
     job = stream.job
     engines = entrystate.candidates(job.state, job.service.name, now_s())
@@ -323,7 +323,7 @@
         engines=len(engines),
         tightest_layer=layer,
         free_tokens=round(free),
-        own_streams=len(stream.watch.streams),
+        own_streams=len(stream.supervisor.streams),
         only_at=sorted(bounding_firsts(stream)),
         limited=_limited_firsts(stream, now_s()),
     )
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -14,23 +14,23 @@
 from cherryrudder.routing.gatekeeping import Refused
 
 from . import attempts, brokenruns, crashes, entrystate, streamchains, supervision
-from .job import Failed, Job, Whole
+from .job import FailedAttempt, Job, WholeAnswer
 from .stream import Stream
 from .streamchains import BACKING_OFF, LIMITED, NO_CHAIN, NO_ROOM
-from .supervision import Watch
+from .supervision import StreamSupervisor
 
 # A second attempt is worth sending while this much is left: a prompt is read within
 # 0.1 s, and some events are better than none.
 EXPECTED_S = 0.3
 # The chains that a hole in the layers leaves without are back after a load: a part of
 # 14 s for all layers, 1 to 2 s for one engine's range.
-HOLE_RETRY_S = 3.0
+NO_CHAIN_RETRY_S = 3.0
 # Room comes back as streams end; one lasts 2.2 s on the average. Most clients come back
 # once only, so that a time which is too short to help costs them the answer.
-ROOM_RETRY_S = 2.0
+NO_ROOM_RETRY_S = 2.0
 # A client counts a time to come back that is longer than a third of the time left, some
 # 6 s, as that third.
-MOST_RETRY_S = 5.0
+MAX_RETRY_AFTER_S = 5.0
 # Sends beyond the route's attempts that engines may refuse unrun, or die under. They
 # don't count against the route, but each is work for the engines that are left. A
 # request without an answer can be told to come back instead; one whose answer has begun
@@ -39,20 +39,20 @@
 
 # How long a request keeps away from an engine that refused it for want of room: as long
 # as a usual answer takes to end there.
-REFUSED_S = 2.0
+REFUSAL_EXCLUSION_S = 2.0
 
 RETRY_AFTER_S = {
-    NO_CHAIN: HOLE_RETRY_S,
-    NO_ROOM: ROOM_RETRY_S,
+    NO_CHAIN: NO_CHAIN_RETRY_S,
+    NO_ROOM: NO_ROOM_RETRY_S,
     LIMITED: 0.0,
     BACKING_OFF: 0.0,
 }
 
 
-async def serve(job: Job, watch: Watch) -> None:
+async def serve(job: Job, supervisor: StreamSupervisor) -> None:
     """See a stream to its end."""
-    stream = Stream(job, watch)
-    failed = Failed(NO_CHAIN, is_not_run=True, is_sent=False)
+    stream = Stream(job, supervisor)
+    failed = FailedAttempt(NO_CHAIN, is_not_run=True, is_sent=False)
     has_run = False
     while True:
         await crashes.wait_apart(job)
@@ -62,7 +62,7 @@
             break
         if crashes.is_blocked(job, now_s()):
             streamchains.release(stream)
-            await _refuse_for_good(stream)
+            await _refuse_permanently(stream)
             return
         result = await _attempt(stream)
         if result is None:
@@ -70,7 +70,7 @@
         if result.is_broken:
             await crashes.wait_for_fate(job, chain[0].engine_id)
         if crashes.is_blocked(job, now_s()):
-            await _refuse_for_good(stream)
+            await _refuse_permanently(stream)
             return
         if not result.is_not_run:
             stream.ran_at.append(chain[0].engine_id)
@@ -96,12 +96,12 @@
     )
 
 
-async def _refuse_for_good(stream):
+async def _refuse_permanently(stream):
     if stream.has_begun:
         crashes.note_refused(stream.job, now_s())
         stream.job.outcome = f"broken off: {crashes.ENDS_ENGINES.reason}"
         return
-    await stream.job.refuse_for_good()
+    await stream.job.refuse_permanently()
 
 
 async def _give_up(stream, failed):
@@ -112,13 +112,13 @@
         return
     if failed.is_not_run and failed.reason in RETRY_AFTER_S:
         usual_s = RETRY_AFTER_S[failed.reason]
-        retry_after_s = min(MOST_RETRY_S, max(usual_s, stream.retry_after_s))
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(usual_s, stream.retry_after_s))
         await job.refuse(Refused(503, failed.reason, retry_after_s))
         return
     await job.fail(failed)
 
 
-async def _attempt(stream: Stream) -> Failed | None:
+async def _attempt(stream: Stream) -> FailedAttempt | None:
     """Run the stream over its chain; return None once its answer has ended."""
     try:
         return await _exchange(stream)
@@ -131,11 +131,11 @@
     try:
         connection = await attempts.open_for(job, first.address)
     except ConnectFailed as error:
-        supervision.lose_first(stream, str(error))
-        return Failed(str(error), is_not_run=True, is_sent=False)
+        supervision.mark_first_dead(stream, str(error))
+        return FailedAttempt(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
     is_kept = False
-    _watch(stream, connection)
+    _start_watching(stream, connection)
     try:
         sending = job.sending(
             first.engine_id, last_event=_last_event(stream), chain=stream.chain
@@ -153,15 +153,15 @@
         return failed
     except (AnswerLate, AnswerBroken) as error:
         is_broken = isinstance(error, AnswerBroken)
-        is_broken = is_broken and (not stream.broken or stream.has_lost_first)
-        reason = stream.broken or str(error)
-        if not stream.broken:
+        is_broken = is_broken and (not stream.break_reason or stream.has_lost_first)
+        reason = stream.break_reason or str(error)
+        if not stream.break_reason:
             # All streams of an engine that crashes break at the same moment. Each would
             # go straight back to it, and spend its last attempt on a reset connection.
-            supervision.lose_first(stream, reason, is_unreached=False)
-        if not stream.broken or stream.has_lost_first:
+            supervision.mark_first_dead(stream, reason, is_unreached=False)
+        if not stream.break_reason or stream.has_lost_first:
             _note_break(stream, reason, is_broken)
-        return Failed(
+        return FailedAttempt(
             reason,
             is_not_run=False,
             is_late=stream.is_late,
@@ -171,7 +171,7 @@
         stream.connection = None
         stream.note_read()
         hangs.ended(job.state.hangs, first.engine_id, job.facts.request_id)
-        stream.watch.streams.discard(stream)
+        stream.supervisor.streams.discard(stream)
         if is_kept:
             pool.give_back(job.state.pool, connection, now_s())
         else:
@@ -217,14 +217,14 @@
     )
 
 
-def _watch(stream, connection):
+def _start_watching(stream, connection):
     stream.connection = connection
-    stream.broken = ""
+    stream.break_reason = ""
     stream.has_lost_first = False
     stream.has_head = False
     stream.head_s = None
-    supervision.progressed(stream, now_s())
-    stream.watch.streams.add(stream)
+    supervision.note_progress(stream, now_s())
+    stream.supervisor.streams.add(stream)
 
 
 def _last_event(stream):
@@ -236,18 +236,18 @@
 async def _relay(stream, connection):
     """Pass an engine's answer on; return what kept it from its end, if anything."""
     job = stream.job
-    head, facts = await attempts.read_own_head(
+    head, facts = await attempts.read_matching_head(
         job, connection, stream.chain[0].engine_id, job.left_s()
     )
     _note_head(stream)
     if facts.is_not_run:
         await _read_rest(connection)
-        _avoid(stream, head.status, facts)
+        _exclude_refusing(stream, head.status, facts)
         _note_refusal(stream, head, facts)
-        return Failed(f"status {head.status} from the engine", is_not_run=True)
+        return FailedAttempt(f"status {head.status} from the engine", is_not_run=True)
     if head.status != 200:
         body = await _read_rest(connection)
-        return await _pass_failure(stream, Whole(head.status, head.headers, body))
+        return await _pass_failure(stream, WholeAnswer(head.status, head.headers, body))
     if not stream.has_begun:
         await _begin(stream, head)
     await _pass_events(stream, connection)
@@ -255,7 +255,7 @@
     return None
 
 
-def _avoid(stream, status, facts):
+def _exclude_refusing(stream, status, facts):
     """Keep away from the engine that refused: the named one, else the first itself.
 
     One that is full has room again soon; one that lacks the layers does not.
@@ -264,7 +264,7 @@
     if status == 421:
         stream.exclude(address)
         return
-    stream.exclude(address, now + REFUSED_S)
+    stream.exclude(address, now + REFUSAL_EXCLUSION_S)
     entrystate.note_full(stream.job.state, address, now)
 
 
@@ -281,7 +281,9 @@
     """Pass an engine's own failure on, unless it is to be tried once more."""
     job = stream.job
     if stream.has_begun:
-        return Failed(f"status {whole.status} in a resumed stream", is_not_run=False)
+        return FailedAttempt(
+            f"status {whole.status} in a resumed stream", is_not_run=False
+        )
     failed = attempts.failure_of(whole, job.is_idempotent)
     if failed is not None:
         return failed
@@ -297,12 +299,12 @@
         data = await connection.read()
         if data is None:
             break
-        supervision.progressed(stream, now_s())
+        supervision.note_progress(stream, now_s())
         stream.note_read()
         fresh = [e for e in events.split(stream.splitter, data) if _is_new(stream, e)]
         if not fresh:
             continue
-        job.note_piece(now_s())
+        job.note_chunk(now_s())
         _note_reached(stream, stream.position())
         await job.exchange.send(b"".join(event.data for event in fresh))
     if stream.splitter.rest:
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -19,27 +19,27 @@
 from . import crashes, entrystate, reroute, stalls
 from .entrystate import EntryState
 from .roomdesk import RoomDesks
-from .stalls import StallDesk
-from .stream import FIRST_LOST_S, FIRST_SILENCE_S
+from .stalls import StallDetector
+from .stream import FIRST_ENGINE_EXCLUSION_S, INITIAL_SILENCE_S
 
 if TYPE_CHECKING:
     from .stream import Stream
 
 log = logger.bind(part="streams")
 
-REVIEW_S = 0.02
+REVIEW_INTERVAL_S = 0.02
 # When a stream counts as silent, by its own pauses: engines read long prompts between
 # its events, and clients count a pause of some 200 ms as late.
-SILENCE_BOUNDS = Bounds(least_s=0.07, first_s=FIRST_SILENCE_S, most_s=1.0)
+SILENCE_BOUNDS = Bounds(least_s=0.07, first_s=INITIAL_SILENCE_S, most_s=1.0)
 # A chain with an engine that was found dead by another stream needs less proof.
-ACCUSED_SILENCE_S = 0.06
+SUSPECT_SILENCE_S = 0.06
 # Weight of the newest pause in a stream's usual one.
-PAUSE_MEMORY = 0.2
+PAUSE_WEIGHT = 0.2
 # Each further look at a stream that is slow but not stalled waits longer.
-BACK_OFF = 1.6
+SILENCE_BACKOFF = 1.6
 # The engines themselves give up on a dead neighbour after 2.5 s; past this the first
 # engine is lost as well.
-LOST_AFTER_S = 4.0
+FIRST_ENGINE_TIMEOUT_S = 4.0
 # An engine that leaves serves for some two seconds more, as operators give it. Streams
 # that are still under way at the end are cut, and go on elsewhere after 0.3 s or not at
 # all; moved before, their clients see the pause of reading the prompt, some 0.1 s. A
@@ -49,16 +49,16 @@
 MOVE_AGAIN_S = 0.3
 # Between two complaints of one stream's pace. Its control VM looks at once, and knows
 # an engine that it has just found sound.
-COMPLAIN_EVERY_S = 1.0
+COMPLAINT_INTERVAL_S = 1.0
 # A round that comes this late says that this process itself stood still, and not that
 # the engines did: what they sent meanwhile is yet to be read.
 LATE_ROUND_S = 0.1
 
 
-class Watch:
+class StreamSupervisor:
     """The streams of one entry that are under way."""
 
-    def __init__(self, state: EntryState, stalls: StallDesk, desks: RoomDesks):
+    def __init__(self, state: EntryState, stalls: StallDetector, desks: RoomDesks):
         self.state = state
         self.stalls = stalls
         self.desks = desks
@@ -71,29 +71,31 @@
             while True:
                 await self._wait_for_review()
                 now = now_s()
-                is_late = now - last_s > REVIEW_S + LATE_ROUND_S
+                is_late = now - last_s > REVIEW_INTERVAL_S + LATE_ROUND_S
                 last_s = now
                 hung = set() if is_late else self._find_hung(now)
                 for stream in tuple(self.streams):
                     if is_late:
-                        progressed(stream, now)
+                        note_progress(stream, now)
                     elif _is_hung(stream, hung):
-                        stream.exclude(stream.chain[0].address, now + FIRST_LOST_S)
-                        stream.break_off("the first engine begins nothing")
-                    elif _is_to_stop(stream, now):
-                        stream.break_off(crashes.ENDS_ENGINES.reason)
+                        stream.exclude(
+                            stream.chain[0].address, now + FIRST_ENGINE_EXCLUSION_S
+                        )
+                        stream.abort_attempt("the first engine begins nothing")
+                    elif _must_stop(stream, now):
+                        stream.abort_attempt(crashes.ENDS_ENGINES.reason)
                     elif self._is_due(stream, now):
-                        stream.is_looked_at = True
-                        group.start_soon(self._look_after, stream, self._look)
-                    elif self._is_to_move(stream, now):
-                        stream.is_looked_at = True
-                        group.start_soon(self._look_after, stream, self._move)
-                    elif _is_crawling(stream, now):
+                        stream.is_under_review = True
+                        group.start_soon(self._run_review, stream, self._check_chain)
+                    elif self._must_move(stream, now):
+                        stream.is_under_review = True
+                        group.start_soon(self._run_review, stream, self._move)
+                    elif _is_slow(stream, now):
                         self._complain(stream, now)
 
     async def _wait_for_review(self):
         """Wait for the next round, which the news of a death brings forward."""
-        with anyio.move_on_after(REVIEW_S):
+        with anyio.move_on_after(REVIEW_INTERVAL_S):
             await self.state.engine_died.wait()
         if self.state.engine_died.is_set():
             self.state.engine_died = anyio.Event()
@@ -107,29 +109,29 @@
         return {e for e in state.hangs.waiting if hangs.is_resting(state.hangs, e, now)}
 
     def _is_due(self, stream, now):
-        if stream.is_looked_at or stream.connection is None:
+        if stream.is_under_review or stream.connection is None:
             return False
         if now >= stream.job.end_s:
             stream.is_late = True
-            stream.break_off("the time is up")
+            stream.abort_attempt("the time is up")
             return False
-        silent_s = now - stream.progressed_s
-        if silent_s > LOST_AFTER_S:
-            lose_first(stream, "silent")
+        silent_s = now - stream.last_progress_s
+        if silent_s > FIRST_ENGINE_TIMEOUT_S:
+            mark_first_dead(stream, "silent")
             stream.has_lost_first = True
-            stream.break_off("the first engine is silent")
+            stream.abort_attempt("the first engine is silent")
             return False
-        if silent_s > stream.silence_s:
+        if silent_s > stream.silence_limit_s:
             return True
-        return silent_s > ACCUSED_SILENCE_S and bool(self._accused(stream, now))
+        return silent_s > SUSPECT_SILENCE_S and bool(self._suspect_parts(stream, now))
 
-    def _is_to_move(self, stream, now):
+    def _must_move(self, stream, now):
         """Tell whether a stream goes through an engine that ends before it may.
 
         Not when it may still end by itself, and each at a moment of its own: all
         streams of an engine at once would read their prompts again at the same time.
         """
-        if stream.is_looked_at or not stream.has_head or now < stream.moves_s:
+        if stream.is_under_review or not stream.has_head or now < stream.move_at_s:
             return False
         return bool(self._leaving(stream, now))
 
@@ -144,25 +146,25 @@
 
     async def _move(self, stream):
         now, connection = now_s(), stream.connection
-        if not stream.moves_s:
+        if not stream.move_at_s:
             # Due for the first time: its own moment is still to come.
-            stream.moves_s = now + self.state.rng.random() * MOVE_SPREAD_S
+            stream.move_at_s = now + self.state.rng.random() * MOVE_SPREAD_S
             return
-        stream.moves_s = now + MOVE_AGAIN_S
+        stream.move_at_s = now + MOVE_AGAIN_S
         chain = reroute.without(stream, self._leaving(stream, now))
         if chain is None or connection is None:
             return
-        status, _ = await reroute.order(stream, chain, is_move=True)
+        status, _ = await reroute.request_reroute(stream, chain, is_move=True)
         if stream.connection is connection and status in (200, 202):
-            reroute.take(stream, chain)
+            reroute.switch_chain(stream, chain)
 
     def _complain(self, stream, now):
-        stream.complained_s = now
+        stream.last_complaint_s = now
         table = self.state.endpoints.table.entries
         known = [table.get(part.engine_id) for part in stream.chain]
         self.stalls.uplink.complain([e.announcement for e in known if e is not None])
 
-    def _accused(self, stream, now):
+    def _suspect_parts(self, stream, now):
         """Return the parts whose engines are thought dead, gone, or without the layers.
 
         By incarnation: an engine that has started again at its address has lost its
@@ -177,7 +179,7 @@
             or entrystate.is_suspect(self.state, part.engine_id, now)
         }
 
-    async def _look_after(self, stream, work):
+    async def _run_review(self, stream, work):
         try:
             await work(stream)
         except Exception as error:
@@ -185,23 +187,25 @@
             # it all others; the stream itself still ends by its time limit.
             log.opt(exception=error).error("A stream was not looked after.")
         finally:
-            stream.is_looked_at = False
+            stream.is_under_review = False
 
-    async def _look(self, stream):
-        stream.silence_s = min(SILENCE_BOUNDS.most_s, stream.silence_s * BACK_OFF)
+    async def _check_chain(self, stream):
+        stream.silence_limit_s = min(
+            SILENCE_BOUNDS.most_s, stream.silence_limit_s * SILENCE_BACKOFF
+        )
         lost = await self._find_lost(stream)
         if lost and stream.connection is not None:
             await reroute.go_on_without(stream, stream.connection, lost)
 
     async def _find_lost(self, stream):
         """Return the addresses of the chain's engines that are dead or cut off."""
-        accused = self._accused(stream, now_s())
+        accused = self._suspect_parts(stream, now_s())
         if accused:
             return accused
         # The stream may be on its next chain when the looks are over.
         chain = stream.chain
         addresses = [part.address for part in chain]
-        looks = await self.stalls.look(addresses)
+        looks = await self.stalls.get_reports(addresses)
         silent = {
             part.address
             for part in chain
@@ -217,7 +221,7 @@
             if stalled.request_id == request_id and stalled.address in addresses:
                 silent.add(stalled.address)
         for address in silent:
-            self.stalls.accuse(address, "silent or stalled")
+            self.stalls.mark_dead(address, "silent or stalled")
         return silent
 
     def _note_paces(self, chain, looks):
@@ -247,40 +251,40 @@
     return is_at_hung and stream.job.is_idempotent
 
 
-def _is_to_stop(stream, now):
+def _must_stop(stream, now):
     """Tell whether a stream that no engine has begun yet would end its engine."""
     is_waiting = stream.connection is not None and not stream.has_head
     return is_waiting and crashes.is_blocked(stream.job, now)
 
 
-def _is_crawling(stream, now):
-    if not stream.has_begun or now - stream.complained_s < COMPLAIN_EVERY_S:
+def _is_slow(stream, now):
+    if not stream.has_begun or now - stream.last_complaint_s < COMPLAINT_INTERVAL_S:
         return False
-    silent_s = now - stream.progressed_s
+    silent_s = now - stream.last_progress_s
     expected_s = stream.expected_pause_s
-    return pace.is_slow(stream.pause_s, expected_s) or pace.is_stuck(
+    return pace.is_slow(stream.mean_pause_s, expected_s) or pace.is_stuck(
         silent_s, expected_s
     )
 
 
-def progressed(stream: "Stream", now: float) -> None:
+def note_progress(stream: "Stream", now: float) -> None:
     """Take note that a stream is alive."""
     if stream.has_begun:
-        pause_s = now - stream.progressed_s
-        stream.pause_s += PAUSE_MEMORY * (pause_s - stream.pause_s)
+        pause_s = now - stream.last_progress_s
+        stream.mean_pause_s += PAUSE_WEIGHT * (pause_s - stream.mean_pause_s)
         # An outage is no usual pause.
-        answertimes.note(stream.pauses, min(pause_s, stream.silence_s))
-        stream.silence_s = answertimes.limit_s(stream.pauses, SILENCE_BOUNDS)
+        answertimes.note(stream.pauses, min(pause_s, stream.silence_limit_s))
+        stream.silence_limit_s = answertimes.limit_s(stream.pauses, SILENCE_BOUNDS)
     else:
-        stream.silence_s = FIRST_SILENCE_S
-    stream.progressed_s = now
+        stream.silence_limit_s = INITIAL_SILENCE_S
+    stream.last_progress_s = now
 
 
-def lose_first(stream: "Stream", why: str, is_unreached: bool = True) -> None:
+def mark_first_dead(stream: "Stream", why: str, is_unreached: bool = True) -> None:
     """Take the first engine of a stream's chain as dead."""
     first = stream.chain[0]
     if is_unreached:
         stream.exclude(first.address)
     else:
-        stream.exclude(first.address, now_s() + FIRST_LOST_S)
-    stream.stalls.accuse(first.address, why, is_unreached)
+        stream.exclude(first.address, now_s() + FIRST_ENGINE_EXCLUSION_S)
+    stream.stalls.mark_dead(first.address, why, is_unreached)
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -30,11 +30,11 @@
 
 # A report takes some milliseconds inside a data centre and 15 from a busy engine; a
 # lost packet is sent again after 0.2 s.
-REPORT_S = 0.1
-SECOND_REPORT_S = 0.3
+REPORT_TIMEOUT_S = 0.1
+SECOND_REPORT_TIMEOUT_S = 0.3
 # A report whose time limit was noticed late says that this process stood still. It is
 # asked for again, but not for ever.
-MOST_STANDSTILLS = 3
+MAX_STALL_RETRIES = 3
 # Other control VMs that are asked what they see.
 MOST_WITNESSES = 2
 # Both of a witness's reports, and the way there and back.
@@ -82,7 +82,7 @@
     return Verdict.DEAD if own is Seen.SILENT and is_shared else Verdict.UNCLEAR
 
 
-class _Look:
+class _Probe:
     """A look under way, for all who ask meanwhile."""
 
     def __init__(self):
@@ -90,7 +90,7 @@
         self.is_over = anyio.Event()
 
 
-class _Opinions(NamedTuple):
+class _PeerProbes(NamedTuple):
     """The control VMs that were asked about an engine, and what they have answered."""
 
     asked: tuple[str, ...]
@@ -107,10 +107,10 @@
         self.group = group
         # Who waits for the outcome, by the engine's incarnation.
         self._waiting: dict[str, set[str]] = {}
-        self._looks: dict[str, _Look] = {}
-        self._opinions: dict[str, _Opinions] = {}
+        self._probes: dict[str, _Probe] = {}
+        self._peer_probes: dict[str, _PeerProbes] = {}
         # How often entries were told that an engine has ended.
-        self._told: dict[str, int] = {}
+        self._notices_sent: dict[str, int] = {}
 
     def hear(self, accusation: Accusation) -> None:
         """Look into an accusation; one look serves all who accuse at that time."""
@@ -128,7 +128,7 @@
 
     def hear_finding(self, finding: Finding) -> None:
         """Take what another control VM saw."""
-        opinions = self._opinions.get(finding.engine_id)
+        opinions = self._peer_probes.get(finding.engine_id)
         if opinions is None or finding.sender not in opinions.asked:
             return
         opinions.heard[finding.sender] = Seen(finding.seen)
@@ -137,17 +137,17 @@
             opinions.is_over.set()
 
     async def _answer(self, question):
-        seen = await self._see(question.engine_id)
+        seen = await self._probe(question.engine_id)
         finding = Finding(question.engine_id, self.state.address, seen)
         self.links.send(question.sender, finding)
 
     async def _investigate(self, engine_id):
-        own = await self._see(engine_id)
+        own = await self._probe(engine_id)
         opinions = self._ask(engine_id) if own is Seen.SILENT else None
         if opinions is not None and opinions.asked:
             with anyio.move_on_after(OPINION_S):
                 await opinions.is_over.wait()
-        self._opinions.pop(engine_id, None)
+        self._peer_probes.pop(engine_id, None)
         senders = self._waiting.pop(engine_id)
         heard = opinions.heard if opinions else {}
         asked = len(opinions.asked) if opinions else 0
@@ -158,7 +158,9 @@
                 self.links.send(address, Acquittal(engine_id))
         elif verdict is Verdict.DEAD:
             self.condemn(engine_id)
-            self._tell(DeathNotice(engine_id), self.state.roster, self.state.entries)
+            self._send_all(
+                DeathNotice(engine_id), self.state.roster, self.state.entries
+            )
 
     def _log(self, engine_id, senders, own, heard, verdict):
         self.state.sink.write(
@@ -172,7 +174,7 @@
             outcome=verdict,
         )
 
-    def _tell(self, notice, *rosters):
+    def _send_all(self, notice, *rosters):
         now = now_s()
         for listeners in rosters:
             for address in roster.present(listeners, now):
@@ -193,27 +195,27 @@
             known = self.state.endpoints.table.entries.get(engine_id)
             if known is None or known.is_gone or known.heard_s > accused_s:
                 del self.state.accused[engine_id]
-                self._told.pop(engine_id, None)
+                self._notices_sent.pop(engine_id, None)
             elif now - known.heard_s > unheard_s and self.state.is_leader():
-                told = self._told.get(engine_id, 0)
+                told = self._notices_sent.get(engine_id, 0)
                 if told < END_NOTICES:
-                    self._told[engine_id] = told + 1
+                    self._notices_sent[engine_id] = told + 1
                     self.group.start_soon(self._confirm_end, engine_id)
 
     async def _confirm_end(self, engine_id):
-        seen = await self._see(engine_id)
+        seen = await self._probe(engine_id)
         if seen is Seen.LIVES:
             self.state.accused.pop(engine_id, None)
-            self._tell(Acquittal(engine_id), self.state.entries)
+            self._send_all(Acquittal(engine_id), self.state.entries)
         else:
-            self._tell(EndNotice(engine_id), self.state.entries)
+            self._send_all(EndNotice(engine_id), self.state.entries)
         self.state.sink.write(
             "control", "engine-unheard", True, engine_id=engine_id, seen=seen
         )
 
     def _ask(self, engine_id):
         """Ask other control VMs what they see, those near the engine before others."""
-        known = self._opinions.get(engine_id)
+        known = self._peer_probes.get(engine_id)
         if known is not None:
             return known
         present = roster.beats(self.state.roster, now_s())
@@ -221,34 +223,34 @@
         vm_zone = entry.announcement.vm_zone if entry else ""
         present.sort(key=lambda beat: (beat.vm_zone != vm_zone, beat.address))
         asked = tuple(beat.address for beat in present[:MOST_WITNESSES])
-        opinions = _Opinions(asked, {}, anyio.Event())
-        self._opinions[engine_id] = opinions
+        opinions = _PeerProbes(asked, {}, anyio.Event())
+        self._peer_probes[engine_id] = opinions
         for address in asked:
             self.links.send(address, Question(engine_id, self.state.address))
         return opinions
 
-    async def _see(self, engine_id):
+    async def _probe(self, engine_id):
         """Return what a look shows; who asks during one gets the same answer."""
-        look = self._looks.get(engine_id)
+        look = self._probes.get(engine_id)
         if look is not None:
             await look.is_over.wait()
             return look.seen
-        look = self._looks[engine_id] = _Look()
+        look = self._probes[engine_id] = _Probe()
         try:
-            look.seen = await self._look(engine_id)
+            look.seen = await self._probe_once(engine_id)
         finally:
-            del self._looks[engine_id]
+            del self._probes[engine_id]
             look.is_over.set()
         return look.seen
 
-    async def _look(self, engine_id):
+    async def _probe_once(self, engine_id):
         known = self.state.endpoints.table.entries.get(engine_id)
         if known is None or not known.announcement.address:
             return Seen.UNKNOWN
         if known.is_gone:
             return Seen.ENDED
         address = known.announcement.address
-        for timeout_s in (REPORT_S, SECOND_REPORT_S):
+        for timeout_s in (REPORT_TIMEOUT_S, SECOND_REPORT_TIMEOUT_S):
             report = await self._report(address, timeout_s)
             if report is not None:
                 # Another incarnation at the same address would answer as well.
@@ -262,7 +264,7 @@
 
     async def _report(self, address, timeout_s):
         """Return an engine's report, or None; asks again after an own standstill."""
-        for _ in range(MOST_STANDSTILLS):
+        for _ in range(MAX_STALL_RETRIES):
             asked_s = now_s()
             try:
                 return await enginecalls.get_report(address, timeout_s)
--- a/libs/node/test/test_attempts.py
+++ b/libs/node/test/test_attempts.py
@@ -1,7 +1,7 @@
 import unittest
 
 from cherryrudder.node import attempts
-from cherryrudder.node.job import Whole
+from cherryrudder.node.job import WholeAnswer
 
 
 class FailureTest(unittest.TestCase):
@@ -12,7 +12,7 @@
     """
 
     def failure(self, status, is_idempotent):
-        return attempts.failure_of(Whole(status, [], b""), is_idempotent)
+        return attempts.failure_of(WholeAnswer(status, [], b""), is_idempotent)
 
     def test_a_status_that_promises_is_never_passed_on(self):
         for status in (408, 421, 429, 503):
@@ -20,10 +20,10 @@
                 with self.subTest(status=status, is_idempotent=is_idempotent):
                     failed = self.failure(status, is_idempotent)
                     self.assertFalse(failed.is_not_run)
-                    self.assertIsNone(failed.whole)
+                    self.assertIsNone(failed.answer)
 
     def test_an_idempotent_failure_is_kept_for_want_of_better(self):
-        self.assertEqual(self.failure(500, True).whole.status, 500)
+        self.assertEqual(self.failure(500, True).answer.status, 500)
 
     def test_other_answers_are_passed_on(self):
         self.assertIsNone(self.failure(500, False))
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -8,7 +8,7 @@
 from entrycase import ENGINE, OTHER, EntryCase
 
 from cherryrudder.node import backpressure, entrystate, plainrelay, streamchains
-from cherryrudder.node.job import Failed
+from cherryrudder.node.job import FailedAttempt
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import suspicion
 
@@ -78,8 +78,8 @@
             suspicion.answered(self.state.suspicions, ENGINE, False, now_s())
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
         place = SimpleNamespace(engine_id=ENGINE)
-        failed = Failed("503", is_not_run=True, is_turned_away=True)
-        plainrelay._judge(self.job, place, failed)
+        failed = FailedAttempt("503", is_not_run=True, is_backoff=True)
+        plainrelay._note_health(self.job, place, failed)
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
 
 
@@ -89,8 +89,8 @@
     def a_stream(self, has_begun=False):
         job = self.a_job(
             end_s=now_s() + 20.0,
-            patience_s=lambda: 2.0,
-            leaves_s=lambda: now_s() + 2.0,
+            client_timeout_s=lambda: 2.0,
+            client_leaves_s=lambda: now_s() + 2.0,
             admitted=SimpleNamespace(account="a"),
             facts=SimpleNamespace(request_id="r1"),
         )
@@ -106,7 +106,7 @@
     def is_in_vain(self, backoff_s, **changes):
         for engine_id in (ENGINE, OTHER):
             self.hear(engine_id=engine_id, status=503, backoff_s=backoff_s)
-        return streamchains._backs_off_too_long(self.a_stream(**changes), now_s())
+        return streamchains._is_backoff_too_long(self.a_stream(**changes), now_s())
 
     def test_a_long_backoff_is_not_waited_for(self):
         self.assertTrue(self.is_in_vain(3))
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -24,7 +24,7 @@
     def others_seen(self):
         """Return what the others are thought to run once this entry has sent ten."""
         own = Load(10.0, 9000.0, 10.0)
-        others = self.state.others
+        others = self.state.other_load
         return otherload.estimate(others, "e:1", own, self.state.peers)
 
     def test_before_any_word_the_others_are_thought_to_send_as_much(self):
@@ -37,7 +37,7 @@
 
     def test_later_the_word_counts(self):
         self.state.entries = 6
-        later_s = self.state.started_s + entrystate.FIRST_S
+        later_s = self.state.started_s + entrystate.STARTUP_S
         entrystate.hear_others(self.state, (), 3, later_s)
         self.assertEqual(self.others_seen().firsts, 10)
 
@@ -51,16 +51,16 @@
         self.state = a_state(self.piped.sink)
 
     def test_a_prompt_counts_on_each_engine_until_it_was_read(self):
-        entrystate.prompt_sent(self.state, self.CHAIN, 700)
-        entrystate.prompt_sent(self.state, self.CHAIN[:1], 300)
+        entrystate.add_unread(self.state, self.CHAIN, 700)
+        entrystate.add_unread(self.state, self.CHAIN[:1], 300)
         self.assertEqual(self.state.unread, {"e1:1": 1000, "e2:1": 700})
-        entrystate.prompt_read(self.state, self.CHAIN, 700)
+        entrystate.remove_unread(self.state, self.CHAIN, 700)
         self.assertEqual(self.state.unread, {"e1:1": 300})
 
     def test_an_empty_prompt_takes_nothing_from_others(self):
-        entrystate.prompt_sent(self.state, self.CHAIN, 0)
-        entrystate.prompt_sent(self.state, self.CHAIN, 700)
-        entrystate.prompt_read(self.state, self.CHAIN, 0)
+        entrystate.add_unread(self.state, self.CHAIN, 0)
+        entrystate.add_unread(self.state, self.CHAIN, 700)
+        entrystate.remove_unread(self.state, self.CHAIN, 0)
         self.assertEqual(self.state.unread, {"e1:1": 700, "e2:1": 700})
 
     def test_the_others_are_thought_to_have_as_much_on_the_way(self):
@@ -68,7 +68,7 @@
         told = an_announcement("e1", layers=(0, 8), address="e1:1")
         tablesync.hear(self.state.endpoints, told, now)
         self.state.peers = 4.0
-        entrystate.prompt_sent(self.state, self.CHAIN, 700)
+        entrystate.add_unread(self.state, self.CHAIN, 700)
         (candidate,) = entrystate.candidates(self.state, "llm", now)
         self.assertEqual(candidate.unread, 5 * 700)
 
--- a/libs/node/test/test_job.py
+++ b/libs/node/test/test_job.py
@@ -13,9 +13,9 @@
         self.arrived_s = arrived_s
         self.end_s = end_s
         self.first_byte_s = None
-        self.piece_s = 0.0
+        self.last_chunk_s = 0.0
         self.longest_pause_s = 0.0
-        self.paused_until_s = 0.0
+        self.longest_pause_end_s = 0.0
         self.waited_s = 0.0
         self.waited_for = ""
 
@@ -29,35 +29,35 @@
 
     def test_a_client_leaves_some_time_after_the_last_piece(self):
         job = StubJob(100.0, 120.0)
-        job.note_piece(101.0)
-        self.assertAlmostEqual(job.leaves_s(), 103.0 + jobs.LEAVE_MARGIN_S)
+        job.note_chunk(101.0)
+        self.assertAlmostEqual(job.client_leaves_s(), 103.0 + jobs.LEAVE_MARGIN_S)
 
     def test_without_any_piece_the_time_counts_from_its_arrival(self):
         """The head of the answer came, and its engine died before the first event."""
         job = StubJob(100.0, 120.0)
-        self.assertAlmostEqual(job.leaves_s(), 102.0 + jobs.LEAVE_MARGIN_S)
+        self.assertAlmostEqual(job.client_leaves_s(), 102.0 + jobs.LEAVE_MARGIN_S)
 
     def test_long_objectives_and_pauses_make_for_patience(self):
-        self.assertEqual(StubJob(0.0, 60.0, objective_s=3.0).patience_s(), 12.0)
-        self.assertEqual(StubJob(0.0, 60.0, gap_s=1.0).patience_s(), 8.0)
+        self.assertEqual(StubJob(0.0, 60.0, objective_s=3.0).client_timeout_s(), 12.0)
+        self.assertEqual(StubJob(0.0, 60.0, gap_s=1.0).client_timeout_s(), 8.0)
 
     def test_never_beyond_the_time_of_the_request(self):
         job = StubJob(100.0, 101.5)
-        self.assertEqual(job.leaves_s(), 101.5)
+        self.assertEqual(job.client_leaves_s(), 101.5)
 
 
 class PauseTest(unittest.TestCase):
     def test_the_longest_pause_is_told_with_its_end(self):
         job = StubJob(0.0, 20.0)
         for piece_s in (1.0, 1.1, 1.6, 1.8):
-            job.note_piece(piece_s)
+            job.note_chunk(piece_s)
         self.assertAlmostEqual(job.longest_pause_s, 0.5)
-        self.assertEqual(job.paused_until_s, 1.6)
+        self.assertEqual(job.longest_pause_end_s, 1.6)
 
     def test_waits_after_the_first_event_are_no_reason_for_a_late_one(self):
         job = StubJob(0.0, 20.0)
         job.note_wait(0.3, "no room")
-        job.note_piece(1.0)
+        job.note_chunk(1.0)
         job.note_wait(0.7, "no chain")
         self.assertEqual((job.waited_s, job.waited_for), (0.3, "no room"))
 
--- a/libs/node/test/test_pacewatch.py
+++ b/libs/node/test/test_pacewatch.py
@@ -49,12 +49,12 @@
                 links = SimpleNamespace(send=lambda _, message: sent.append(message))
                 await scenario(PaceWatch(state, links, group))
 
-        kept = enginecalls.get_report, pacewatch.AGAIN_S
-        enginecalls.get_report, pacewatch.AGAIN_S = get_report, 0.01
+        kept = enginecalls.get_report, pacewatch.POLL_INTERVAL_S
+        enginecalls.get_report, pacewatch.POLL_INTERVAL_S = get_report, 0.01
         try:
             anyio.run(run)
         finally:
-            enginecalls.get_report, pacewatch.AGAIN_S = kept
+            enginecalls.get_report, pacewatch.POLL_INTERVAL_S = kept
         return sent, asked
 
     async def complain(self, watch):
--- a/libs/node/test/test_plainrelay.py
+++ b/libs/node/test/test_plainrelay.py
@@ -24,7 +24,7 @@
 
     def serve(self, rng, lost_share):
         """Return when a client has its answer, None for never."""
-        patience_s = plainrelay.patience_s(a_job(), 0.002)
+        patience_s = plainrelay.attempt_timeout_s(a_job(), 0.002)
         work_s = rng.lognormvariate(-4.4, 0.5)
         if rng.random() >= lost_share and work_s <= patience_s:
             return 0.002 + work_s
@@ -38,16 +38,16 @@
 
     def test_few_sound_answers_are_given_up(self):
         rng = random.Random(6)
-        patience_s = plainrelay.patience_s(a_job(), 0.002)
+        patience_s = plainrelay.attempt_timeout_s(a_job(), 0.002)
         late = sum(rng.lognormvariate(-4.4, 0.5) > patience_s for _ in range(1000))
         self.assertLessEqual(late, 10)
 
     def test_one_that_may_run_once_is_waited_for_to_the_end(self):
         for job in (a_job(is_idempotent=False), a_job(attempts=2)):
-            self.assertGreater(plainrelay.patience_s(job, 0.0), 0.9 * TIMEOUT_S)
+            self.assertGreater(plainrelay.attempt_timeout_s(job, 0.0), 0.9 * TIMEOUT_S)
 
     def test_past_its_objective_it_has_a_part_of_what_is_left(self):
-        left_s = plainrelay.patience_s(a_job(), OBJECTIVE_S + 0.1)
+        left_s = plainrelay.attempt_timeout_s(a_job(), OBJECTIVE_S + 0.1)
         self.assertGreater(left_s, 0.2)
         self.assertLess(left_s, TIMEOUT_S / 2)
 
--- a/libs/node/test/test_frontdoor.py
+++ b/libs/node/test/test_request_handler.py
@@ -3,8 +3,8 @@
 
 import anyio
 
-from cherryrudder.node import frontdoor
-from cherryrudder.node.frontdoor import FrontDoor
+from cherryrudder.node import request_handler
+from cherryrudder.node.request_handler import RequestHandler
 from cherryrudder.node.roster import Roster
 from cherryrudder.platform.messages import read_request
 from cherryrudder.replica.clock import now_s
@@ -33,7 +33,7 @@
     def decide(self, configured_after_s, deadline_ms=b"20000"):
         """Return the decision and how long it took."""
         state = EntryStub()
-        door = FrontDoor.__new__(FrontDoor)
+        door = RequestHandler.__new__(RequestHandler)
         door.state = state
         request = SimpleNamespace(target=b"/a/x", arrived_s=now_s())
         facts = read_request([(b"host", b"h"), (b"deadline-ms", deadline_ms)])
@@ -60,7 +60,7 @@
     def test_it_does_not_wait_longer_than_its_client(self):
         decision, took_s = self.decide(60.0, b"200")
         self.assertIs(decision, UNKNOWN)
-        self.assertLess(took_s, frontdoor.HOLD_S)
+        self.assertLess(took_s, request_handler.MAX_HOLD_S)
 
 
 class OutlastTest(unittest.TestCase):
@@ -71,8 +71,8 @@
     """
 
     def may_outlast(self, left_s, guess=0, most=0, layers=80):
-        door = FrontDoor.__new__(FrontDoor)
-        door.ends_s = None if left_s is None else now_s() + left_s
+        door = RequestHandler.__new__(RequestHandler)
+        door.process_ends_s = None if left_s is None else now_s() + left_s
         model = SimpleNamespace(layers=layers, usual_answer_tokens=174)
         facts = SimpleNamespace(guessed_answer_tokens=guess, max_answer_tokens=most)
         job = SimpleNamespace(facts=facts, service=SimpleNamespace(model=model))
--- a/libs/node/test/test_reroute.py
+++ b/libs/node/test/test_reroute.py
@@ -17,15 +17,15 @@
     labels = SimpleNamespace(labels=lambda *_: SimpleNamespace(inc=lambda: None))
     state = SimpleNamespace(metrics=SimpleNamespace(reroutes=labels))
     stream = SimpleNamespace(
-        job=SimpleNamespace(state=state, leaves_s=lambda: now_s() + 60.0),
+        job=SimpleNamespace(state=state, client_leaves_s=lambda: now_s() + 60.0),
         chain=CHAIN,
         connection=object(),
         exclude=lambda *_: None,
-        progressed_s=now_s(),
+        last_progress_s=now_s(),
         has_begun=has_begun,
     )
-    stream.broken = []
-    stream.break_off = stream.broken.append
+    stream.break_reason = []
+    stream.abort_attempt = stream.break_reason.append
     return stream
 
 
@@ -41,7 +41,7 @@
         """Look after the stream while `parts` says over what chain it may go on."""
         orders = [] if orders is None else orders
 
-        async def order(_, chain):
+        async def request_reroute(_, chain):
             orders.append(chain)
             return 200, ""
 
@@ -53,9 +53,9 @@
 
         with (
             mock.patch.object(reroute, "without", lambda *_: parts()),
-            mock.patch.object(reroute, "order", order),
-            mock.patch.object(reroute, "take"),
-            mock.patch.object(reroute, "PART_POLL_S", 0.001),
+            mock.patch.object(reroute, "request_reroute", request_reroute),
+            mock.patch.object(reroute, "switch_chain"),
+            mock.patch.object(reroute, "REPLACEMENT_POLL_S", 0.001),
             mock.patch.object(
                 reroute.streamchains, "has_other_chain", lambda *_: others()
             ),
@@ -71,7 +71,7 @@
             return OTHER if len(tries) > 5 else None
 
         self.assertEqual(self.go_on(stream, parts), [OTHER])
-        self.assertEqual(stream.broken, [])
+        self.assertEqual(stream.break_reason, [])
 
     def test_it_goes_elsewhere_as_soon_as_there_is_another_whole_chain(self):
         stream, looks = a_stream(), []
@@ -81,12 +81,12 @@
             return len(looks) > 3
 
         self.assertEqual(self.go_on(stream, lambda: None, others), [])
-        self.assertEqual(len(stream.broken), 1)
+        self.assertEqual(len(stream.break_reason), 1)
 
     def test_a_stream_without_any_event_goes_elsewhere_at_once(self):
         stream = a_stream(has_begun=False)
         self.go_on(stream, lambda: None)
-        self.assertEqual(len(stream.broken), 1)
+        self.assertEqual(len(stream.break_reason), 1)
 
     def test_it_is_left_alone_when_its_chain_goes_on_after_all(self):
         stream, tries = a_stream(), []
@@ -94,11 +94,11 @@
         def parts():
             tries.append(1)
             if len(tries) > 3:
-                stream.progressed_s += 1.0
+                stream.last_progress_s += 1.0
             return None
 
         self.go_on(stream, parts)
-        self.assertEqual(stream.broken, [])
+        self.assertEqual(stream.break_reason, [])
 
     def test_nothing_is_done_once_the_attempt_has_ended(self):
         stream = a_stream()
@@ -108,7 +108,7 @@
             return None
 
         self.go_on(stream, parts)
-        self.assertEqual(stream.broken, [])
+        self.assertEqual(stream.break_reason, [])
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_stalls.py
+++ b/libs/node/test/test_stalls.py
@@ -7,7 +7,7 @@
 
 from cherryrudder.node import enginecalls, stalls
 from cherryrudder.node.errors import EngineCallFailed
-from cherryrudder.node.stalls import StallDesk
+from cherryrudder.node.stalls import StallDetector
 from cherryrudder.node.tablesync import SharedTable
 from cherryrudder.platform.engines import Report
 
@@ -15,7 +15,7 @@
 
 
 class EntryStub:
-    """What the desk needs of an entry's state."""
+    """What the detector needs of an entry's state."""
 
     pool = None
     settings = builders.some_settings()
@@ -32,12 +32,12 @@
     """
 
     def look(self, address, forget):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
 
         async def get_report(address, timeout_s, kept):
             await anyio.sleep(0)
             if forget:
-                desk.forget(set())
+                detector.drop_unknown(set())
             if address == "dead":
                 raise EngineCallFailed(address)
             return Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
@@ -45,7 +45,7 @@
         kept = enginecalls.get_report
         enginecalls.get_report = get_report
         try:
-            return anyio.run(desk.look, [address, "other"])
+            return anyio.run(detector.get_reports, [address, "other"])
         finally:
             enginecalls.get_report = kept
 
@@ -71,7 +71,7 @@
     """
 
     def test_a_report_is_asked_for_again_after_an_own_standstill(self):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
         calls = []
 
         async def get_report(address, timeout_s, kept):
@@ -84,7 +84,7 @@
         kept = enginecalls.get_report
         enginecalls.get_report = get_report
         try:
-            found = anyio.run(desk.look, ["engine"])
+            found = anyio.run(detector.get_reports, ["engine"])
         finally:
             enginecalls.get_report = kept
         self.assertIsNotNone(found["engine"].report)
@@ -97,7 +97,7 @@
     STREAMS = 6
 
     def test_streams_that_are_silent_together_share_one_look(self):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
         calls, seen = [], []
 
         async def get_report(address, timeout_s, kept):
@@ -106,7 +106,7 @@
             raise EngineCallFailed(address)
 
         async def look():
-            found = await desk.look(["dark"])
+            found = await detector.get_reports(["dark"])
             seen.append(found["dark"].report)
 
         async def play():
@@ -127,7 +127,7 @@
     ALLOWED_S = 0.25 - 0.11 - 0.06
 
     def test_it_is_known_in_time_once_others_have_answered(self):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
         limits_s = []
 
         async def get_report(address, timeout_s, kept):
@@ -138,8 +138,8 @@
 
         async def play():
             for number in range(20):
-                await desk.look(["first", f"engine-{number}"])
-            return await desk.look(["first", "dark"])
+                await detector.get_reports(["first", f"engine-{number}"])
+            return await detector.get_reports(["first", "dark"])
 
         with mock.patch.object(enginecalls, "get_report", get_report):
             found = anyio.run(play)
@@ -147,7 +147,7 @@
         self.assertLessEqual(sum(limits_s), self.ALLOWED_S)
 
     def test_it_is_known_in_time_in_the_first_look_of_an_entry(self):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
         limits_s = []
 
         async def get_report(address, timeout_s, kept):
@@ -158,11 +158,11 @@
             return A_REPORT
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            anyio.run(desk.look, ["first", "dark", "one", "two"])
+            anyio.run(detector.get_reports, ["first", "dark", "one", "two"])
         self.assertLessEqual(sum(limits_s), self.ALLOWED_S)
 
     def test_a_starved_first_engine_is_given_more_time_than_a_part(self):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
 
         async def get_report(address, timeout_s, kept):
             if address == "starved":
@@ -172,8 +172,8 @@
             return A_REPORT
 
         async def play():
-            part = await desk.look(["first", "starved"])
-            first = await desk.look(["starved", "other"])
+            part = await detector.get_reports(["first", "starved"])
+            first = await detector.get_reports(["starved", "other"])
             return part["starved"].report, first["starved"].report
 
         with mock.patch.object(enginecalls, "get_report", get_report):
@@ -182,7 +182,7 @@
         self.assertIsNotNone(first)
 
     def test_engines_that_need_a_second_try_are_given_more_time(self):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
         limits_s, calls = [], {}
 
         async def get_report(address, timeout_s, kept):
@@ -195,7 +195,7 @@
 
         async def play():
             for number in range(8):
-                await desk.look(["first", f"busy-{number}"])
+                await detector.get_reports(["first", f"busy-{number}"])
 
         with mock.patch.object(enginecalls, "get_report", get_report):
             anyio.run(play)
@@ -203,8 +203,8 @@
 
     def look_afar(self, answers):
         """Return how often a dark engine far away is asked beside some others."""
-        desk = StallDesk(EntryStub(), None)
-        desk._zone_of = lambda _: "b"
+        detector = StallDetector(EntryStub(), None)
+        detector._zone_of = lambda _: "b"
         calls = []
 
         async def get_report(address, timeout_s, kept):
@@ -216,7 +216,7 @@
             return A_REPORT
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            anyio.run(desk.look, ["dark", "one", "two", "three"])
+            anyio.run(detector.get_reports, ["dark", "one", "two", "three"])
         return calls.count("dark")
 
     def test_one_far_away_is_known_as_soon_where_others_there_answer(self):
@@ -226,7 +226,7 @@
         self.assertEqual(self.look_afar(answers=False), len(stalls.FAR_TRIES))
 
     def test_an_engine_whose_first_answer_is_lost_lives(self):
-        desk = StallDesk(EntryStub(), None)
+        detector = StallDetector(EntryStub(), None)
         calls = []
 
         async def get_report(address, timeout_s, kept):
@@ -236,5 +236,5 @@
             return A_REPORT
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            found = anyio.run(desk.look, ["engine"])
+            found = anyio.run(detector.get_reports, ["engine"])
         self.assertIsNotNone(found["engine"].report)
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -35,12 +35,12 @@
         arrived_s=0.0,
         end_s=1e9,
         note_wait=lambda *_: None,
-        patience_s=lambda: 0.1,
-        leaves_s=lambda: 1e9,
+        client_timeout_s=lambda: 0.1,
+        client_leaves_s=lambda: 1e9,
     )
     return SimpleNamespace(
         job=job,
-        watch=SimpleNamespace(desks=RoomDesks(group)),
+        supervisor=SimpleNamespace(desks=RoomDesks(group)),
         tokens=900,
         excluded=lambda _: set(),
         has_begun=True,
@@ -48,7 +48,7 @@
         chain=(),
         ran_at=[],
         refusal="",
-        offer=None,
+        kept_chain=None,
     )
 
 
@@ -119,7 +119,7 @@
 
         with (
             mock.patch.object(streamchains, "_choose", choose),
-            mock.patch.object(streamchains, "_note_no_chain"),
+            mock.patch.object(streamchains, "_log_no_chain"),
         ):
             return anyio.run(play)
 
@@ -271,7 +271,7 @@
         with mock.patch.object(streamchains, "_choose", side_effect=AssertionError):
             chain = streamchains._take_chain(stream)
         self.assertEqual([part.engine_id for part in chain], ["boot-2"])
-        self.assertIsNone(stream.offer)
+        self.assertIsNone(stream.kept_chain)
 
     def test_not_once_an_engine_of_it_is_thought_dead(self):
         stream, state = self.offered()
@@ -281,8 +281,8 @@
 
     def test_not_when_it_is_old(self):
         stream, _ = self.offered()
-        stream.offer = stream.offer._replace(until_s=now_s() - 0.01)
-        self.assertIsNone(streamchains._take_offer(stream, now_s()))
+        stream.kept_chain = stream.kept_chain._replace(until_s=now_s() - 0.01)
+        self.assertIsNone(streamchains._take_kept_chain(stream, now_s()))
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_streamrelay.py
+++ b/libs/node/test/test_streamrelay.py
@@ -8,8 +8,8 @@
 
 from cherryrudder.layers.chains import Part
 from cherryrudder.node import streamrelay, tablesync
-from cherryrudder.node.entrystate import FULL_S
-from cherryrudder.node.job import Failed
+from cherryrudder.node.entrystate import FULL_HOLD_S
+from cherryrudder.node.job import FailedAttempt
 from cherryrudder.policy import sharedbudget
 from cherryrudder.replica.clock import now_s
 
@@ -36,12 +36,12 @@
     def refuse(self, status, fault_address=""):
         stream = StubStream()
         facts = SimpleNamespace(fault_address=fault_address)
-        streamrelay._avoid(stream, status, facts)
+        streamrelay._exclude_refusing(stream, status, facts)
         return stream
 
     def test_without_a_name_the_first_engine_itself_is_full(self):
         stream = self.refuse(503)
-        now = stream.job.state.full_until_s["first:1"] - FULL_S
+        now = stream.job.state.full_until_s["first:1"] - FULL_HOLD_S
         self.assertEqual(stream.excluded(now), {"first:1"})
 
     def test_a_named_engine_is_full(self):
@@ -50,8 +50,10 @@
 
     def test_a_full_engine_may_be_met_again_later(self):
         stream = self.refuse(503)
-        now = stream.job.state.full_until_s["first:1"] - FULL_S
-        self.assertEqual(stream.excluded(now + streamrelay.REFUSED_S + 0.1), set())
+        now = stream.job.state.full_until_s["first:1"] - FULL_HOLD_S
+        self.assertEqual(
+            stream.excluded(now + streamrelay.REFUSAL_EXCLUSION_S + 0.1), set()
+        )
 
     def test_one_without_the_layers_is_not_met_again(self):
         stream = self.refuse(421, "second:1")
@@ -83,7 +85,7 @@
             is_idempotent=True,
             fingerprint="a request",
             end_s=now_s() + 60.0,
-            leaves_s=lambda: now_s() + 30.0,
+            client_leaves_s=lambda: now_s() + 30.0,
             left_s=lambda: 60.0,
             note=lambda *_, **__: None,
             fail=mock.AsyncMock(),
@@ -95,7 +97,7 @@
         async def attempt(stream):
             job.attempts += 1
             stream.has_begun = has_begun
-            broke = Failed("an engine of the chain died", is_not_run=False)
+            broke = FailedAttempt("an engine of the chain died", is_not_run=False)
             return broke if job.attempts <= breaks else None
 
         async def wait_for_chain(stream):
--- a/libs/node/test/test_supervision.py
+++ b/libs/node/test/test_supervision.py
@@ -6,7 +6,7 @@
 import anyio
 
 from cherryrudder.node import supervision
-from cherryrudder.node.supervision import Watch
+from cherryrudder.node.supervision import StreamSupervisor
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing.answertimes import AnswerTimes
 
@@ -18,7 +18,9 @@
         looked = []
 
         async def play():
-            watch = Watch(SimpleNamespace(engine_died=anyio.Event()), None, None)
+            watch = StreamSupervisor(
+                SimpleNamespace(engine_died=anyio.Event()), None, None
+            )
             watch._find_hung = lambda _: looked.append(now_s()) or set()
             async with anyio.create_task_group() as group:
                 group.start_soon(watch.run)
@@ -28,7 +30,7 @@
                     await anyio.sleep(0.001)
                 group.cancel_scope.cancel()
 
-        with mock.patch.object(supervision, "REVIEW_S", 60.0):
+        with mock.patch.object(supervision, "REVIEW_INTERVAL_S", 60.0):
             anyio.run(play)
         self.assertEqual(len(looked), 1)
 
@@ -41,37 +43,37 @@
         rng, now, alarms = random.Random(seed), 100.0, 0
         stream = SimpleNamespace(
             has_begun=True,
-            pause_s=0.0,
+            mean_pause_s=0.0,
             pauses=AnswerTimes(),
-            silence_s=0.25,
-            progressed_s=now,
+            silence_limit_s=0.25,
+            last_progress_s=now,
         )
         for _ in range(events):
             took_s = max(0.001, rng.gauss(pause_s, spread_s))
-            alarms += took_s > stream.silence_s
+            alarms += took_s > stream.silence_limit_s
             now += took_s
-            supervision.progressed(stream, now)
+            supervision.note_progress(stream, now)
         return stream, alarms
 
     def test_a_steady_stream_is_silent_after_a_few_pauses(self):
         stream, alarms = self.play(0.029, 0.005)
-        self.assertLess(stream.silence_s, 0.08)
+        self.assertLess(stream.silence_limit_s, 0.08)
         self.assertLessEqual(alarms, 1)
 
     def test_one_between_long_prompts_is_given_more_time(self):
         stream, alarms = self.play(0.08, 0.03)
-        self.assertGreater(stream.silence_s, 0.15)
+        self.assertGreater(stream.silence_limit_s, 0.15)
         self.assertLessEqual(alarms, 9)
 
     def test_a_slow_stream_is_known_as_such_from_its_first_pause_on(self):
         stream, alarms = self.play(0.25, 0.01, events=2)
-        self.assertGreater(stream.silence_s, 0.5)
+        self.assertGreater(stream.silence_limit_s, 0.5)
         self.assertLessEqual(alarms, 1)
 
     def test_an_outage_does_not_hide_the_next_one(self):
         stream, _ = self.play(0.029, 0.005)
-        supervision.progressed(stream, stream.progressed_s + 1.0)
-        self.assertLess(stream.silence_s, 0.15)
+        supervision.note_progress(stream, stream.last_progress_s + 1.0)
+        self.assertLess(stream.silence_limit_s, 0.15)
 
 
 if __name__ == "__main__":
