--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one engine, over one connection."""
+"""One attempt of a request at one engine, over one connection, and its retry."""
 
 import anyio
 
@@ -14,27 +14,28 @@
 from . import backpressure
 from .job import FailedAttempt, Job, WholeAnswer
 
-# A connection in the same region is there within some milliseconds. One lost packet is
-# repeated after a second; another endpoint is there sooner.
+# A connection in the same region is open within some milliseconds. A lost packet is
+# retransmitted after a second; trying another endpoint is faster.
 CONNECT_TIMEOUT_S = 0.3
-# An engine that crashes breaks all its streams at once, more than the entries of its
-# data centre may send again at that moment. Each gets a new part of the budget with the
-# next word of the control VMs, twice a second.
+# An engine that crashes breaks all its streams at once, more than the retry budgets of
+# the entries in its data centre allow. Each entry gets a new share of the budget with
+# the control VMs' next answer, twice a second.
 BUDGET_WAIT_S = 0.7
 BUDGET_POLL_S = 0.1
-# A success without the engine's seal is none of its answers.
+# Statuses that need the engine's seal: without it the answer is not the engine's own.
 FIRST_OK, LAST_OK = 200, 299
-# The status of an engine that isn't the incarnation that was asked for.
+# Status of an engine that is another incarnation than the one addressed.
 WRONG_INCARNATION_STATUS = 421
-# To clients these statuses promise that the request has not run and never will.
+# Statuses that promise to clients that the request has not run and never will.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 async def open_for(job: Job, address: str) -> EngineConnection:
     """Return a connection for one attempt; raises ConnectFailed.
 
-    A request that may not be repeated never goes out on a kept connection: the engine
-    may close it at that moment, and nobody could tell whether the request has run.
+    A request that may not be repeated is never sent on a kept-alive connection. The
+    engine may close it at that moment, and then it is uncertain whether the request
+    ran.
     """
     timeout_s = max(0.0, min(CONNECT_TIMEOUT_S, job.left_s()))
     if not job.is_idempotent:
@@ -52,12 +53,12 @@
 
 
 def is_for_other_request(job: Job, facts: AnswerFacts) -> bool:
-    """Tell whether an answer names another request than this one."""
+    """Return whether an answer is marked as the answer to another request."""
     return bool(facts.request_id) and facts.request_id != job.facts.request_id
 
 
 def check_seal(head: Head, facts: AnswerFacts) -> None:
-    """Refuse a success that its engine has not sealed; raises AnswerBroken."""
+    """Raise AnswerBroken for a success without its engine's seal."""
     if FIRST_OK <= head.status <= LAST_OK and not facts.is_sealed:
         raise AnswerBroken("a success without a seal")
 
@@ -65,9 +66,10 @@
 async def read_matching_head(
     job: Job, connection: EngineConnection, engine_id: str, timeout_s: float
 ) -> tuple[Head, AnswerFacts]:
-    """Return the answer's head, past late answers to other requests.
+    """Return the answer's head, skipping late answers to other requests.
 
-    What it asks of its senders is taken in. Raises AnswerBroken, AnswerLate.
+    Limits, backoffs and a notice to leave in the answer are recorded. Raises
+    AnswerBroken, AnswerLate.
     """
     end_s = now_s() + timeout_s
     while True:
@@ -92,14 +94,14 @@
     expected_s: float,
     has_begun: bool | None = None,
 ) -> bool:
-    """Tell whether another attempt may go out, and count it against the budget.
+    """Return whether another attempt may be sent, and charge it to the retry budget.
 
-    `ran` is how many attempts count against `most_runs`, the route's own bound. Waits
-    a little for a new part of the budget where this entry's is spent; an answer that
-    has begun waits until its client leaves, since it can't be refused any more.
+    `runs` attempts count against `max_runs`, the route's own limit. If this entry's
+    share of the budget is spent, wait up to BUDGET_WAIT_S for a new one. An answer that
+    has begun waits until its client's timeout, since it can't be refused any more.
     """
     if not failed.is_sent:
-        # Nothing has left; another endpoint costs no retry.
+        # Nothing was sent, so trying another endpoint is no retry.
         return job.left_s() > expected_s
     attempt = Attempt(
         attempts=runs,
@@ -120,11 +122,11 @@
 
 
 def failure_of(whole: WholeAnswer, is_idempotent: bool) -> FailedAttempt | None:
-    """Return why an engine's answer is not passed on at once, None when it is.
+    """Return why an engine's answer is not relayed at once, None if it is.
 
-    For an engine that doesn't vouch that the request has not run. A status that would
-    promise so to the client never passes, also for a request that may be repeated: the
-    promise would be a guess.
+    This is for answers that don't state that the request has not run. A status that
+    would promise so to the client is never relayed, also for a request that may be
+    repeated, since the promise could be wrong.
     """
     if whole.status in NOT_RUN_STATUSES:
         return FailedAttempt(f"status {whole.status} after a run", is_not_run=False)
--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -1,7 +1,7 @@
-"""What engines ask of this entry, before any request is sent to them.
+"""Apply engines' rate limits and backoffs before a request is sent to them.
 
-An engine may limit the requests of all entries together (`ratekeeper`), and ask this
-machine to back off. Every path on which a request goes out asks here.
+An engine may limit the requests of all entries together (`ratekeeper`), and may ask
+this machine to back off. Every code path that sends a request checks here first.
 """
 
 from collections.abc import Collection
@@ -16,9 +16,9 @@
     from .entrystate import EntryState
     from .job import Job
 
-# An engine's answer with one of these may say for how long it wants nothing more.
+# Statuses with which an engine may ask to back off for a given time.
 BACKOFF_STATUSES = frozenset({429, 503})
-# Clients are told to come back after this at least, spread over so much more time.
+# Minimum Retry-After for clients, and the random share that is added to it.
 MIN_RETRY_AFTER_S = 0.1
 RETRY_AFTER_JITTER = 0.5
 
@@ -26,7 +26,7 @@
 def note_answer(
     job: "Job", engine_id: str, status: int, facts: AnswerFacts, now_s: float
 ) -> None:
-    """Take what an engine's answer asks for."""
+    """Record the limit, backoff or notice to leave in an engine's answer."""
     ratekeeper.note_answer(job, engine_id, facts, now_s)
     state = job.state
     if facts.is_leaving:
@@ -38,12 +38,12 @@
 
 
 def asks_for_backoff(status: int, facts: AnswerFacts) -> bool:
-    """Tell whether an answer turns this machine away for some time."""
+    """Return whether an answer asks this machine to back off."""
     return status in BACKOFF_STATUSES and bool(facts.retry_after_s)
 
 
 def _note_leaving(job, engine_id, now_s):
-    """Give an engine that says that it leaves no new work, here and elsewhere."""
+    """Send no new work to an engine that leaves, and inform the other processes."""
     state = job.state
     if tablesync.tell_senders(state.endpoints, engine_id, now_s):
         state.leaving_s.setdefault(engine_id, now_s)
@@ -53,7 +53,7 @@
 
 
 def _note_backoff(job, engine_id, facts, now_s):
-    """Leave the engine that answered alone, and the one that it names as at fault."""
+    """Back off from the engine that answered, and from the one named as at fault."""
     state, backoff_s = job.state, facts.retry_after_s
     backoffs.start(state.backoffs, engine_id, backoff_s, now_s)
     named = entrystate.engine_at(state, facts.fault_address, now_s)
@@ -70,9 +70,10 @@
 
 
 def may_begin(state: "EntryState", engine_id: str, now_s: float) -> bool:
-    """Tell whether a request may be sent to an engine now.
+    """Return whether a request may be sent to an engine now.
 
-    It is asked for each engine at each choice; most ask for nothing.
+    This runs for each engine at each choice, so engines without a limit or backoff are
+    decided by two look-ups.
     """
     if engine_id in state.backoffs.backoffs:
         if not backoffs.may_begin(state.backoffs, engine_id, now_s):
@@ -83,13 +84,13 @@
 
 
 def begin(state: "EntryState", engine_id: str, now_s: float) -> None:
-    """Take note of a request that is about to be sent."""
+    """Record a request that is about to be sent to an engine."""
     backoffs.note_sent(state.backoffs, engine_id, now_s)
     ratekeeper.begin(state, engine_id, now_s)
 
 
 def wait_s(state: "EntryState", engine_ids: Collection[str], now_s: float) -> float:
-    """Return the time until one of some engines may be sent a request."""
+    """Return the time until any of the engines may be sent a request."""
     return min(
         (
             max(
@@ -103,7 +104,7 @@
 
 
 def retry_after_s(state: "EntryState", wait_s: float) -> float:
-    """Return when a client may come back, spread so that not all come at once."""
+    """Return when a client may retry, with jitter so that not all retry at once."""
     return max(MIN_RETRY_AFTER_S, wait_s) * (
         1.0 + RETRY_AFTER_JITTER * state.rng.random()
     )
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -1,4 +1,4 @@
-"""What an entry process knows, shared by its parts."""
+"""State of an entry process that its parts share."""
 
 import math
 import random
@@ -33,26 +33,27 @@
 from .roster import Roster
 from .tablesync import SharedTable
 
-# An engine that refused a stream for want of memory is taken as full for so long. What
-# other entries have running there is known half a second late; meanwhile all streams
-# would go to the same full engine, and each refusal costs a retry.
+# How long an engine counts as full after it refused a stream for lack of memory. The
+# other entries' load there is known half a second late. Meanwhile all streams would go
+# to the same full engine, and each refusal costs a retry.
 FULL_HOLD_S = 0.4
-# How much an engine's cost differs from choice to choice: less than kinds differ, more
-# than two engines of one kind that have a few streams more or less.
+# Random variation of an engine's cost from choice to choice. It is less than the
+# difference between kinds of engines, and more than that between two engines of one
+# kind with a few streams more or less.
 JITTER = 0.15
-# Entries assumed until the control VMs tell how many there are.
+# Entries assumed until the control VMs report how many there are.
 INITIAL_ENTRIES = 32
-# Other entries of a data centre that are assumed at least for the first seconds of a
-# process. After a loss of power all entries start together, each with the requests that
-# came meanwhile, and control VMs that have started too know few of them. Each thought
-# itself alone then, and all sent to the same engines, which refused most of it. Assumed
-# too many, they leave room unused for a moment.
+# Other entries of a data centre that are assumed as a minimum in the first seconds of a
+# process. After a power loss all entries start together, each with the requests that
+# came meanwhile, and control VMs that have just started have seen few entries. With
+# that low count all entries sent to the same engines, which refused most of the
+# requests. Too high a count only leaves room unused for a moment.
 INITIAL_PEERS = 10.0
 STARTUP_S = 2.0
 
 
 class ReportedLoad(NamedTuple):
-    """What an endpoint said of its load in an answer."""
+    """The load that an endpoint reported in an answer."""
 
     load: float
     reported_s: float
@@ -76,12 +77,12 @@
         self.hangs = Hangs()
         self.rates = RateKeeper()
         self.backoffs = BackoffBook()
-        # Replaced by the uplink: tells all of engines that said that they leave.
+        # Replaced by the uplink: sends out which engines said that they leave.
         self.spread_endpoints: Callable[[list[str]], None] = lambda engine_ids: None
         self.crashes = CrashDesk(self.boot, sink, metrics)
         self.broken = BrokenRuns()
         self.table: RouteTable | None = None
-        # When the question was asked whose answer last confirmed the configuration.
+        # When the request was sent whose answer last confirmed the configuration.
         self.confirmed_s = float("-inf")
         self.pool = Pool()
         bounds = settings.bounds
@@ -91,28 +92,28 @@
             bounds.retry_window_s,
             INITIAL_ENTRIES,
         )
-        # By engine address: requests, their tokens and the chains that begin there, of
-        # this entry and of the others.
+        # By engine address: this entry's running requests, their tokens, and the chains
+        # that begin there.
         self.running: dict[str, int] = {}
         self.tokens: dict[str, int] = {}
         self.firsts: dict[str, int] = {}
-        # Tokens of this entry's prompts that gave no event yet, by engine address.
+        # Tokens of this entry's prompts without any event yet, by engine address.
         self.unread: dict[str, int] = {}
         self.other_load = OtherLoad()
-        # Other entries that serve the same data centre.
+        # Number of other entries that serve the same data centre.
         self.peers = INITIAL_PEERS
         self.started_s = now_s()
         self.reported_loads: dict[str, ReportedLoad] = {}
-        # When this entry heard that an incarnation of an engine is about to leave.
+        # When this entry first received that an engine leaves, by engine id.
         self.leaving_s: dict[str, float] = {}
-        # The incarnation that was last heard of, by address.
+        # The incarnation last announced, by address.
         self.incarnations: dict[str, str] = {}
-        # Until when engines are taken as full, by address.
+        # Until when engines count as full, by address.
         self.full_until_s: dict[str, float] = {}
         self.pipes = PipeBudget()
-        # How many entries there are, as the control VMs tell.
+        # Number of entries, as reported by the control VMs.
         self.entries = INITIAL_ENTRIES
-        # Set when an engine is found dead, and replaced by whoever waits for it.
+        # Set when an engine is found dead; its waiter replaces it.
         self.engine_died = anyio.Event()
         # Set once the process is to end.
         self.stopping = anyio.Event()
@@ -124,7 +125,7 @@
 
 
 def add_load(state: EntryState, chain: Chain, tokens: int) -> None:
-    """Count a request in on every engine of its chain."""
+    """Add a request's load to every engine of its chain."""
     for part in chain:
         state.running[part.address] = state.running.get(part.address, 0) + 1
         state.tokens[part.address] = state.tokens.get(part.address, 0) + tokens
@@ -133,7 +134,7 @@
 
 
 def remove_load(state: EntryState, chain: Chain, tokens: int) -> None:
-    """Count a request out again."""
+    """Remove a request's load from every engine of its chain."""
     for part in chain:
         state.running[part.address] -= 1
         state.tokens[part.address] -= tokens
@@ -147,13 +148,13 @@
 
 
 def add_unread(state: EntryState, chain: Chain, tokens: int) -> None:
-    """Count a prompt that every engine of a chain has yet to read."""
+    """Add a prompt's tokens as unread on every engine of a chain."""
     for part in chain:
         state.unread[part.address] = state.unread.get(part.address, 0) + tokens
 
 
 def remove_unread(state: EntryState, chain: Chain, tokens: int) -> None:
-    """Count a prompt out again: it was read, or its attempt has ended."""
+    """Remove a prompt's unread tokens: it was read, or its attempt has ended."""
     for part in chain:
         left = state.unread.pop(part.address, 0) - tokens
         if left > 0:
@@ -161,12 +162,12 @@
 
 
 def usage(state: EntryState) -> tuple[Usage, ...]:
-    """Return what this entry has running, for the other entries."""
+    """Return this entry's load per engine, for the other entries."""
     return tuple(Usage(address, *_own(state, address)) for address in state.running)
 
 
 def note_beat(state: EntryState) -> None:
-    """Take note of what this entry has running as it tells the others."""
+    """Record this entry's load at the time when it is sent to the others."""
     own = {address: _own(state, address) for address in state.running}
     otherload.note_beat(state.other_load, own)
 
@@ -174,12 +175,12 @@
 def hear_others(
     state: EntryState, usages: tuple[Usage, ...], data_centres: int, now_s: float
 ) -> None:
-    """Take what the other entries had running."""
-    told = {one.address: Load(*one[1:]) for one in usages}
-    otherload.hear(state.other_load, told)
+    """Update the other entries' load and the number of entries nearby."""
+    reported = {one.address: Load(*one[1:]) for one in usages}
+    otherload.hear(state.other_load, reported)
     is_new = now_s - state.started_s < STARTUP_S
-    least = INITIAL_PEERS if is_new else 0.0
-    state.peers = max(least, state.entries / max(1, data_centres) - 1)
+    min_peers = INITIAL_PEERS if is_new else 0.0
+    state.peers = max(min_peers, state.entries / max(1, data_centres) - 1)
 
 
 def _own(state, address):
@@ -204,9 +205,9 @@
 def candidates(
     state: EntryState, service: str, now_s: float, vm_zone: str = ""
 ) -> list[Candidate]:
-    """Return the engines that hold layers and aren't known to be dead.
+    """Return the engines that hold layers and aren't suspect.
 
-    Those of one data centre, if it is given.
+    `vm_zone` restricts the result to one data centre.
     """
     return [
         _candidate(state, announcement, now_s)
@@ -218,14 +219,14 @@
 
 
 def is_suspect(state: EntryState, engine_id: str, now_s: float) -> bool:
-    """Tell whether this entry has evidence against an endpoint."""
+    """Return whether this entry suspects an endpoint to be dead or failing."""
     entry = state.endpoints.table.entries.get(engine_id)
     heard_s = entry.heard_s if entry else now_s
     return suspicion.is_resting(state.suspicions, engine_id, heard_s, now_s)
 
 
 def is_certainly_dead(state: EntryState, engine_id: str) -> bool:
-    """Tell whether an engine's end is known from others as well."""
+    """Return whether an engine's death is confirmed by others as well."""
     entry = state.endpoints.table.entries.get(engine_id)
     if entry is None or entry.is_gone:
         return True
@@ -233,13 +234,13 @@
 
 
 def engine_name(state: EntryState, engine_id: str) -> str:
-    """Return the name by which an incarnation of an engine knows itself."""
+    """Return the name that an incarnation of an engine uses for itself."""
     entry = state.endpoints.table.entries.get(engine_id)
     return (entry and entry.announcement.name) or engine_id
 
 
 def note_full(state: EntryState, address: str, now_s: float) -> None:
-    """Take note that an engine had no room for a stream."""
+    """Record that an engine had no room for a stream."""
     state.full_until_s[address] = now_s + FULL_HOLD_S
 
 
@@ -262,9 +263,9 @@
         end=announcement.holding.end,
         running=own.running + others.running,
         tokens=math.inf if is_full else own.tokens + others.tokens,
-        # One that begins nothing still runs its part of other engines' requests.
+        # A barred engine begins no requests but still runs its part of chains.
         firsts=math.inf if is_barred else own.firsts + others.firsts,
-        # The others have as much on the way as this entry; they don't tell.
+        # Other entries don't report unread tokens: assume as many for each of them.
         unread=state.unread.get(address, 0) * (1.0 + state.peers),
         jitter=1.0 + JITTER * state.rng.random(),
         slowness=slowness.slowness_of(state.slowness, announcement.engine_id, now),
@@ -272,7 +273,7 @@
 
 
 def engine_at(state: EntryState, address: str, now_s: float) -> Announcement | None:
-    """Return what the incarnation that is thought to be at an address last told."""
+    """Return the last announcement of the live incarnation at an address."""
     for announcement in endpoints.live(state.endpoints.table, now_s):
         if announcement.address == address:
             return announcement
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -1,4 +1,4 @@
-"""One client's request at an entry: its limits, its log lines and its answer."""
+"""A client's request at an entry: its time limits, log lines and answer."""
 
 from typing import NamedTuple
 
@@ -15,21 +15,22 @@
 from . import crashes, entrystate
 from .entrystate import EntryState
 
-# An answer of this system's own is sent this long before the client or the route gives
-# up, so that it arrives in time.
+# The router's own answer is sent this long before the time limit of the client or the
+# route, so that it arrives in time.
 ANSWER_MARGIN_S = 0.02
-# Clients leave a stream that shows nothing for the longest of these: two seconds, some
-# objectives, some of the longest pauses that are still on time.
+# Clients disconnect from a stream without output after the longest of these: two
+# seconds, this many objectives, or this many of the longest pauses that are still on
+# time.
 MIN_CLIENT_TIMEOUT_S = 2.0
 CLIENT_TIMEOUT_OBJECTIVES = 4.0
 CLIENT_TIMEOUT_PAUSES = 8.0
-# A client that is about to leave is left to do so: ended just before, its answer would
-# look broken off by this system.
+# Added to the client's timeout, so that the client disconnects first. An answer that
+# the entry ends just before would look broken off by the router.
 LEAVE_MARGIN_S = 0.3
 
 
 class WholeAnswer(NamedTuple):
-    """A whole answer of an engine."""
+    """A complete answer of an engine."""
 
     status: int
     headers: messages.Headers
@@ -37,26 +38,26 @@
 
 
 class FailedAttempt(NamedTuple):
-    """An attempt that brought no answer to pass on."""
+    """The result of an attempt that gave no answer to relay."""
 
     reason: str
-    # True only when the engine has certainly not run the request and never will.
+    # True only if the engine has certainly not run the request and never will.
     is_not_run: bool
-    # The request reached an engine, which counts against the route's attempts.
+    # The request was sent to an engine, which counts against the route's attempts.
     is_sent: bool = True
     is_late: bool = False
     # The engine broke its answer off, or gave none before the connection ended.
     is_broken: bool = False
-    # An engine's own failure, to be passed on if nothing better comes.
+    # An engine's own error answer, relayed if no later attempt gives a better one.
     answer: WholeAnswer | None = None
-    # The engine wants nothing from this machine for a while.
+    # The engine asked this machine to back off.
     is_backoff: bool = False
-    # When the client may come back, where that is known.
+    # When the client may retry, where that is known.
     retry_after_s: float | None = None
 
 
 class Job:
-    """A request that was admitted, while it is served."""
+    """An admitted request while it is served."""
 
     def __init__(
         self,
@@ -72,19 +73,19 @@
         self.admitted = admitted
         self.route = admitted.route
         self.service = service
-        # The same for each attempt of the client, whichever entry it comes to.
+        # The same for each attempt of the client, at whichever entry.
         self.fingerprint = _fingerprint(exchange.request, facts.host, admitted.account)
         self.attempts = 0
         # When the newest attempt went out.
         self.sent_s = 0.0
         self.outcome = "cut"
         self.first_byte_s: float | None = None
-        # The last piece that the client got, and the longest pause before one.
+        # When the last chunk went to the client, and the longest pause before one.
         self.last_chunk_s = 0.0
         self.longest_pause_s = 0.0
-        # When that pause was over.
+        # When that pause ended.
         self.longest_pause_end_s = 0.0
-        # How long it waited for a chain before its first event, and for want of what.
+        # How long it waited for a chain before its first event, and for which reason.
         self.waited_s = 0.0
         self.waited_for = ""
         self.arrived_s = exchange.request.arrived_s
@@ -95,13 +96,13 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether the request may run more than once."""
+        """Return whether the request may run more than once."""
         if self.route.kind is RouteKind.STREAM:
             return self.route.is_resumable
         return self.route.kind is RouteKind.SAFE
 
     def note_chunk(self, now: float) -> None:
-        """Take note that the client gets a piece of a stream."""
+        """Record that the client gets a chunk of a stream at this time."""
         if self.first_byte_s is None:
             self.first_byte_s = now
         else:
@@ -114,13 +115,13 @@
             self.longest_pause_end_s = now
 
     def note_wait(self, waited_s: float, waited_for: str) -> None:
-        """Take note of a wait for a chain; only those before the first event count."""
+        """Add a wait for a chain; waits after the first event are ignored."""
         if self.first_byte_s is None:
             self.waited_s += waited_s
             self.waited_for = waited_for
 
     def client_timeout_s(self) -> float:
-        """Return how long the client stays with a stream that shows nothing."""
+        """Return how long the client waits for a stream without output."""
         return max(
             MIN_CLIENT_TIMEOUT_S,
             CLIENT_TIMEOUT_OBJECTIVES * self.route.objective_s,
@@ -128,12 +129,12 @@
         )
 
     def client_leaves_s(self) -> float:
-        """Return when the client of a stream that has begun leaves by itself."""
-        shown_s = max(self.arrived_s, self.last_chunk_s)
-        return min(self.end_s, shown_s + self.client_timeout_s() + LEAVE_MARGIN_S)
+        """Return when the client of a stream that has begun disconnects by itself."""
+        last_output_s = max(self.arrived_s, self.last_chunk_s)
+        return min(self.end_s, last_output_s + self.client_timeout_s() + LEAVE_MARGIN_S)
 
     def left_s(self) -> float:
-        """Return the time until the client or the route gives up."""
+        """Return the time left until the time limit of the client or the route."""
         return self.end_s - now_s() - ANSWER_MARGIN_S
 
     def note(self, event: str, is_kept: bool = False, **fields) -> None:
@@ -143,17 +144,17 @@
         )
 
     def engine_headers(self, sending: Sending) -> messages.Headers:
-        """Return the request's headers on their way to an engine."""
+        """Return the request's headers as sent to an engine."""
         request = self.exchange.request
         return messages.engine_headers(request.headers, sending, len(request.body))
 
     def sending(self, engine_id: str, **fields) -> Sending:
-        """Return what this system adds to the request for an engine."""
+        """Return the facts that the router adds to the request for an engine."""
         name = entrystate.engine_name(self.state, engine_id)
         return Sending(name, self.end_s - now_s(), self.admitted.account, **fields)
 
     async def pass_on(self, whole: WholeAnswer) -> None:
-        """Send an engine's whole answer to the client, unchanged."""
+        """Send an engine's complete answer to the client, unchanged."""
         self.outcome = f"status {whole.status}"
         self.first_byte_s = now_s()
         headers = messages.answer_headers(whole.headers)
@@ -161,19 +162,19 @@
         await self.exchange.answer(whole.status, headers, whole.body)
 
     async def refuse(self, refused: Refused) -> None:
-        """Send an answer of this system's own."""
+        """Refuse the request with an answer of the router's own."""
         self.outcome = f"refused {refused.status}"
         await refuse(self.state, self.exchange, self.facts, refused, self.route.kind)
 
     async def refuse_permanently(self) -> None:
-        """Answer a request that ends its engines."""
+        """Refuse a request that crashes its engines."""
         crashes.note_refused(self, now_s())
         await self.refuse(crashes.ENDS_ENGINES)
 
     async def fail(self, failed: FailedAttempt) -> None:
-        """Send the final answer after attempts that brought none.
+        """Send the final answer after attempts that gave none.
 
-        Only an engine's word, or that nothing was sent, makes it a "not run".
+        It says "not run" only if an engine said so or nothing was sent.
         """
         if failed.answer is not None:
             await self.pass_on(failed.answer)
@@ -188,7 +189,7 @@
         await self.refuse(refused)
 
     def retry_after_s(self) -> float:
-        """Return when the client may come back: after about one usual answer."""
+        """Return when the client may retry: after about one usual answer."""
         return max(0.1, min(1.0, self.route.objective_s))
 
 
@@ -203,7 +204,7 @@
     refused: Refused,
     kind: str = "none",
 ) -> None:
-    """Answer a request without an engine, and say why in the log."""
+    """Refuse a request without an engine, and log the reason."""
     state.metrics.refusals.labels(kind, str(refused.status)).inc()
     state.sink.write(
         "request",
@@ -221,6 +222,6 @@
         headers.append((b"content-type", b"application/json"))
         body = msgspec.json.encode({"error": refused.reason})
     if refused is CUT_OFF:
-        # On this connection the client would only be refused again.
+        # The client would only be refused again on this connection.
         headers.append((b"connection", b"close"))
     await exchange.answer(refused.status, headers, body)
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -1,7 +1,7 @@
-"""Requests to plain services: whole answers, and another attempt only where it is safe.
+"""Relay requests to plain services, with complete answers and safe retries.
 
-An answer is passed on once it is there in full, so that one which breaks off can still
-be repeated for an idempotent request.
+An answer is relayed once it is complete, so that an idempotent request can still be
+retried if its answer breaks off.
 """
 
 from collections.abc import Callable
@@ -20,13 +20,14 @@
 from .gossip import CrashNews
 from .job import ANSWER_MARGIN_S, FailedAttempt, Job, WholeAnswer
 
-# Part of the time left that an idempotent request waits for one endpoint while another
-# could still answer in time: of the objective, and once that has passed, of the time
-# that its client waits.
+# Part of the time left that an idempotent request waits for one endpoint, so that
+# another could still answer in time. It applies to the objective, and once that has
+# passed, to the client's time limit.
 TIMEOUT_SHARE = 0.4
-# Time that a second attempt needs to be worth sending: the work is 20 to 70 ms.
+# A second attempt is worth sending while this much time is left: the work takes 20 to
+# 70 ms.
 EXPECTED_S = 0.05
-# Between two looks for a permit at endpoints that limit their requests.
+# Minimum interval between two checks for a permit at endpoints that limit requests.
 MIN_POLL_INTERVAL_S = 0.01
 NO_ENDPOINT = FailedAttempt("no endpoint", is_not_run=True, is_sent=False)
 BARRED = FailedAttempt(
@@ -35,7 +36,10 @@
 
 
 async def serve(job: Job, tell: Callable[[CrashNews | None], None]) -> None:
-    """See a request to its answer; `tell` spreads what it shows of engines' ends."""
+    """Serve a request until its final answer.
+
+    `tell` sends news about crashes that the request may have caused.
+    """
     excluded: set[str] = set()
     failed = NO_ENDPOINT
     has_run = False
@@ -71,7 +75,7 @@
 
 
 async def _choose(job, excluded):
-    """Return the endpoint for the next attempt, or why there is none."""
+    """Return the endpoint for the next attempt, or the reason why there is none."""
     state = job.state
     while True:
         barred: set[str] = set()
@@ -91,7 +95,7 @@
 
 
 async def _accepts_request(state, engine_id):
-    """Tell whether an endpoint takes a request; ask for a permit if it needs one."""
+    """Return whether an endpoint takes a request; request a permit if needed."""
     if not backoffs.may_begin(state.backoffs, engine_id, now_s()):
         return False
     await ratekeeper.acquire(state, [engine_id])
@@ -99,7 +103,7 @@
 
 
 def _pick(job, excluded):
-    """Return the best endpoint; far ones that take nothing now only in need."""
+    """Return the best endpoint; barred ones elsewhere only if there is no other."""
     state, now = job.state, now_s()
     places, home_zone = _places(job), state.settings.vm_zone
     far = {
@@ -194,7 +198,10 @@
 
 
 def attempt_timeout_s(job: Job, now: float) -> float:
-    """Return how long the present endpoint may take until its answer begins."""
+    """Return how long the present endpoint may take until its answer begins.
+
+    A request without a further attempt waits until its time limit.
+    """
     left_s = job.end_s - now - ANSWER_MARGIN_S
     if not job.is_idempotent or job.attempts >= job.route.max_attempts:
         return left_s
@@ -210,10 +217,10 @@
 
 
 def _note_health(job, place, result):
-    """Take what the attempt tells of the endpoint."""
+    """Record the attempt's result in the endpoint's health."""
     suspicions, engine_id, now = job.state.suspicions, place.engine_id, now_s()
     if isinstance(result, FailedAttempt) and result.is_backoff:
-        # It lives, and says nothing of how it serves.
+        # The endpoint is alive, but a backoff is no evidence of healthy answers.
         return
     if isinstance(result, FailedAttempt) and not result.is_sent:
         suspicion.died(suspicions, engine_id, now)
--- a/libs/node/src/cherryrudder/node/request_handler.py
+++ b/libs/node/src/cherryrudder/node/request_handler.py
@@ -1,4 +1,4 @@
-"""Where clients' requests come in: route, key and service, then the relay."""
+"""Handle clients' requests: check route and key, pick the service, then relay."""
 
 import anyio
 
@@ -24,35 +24,34 @@
 from .supervision import StreamSupervisor
 from .uplink import Uplink
 
-# A request that comes in the last seconds may not end in time: most streams take 2 to 5
-# of the 8 s that a process has. Told at once that it has not run, it goes elsewhere.
+# Refusal of requests that may not end before this process does: most streams take 2 to
+# 5 of the 8 s that a process has to stop. The client retries elsewhere at once.
 LEAVING = Refused(503, "leaving", 0.05)
-# How long a request waits for this entry's configuration, or for a control VM's word on
-# it: a new leader and its first word take 1.2 s after a loss of power. Clients leave a
-# stream that shows nothing for 2 s.
+# How long a request waits for this entry's configuration or its confirmation. After a
+# power loss it takes 1.2 s until a new leader is elected and answers. Clients
+# disconnect from a stream without output after 2 s.
 MAX_HOLD_S = 1.3
-# Part of the time that a client gives its request; the rest is for serving it.
+# Part of the client's deadline that the wait may take; the rest is for serving.
 HOLD_SHARE = 0.5
 HOLD_POLL_INTERVAL_S = 0.02
-# A usual chain makes a token in 12 to 14 ms.
-TOKEN_S = 0.014
-# Clients' guesses of their answers' length are right at the median. If they are off
-# log-normally with a spread of 0.5, one answer in thirty is longer than this many times
-# its guess; worked out, not measured.
+# Time per token: a usual chain takes 12 to 14 ms.
+TOKEN_TIME_S = 0.014
+# Clients' guesses of their answers' length are right at the median. With a log-normal
+# error of spread 0.5, one answer in thirty is longer than this many times its guess.
 GUESS_FACTOR = 2.5
 
 
 class RequestHandler:
-    """Takes requests and sees each to its one final answer."""
+    """Handles each request until its one final answer."""
 
     def __init__(self, state: EntryState, uplink: Uplink):
         self.state = state
         # Set in the last seconds before the process ends.
         self.is_closed = False
-        # When the process ends, once that is known.
+        # When the process will end, once that is known.
         self.process_ends_s: float | None = None
         desks = RoomDesks(uplink.group)
-        self._tell_crashes = uplink.tell_crashes
+        self._send_crashes = uplink.tell_crashes
         self.supervisor = StreamSupervisor(state, StallDetector(state, uplink), desks)
 
     async def handle(self, exchange: Exchange) -> None:
@@ -69,11 +68,11 @@
         await self._serve(exchange, facts, decision)
 
     async def _decide(self, exchange, facts):
-        """Return the decision about a request, once this entry can make one.
+        """Return the decision about a request; wait for a configuration if needed.
 
-        After a loss of power all entries start without a configuration, which takes the
-        control VMs a second. Refused at once, the clients come back two seconds later,
-        and those that were refused before don't come back at all.
+        After a power loss all entries start without a configuration, and the control
+        VMs need a second to send it. Clients that are refused at once retry two seconds
+        later, and those that were refused before don't retry at all.
         """
         decision = self._decide_now(exchange.request, facts)
         wait_s = MAX_HOLD_S
@@ -121,16 +120,17 @@
             if service.model is not None and service.model.layers:
                 await streamrelay.serve(job, self.supervisor)
             else:
-                await plainrelay.serve(job, self._tell_crashes)
+                await plainrelay.serve(job, self._send_crashes)
         finally:
             _record(job)
 
     def _may_outlast(self, job):
-        """Tell whether a stream may go on for longer than this process.
+        """Return whether a stream may last longer than this process.
 
-        New clients come for two seconds after the order to stop, and a long stream
-        would then be cut in the middle, when the platform's patience ends. Told at once
-        that it has not run, its client goes elsewhere and loses some milliseconds.
+        The platform still sends new clients for two seconds after the order to stop. A
+        long stream would then be cut in the middle when the platform kills the process.
+        If it is refused at once, its client retries elsewhere and loses some
+        milliseconds.
         """
         model = job.service.model
         if self.process_ends_s is None or model is None or not model.layers:
@@ -140,17 +140,17 @@
         tokens *= GUESS_FACTOR
         if facts.max_answer_tokens:
             tokens = min(tokens, facts.max_answer_tokens)
-        return now_s() + tokens * TOKEN_S > self.process_ends_s
+        return now_s() + tokens * TOKEN_TIME_S > self.process_ends_s
 
 
 def _record(job):
-    """Count the request's end; failures keep their line also when lines are short."""
+    """Record the request's end in metrics and log; failures are always logged."""
     state, kind = job.state, str(job.route.kind)
     if job.exchange.is_gone:
         job.outcome = f"client left ({job.outcome})"
     total_s = now_s() - job.arrived_s
     first_s = job.first_byte_s - job.arrived_s if job.first_byte_s else None
-    # Without the reason, which may name an address: labels have to stay few.
+    # Leave out the reason, which may contain an address: few label values are allowed.
     outcome = job.outcome.partition(":")[0].partition(" (")[0]
     state.metrics.requests.labels(kind, outcome).inc()
     state.metrics.total_s.labels(kind).observe(total_s)
--- a/libs/node/src/cherryrudder/node/reroute.py
+++ b/libs/node/src/cherryrudder/node/reroute.py
@@ -1,6 +1,7 @@
-"""Carrying a running stream on over another chain, without engines that are lost.
+"""Reroute a running stream over another chain, without engines that are lost.
 
-The survivors keep their memory, and the stream goes on once the new part has read it.
+The surviving engines keep their caches, and the stream continues once the new part has
+read the request.
 """
 
 import math
@@ -21,21 +22,21 @@
 if TYPE_CHECKING:
     from .stream import Stream
 
-# New chains tried for one stall: each may name another engine as missing.
+# New chains tried for one stall: each attempt may report another engine as missing.
 MAX_REROUTES = 3
-# Between two looks for a part that a hole in the layers or a full range left out. Room
-# comes free as other streams end, every 30 to 90 ms in a busy data centre.
+# Poll interval for a replacement part while its layers are missing or full. Room
+# becomes free as other streams end, every 30 to 90 ms in a busy data centre.
 REPLACEMENT_POLL_S = 0.08
 
 
 async def go_on_without(
     stream: "Stream", connection: EngineConnection, lost: set[str]
 ) -> None:
-    """Replace the lost parts of the chain; break the attempt off when none can be.
+    """Replace the lost parts of a stream's chain, or abort the attempt.
 
-    Not while there is no other chain either: the first engine holds the request and
-    what was read of it, and broken off, the stream would wait all the same, with an
-    attempt less and nothing kept.
+    The attempt is not aborted while there is no other whole chain either. The first
+    engine holds the request and its cache; after an abort the stream would have to wait
+    as well, with one attempt less and nothing kept.
     """
     job, since_s = stream.job, stream.last_progress_s
     for address in lost:
@@ -49,7 +50,7 @@
             break
         status, missing = await request_reroute(stream, chain)
         if stream.connection is not connection:
-            # The attempt ended meanwhile, and its chain was counted out already.
+            # The attempt ended meanwhile, and its load was removed already.
             return
         if status in (200, 202):
             switch_chain(stream, chain)
@@ -59,7 +60,7 @@
         lost = lost | {missing}
         stream.exclude(missing)
     if stream.connection is not connection or stream.last_progress_s > since_s:
-        # It has ended meanwhile, or goes on over the chain that seemed lost.
+        # The attempt has ended meanwhile, or its chain that seemed lost continues.
         return
     job.state.metrics.reroutes.labels("failed").inc()
     stream.has_lost_first = stream.chain[0].address in lost
@@ -67,9 +68,10 @@
 
 
 async def _wait_for_replacement(stream, connection, lost):
-    """Return a chain without the lost parts, None when the stream should go elsewhere.
+    """Return a chain without the lost parts, or None if the attempt should end.
 
-    Elsewhere is another whole chain; until there is either, the stream waits.
+    It should end once there is another whole chain. Until there is a replacement or
+    another chain, wait.
     """
     since_s = stream.last_progress_s
     while stream.connection is connection and stream.last_progress_s <= since_s:
@@ -87,7 +89,7 @@
 async def request_reroute(
     stream: "Stream", chain: Chain, is_move: bool = False
 ) -> tuple[int, str]:
-    """Order the first engine to carry a stream on; return status and fault address."""
+    """Ask the first engine to reroute a stream; return status and fault address."""
     job = stream.job
     try:
         status, missing = await enginecalls.reroute(
@@ -108,12 +110,12 @@
 
 
 def without(stream: "Stream", lost: set[str]) -> Chain | None:
-    """Return a stream's chain with other parts in place of the lost ones, if any."""
+    """Return a stream's chain with the lost parts replaced, None if impossible."""
     job = stream.job
     if stream.chain[0].address in lost:
         return None
-    # The data centre of the chain, which is not always this entry's. The first engine
-    # may be leaving, and so not among the usable ones.
+    # Use the data centre of the chain, which may differ from this entry's. The first
+    # engine may be leaving, and is then not among the usable ones.
     first = job.state.endpoints.table.entries.get(stream.chain[0].engine_id)
     need = Need(stream.tokens, first.announcement.vm_zone if first else "")
     usable = streamchains.usable_engines(stream, lost, now_s(), vm_zone=need.home_zone)
@@ -125,7 +127,7 @@
 
 
 def switch_chain(stream: "Stream", chain: Chain) -> None:
-    """Count a stream over from its chain to the one that it goes on over."""
+    """Set a stream's new chain, and move the stream's load to it."""
     state = stream.job.state
     entrystate.remove_load(state, stream.chain, stream.tokens)
     entrystate.add_load(state, chain, stream.tokens)
--- a/libs/node/src/cherryrudder/node/stalls.py
+++ b/libs/node/src/cherryrudder/node/stalls.py
@@ -1,10 +1,10 @@
-"""Finding out which engine a silent stream waits for, once for all streams.
+"""Find the engine that a silent stream waits for, sharing reports among streams.
 
-Failure: an engine in the middle of a chain dies; the first one holds the stream and
-says nothing for seconds. Its own report names the engine it waits for, but 200 ms late,
-and a pause of 200 ms makes the stream late already. So every engine of the chain is
-asked for its report at the same moment: within a data centre the living answer in a
-few milliseconds, and the one that doesn't is dead.
+Problem: an engine in the middle of a chain dies, and the first one keeps the stream
+silent for seconds. The first engine's report names the engine it waits for, but 200 ms
+late, and a pause of 200 ms already makes the stream late. So every engine of the chain
+is asked for its report at the same time. Within a data centre living engines answer in
+a few milliseconds; an engine that does not is taken as dead.
 """
 
 from typing import NamedTuple
@@ -24,58 +24,59 @@
 from .errors import EngineCallFailed
 from .uplink import Uplink
 
-# What one look found is good for all streams that are silent at the same moment. That
-# an engine lives is good for longer: streams that are merely slow ask again and again.
-# An engine without an answer counts as silent from the end of the look on, which takes
-# longer than this by itself.
+# How long a result is shared by all streams that are silent at the same time. A report
+# is valid for longer, since streams that are merely slow ask repeatedly. A missing
+# report counts from the end of the request, as the request itself takes longer than
+# this.
 SILENT_MAX_AGE_S = 0.1
 REPORT_MAX_AGE_S = 0.3
-# Time limits of an answer: at least some turns of the scheduler at either side, at most
-# half of a pause that clients notice. A lost packet is sent again after 0.2 s only.
+# Time limits for a report: at least a few scheduler turns on either side, at most half
+# of a pause that clients notice. A lost packet is retransmitted only after 0.2 s.
 REPORT_BOUNDS = Bounds(least_s=0.015, first_s=0.03, most_s=0.12)
 RETRANSMIT_S = 0.2
-# Tries at a report, each in usual time limits and in seconds beyond them. An engine
-# that answers none is taken as dead; the second try is longer, for one that has just
-# become busy.
+# Tries at a report: each a factor on the usual time limit and seconds on top. An engine
+# that answers none is taken as dead. The second try is longer, in case the engine has
+# just become busy.
 NEAR_TRIES = ((1.0, 0.0), (1.5, 0.0))
-# Links between data centres lose packets at times. Of the reports over one that loses
-# 4 in 100, one in seven needs a packet sent again, and each look asks for some ten. The
-# last try is left out once others over that link have answered in the same look.
+# Links between data centres lose packets at times. On a link that loses 4 in 100, one
+# report in seven needs a retransmission, and each check asks for some ten reports. The
+# last try is skipped once another engine over that link has answered since the first.
 FAR_TRIES = ((1.0, 0.0), (1.5, 0.0), (1.5, RETRANSMIT_S))
-# A stream that loses its first engine runs once more, over other engines: more than a
-# part that is read again, so that an engine which is merely starved isn't left for it.
+# Extra seconds per try for the first engine of a chain. Losing it costs a whole new run
+# over other engines, more than reading one part again, so an engine that is only short
+# of CPU time should not be given up.
 FIRST_EXTRA_S = (0.045, 0.2, 0.0)
-# A time limit that is noticed this late says that this process stood still; what the
-# engine answered meanwhile is yet to be read.
+# A timeout that is noticed this late means that this process stalled; the engine's
+# answer may have yet to be read.
 OWN_DELAY_S = 0.03
 
 log = logger.bind(part="stalls")
 
 
 class SharedReport(NamedTuple):
-    """A report, or None when the engine gave none, and when it counts from."""
+    """An engine's report, None if it gave none, and the time it counts from."""
 
     report: Report | None
     valid_from_s: float
 
 
 class StallDetector:
-    """The newest reports of engines, shared by the streams that are silent."""
+    """The newest reports of engines, shared by all silent streams."""
 
     def __init__(self, state: EntryState, uplink: Uplink):
         self.state = state
         self.uplink = uplink
-        # By address, and whether it is the first engine of the chain that is looked at.
+        # By address, and whether the engine is the first of the checked chain.
         self._reports: dict[tuple[str, bool], SharedReport] = {}
         self._locks: dict[tuple[str, bool], anyio.Lock] = {}
-        # How long reports take, by the engine's data centre.
+        # How long reports take, by data centre of the engine.
         self._answer_times: dict[str, AnswerTimes] = {}
-        # When an engine of a data centre last gave one.
+        # When an engine last gave a report, by data centre.
         self._answered_s: dict[str, float] = {}
 
     async def get_reports(self, addresses: list[str]) -> dict[str, SharedReport]:
-        """Ask a chain's engines for their reports, all at the same time."""
-        # Kept apart from the shared ones: an address may be forgotten meanwhile.
+        """Ask a chain's engines for reports concurrently; return them by address."""
+        # Kept apart from the shared reports: an address may be dropped meanwhile.
         found: dict[str, SharedReport] = {}
 
         async def fetch(address):
@@ -95,26 +96,26 @@
                 return known
             asked_s = now_s()
             report = await self._ask(address, is_first)
-            seen_s = now_s() if report is None else asked_s
-            fresh = self._reports[key] = SharedReport(report, seen_s)
+            valid_from_s = now_s() if report is None else asked_s
+            fresh = self._reports[key] = SharedReport(report, valid_from_s)
             return fresh
 
     async def _ask(self, address, is_first):
-        """Return an engine's report, or None when it gives none in any try."""
+        """Return an engine's report, or None if it gives none in any try."""
         zone = self._zone_of(address)
         times = self._answer_times.setdefault(zone, AnswerTimes())
         is_near = zone == self.state.settings.vm_zone
         began_s = now_s()
         tries = NEAR_TRIES if is_near else FAR_TRIES
-        for (share, resent_s), extra_s in zip(tries, FIRST_EXTRA_S, strict=False):
-            if resent_s and self._answered_s.get(zone, 0.0) > began_s:
+        for (share, retransmit_s), extra_s in zip(tries, FIRST_EXTRA_S, strict=False):
+            if retransmit_s and self._answered_s.get(zone, 0.0) > began_s:
                 break
-            # Other engines may have answered meanwhile, and told what is usual.
-            limit_s = share * answertimes.limit_s(times, REPORT_BOUNDS) + resent_s
+            # Other engines' answers may have changed the usual time meanwhile.
+            limit_s = share * answertimes.limit_s(times, REPORT_BOUNDS) + retransmit_s
             limit_s += extra_s if is_first else 0.0
             report = await self._report(address, limit_s)
             if report is not None:
-                # Since the first try: an engine that needed another one is busy.
+                # Counted from the first try: an engine that needs a second one is busy.
                 answertimes.note(times, now_s() - began_s)
                 self._answered_s[zone] = now_s()
                 return report
@@ -125,7 +126,7 @@
         return engine.vm_zone if engine else self.state.settings.vm_zone
 
     async def _report(self, address, timeout_s):
-        """Return an engine's report, or None; asks again after an own standstill."""
+        """Return an engine's report, or None; ask again if this process stalled."""
         while True:
             asked_s = now_s()
             try:
@@ -136,13 +137,16 @@
                 return None
 
     def drop_unknown(self, known: set[str]) -> None:
-        """Drop what was found about addresses that are no longer known."""
+        """Drop the reports of addresses that are no longer known."""
         for key in [key for key in self._reports if key[0] not in known]:
             del self._reports[key]
             self._locks.pop(key, None)
 
     def mark_dead(self, address: str, why: str, is_unreached: bool = False) -> None:
-        """Take an engine as dead, and have a control VM look at it, too."""
+        """Record an engine as dead for this entry, and ask control VMs to verify it.
+
+        `is_unreached` means that no connection to it could be opened.
+        """
         state, now = self.state, now_s()
         engine = entrystate.engine_at(state, address, now)
         if engine is None or entrystate.is_suspect(state, engine.engine_id, now):
@@ -159,14 +163,14 @@
 
 
 def is_of_incarnation(report: Report, announcement: Announcement) -> bool:
-    """Tell whether a report comes from the incarnation that an announcement is of.
+    """Return whether a report and an announcement are of the same incarnation.
 
-    An engine that has started again answers as if nothing had been.
+    A restarted engine answers normally although its streams are lost.
     """
     starts_ms = {report.started_ms, announcement.started_ms} - {0}
     return len(starts_ms) < 2
 
 
-def _is_fresh(look, now):
-    limit_s = SILENT_MAX_AGE_S if look.report is None else REPORT_MAX_AGE_S
-    return now - look.valid_from_s < limit_s
+def _is_fresh(shared, now):
+    limit_s = SILENT_MAX_AGE_S if shared.report is None else REPORT_MAX_AGE_S
+    return now - shared.valid_from_s < limit_s
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -1,4 +1,4 @@
-"""Which chain a stream gets, and how long it waits for one."""
+"""Choose the chain of engines for a stream, and wait for one to become free."""
 
 import math
 from typing import TYPE_CHECKING
@@ -15,28 +15,28 @@
 if TYPE_CHECKING:
     from .stream import Stream
 
-# Part of a client's patience that its stream waits for a chain; the rest is for reading
-# the prompt: 0.05 s for a usual one on a calm day, more on busy engines.
+# Part of the client's timeout that a stream waits for a chain. The rest is for reading
+# the prompt: 0.05 s for a usual prompt at low load, more on busy engines.
 WAIT_SHARE = 0.65
-# A usual prompt is read in this time, so that a stream which gets its chain later than
-# this before its objective is late.
+# Time to read a usual prompt. A stream that has no chain by this long before its
+# objective is late.
 PROMPT_READ_S = 0.1
-# Some layers are held by no engine that may be used, or by none with room.
+# No usable engine holds some of the layers, or none that does has room.
 NO_CHAIN = "no chain"
 NO_ROOM = "no room"
-# All engines at which the stream may begin limit their requests, and no permit is free.
+# All engines where the stream may begin limit their requests, and no permit is free.
 LIMITED = "engines limit their requests"
-# All of them have asked this machine to back off.
+# All engines where the stream may begin have asked this machine to back off.
 BACKING_OFF = "engines ask to back off"
-# How long an entry waits after its start before a hole in the layers counts as one and
-# not as an engine that is yet to be heard, in times between two heartbeats.
+# Part of the heartbeat interval that an entry waits after its start before missing
+# layers count as missing. Until then an engine may not have announced itself yet.
 ANNOUNCED_SHARE = 0.5
-# How long a chain that was found for a stream is kept: until its attempt has ended.
+# How long a chain found for a stream is kept: until its present attempt has ended.
 KEPT_CHAIN_S = 0.05
 
 
 async def wait_for_chain(stream: "Stream") -> Chain | None:
-    """Return a chain that is counted in, or None when none will be free in time."""
+    """Return a chain with the stream's load added, or None if none is free in time."""
     job, began_s = stream.job, now_s()
     stream.refusal = ""
     desk = stream.supervisor.desks.of(job.service.name)
@@ -52,25 +52,26 @@
             is_picky=bool(stream.excluded(began_s) or bounding_firsts(stream)),
         )
     except BaseException:
-        # A client may leave at the moment at which its stream's turn has come. The
-        # room would be counted as taken for as long as this process runs.
+        # The client may disconnect just as its stream gets a chain. Without this, the
+        # load would stay counted for as long as this process runs.
         release(stream)
         raise
     job.note_wait(now_s() - began_s, stream.refusal)
     if chain is None:
         stream.retry_after_s = desk.retry_after_s()
         if stream.refusal in (LIMITED, BACKING_OFF):
-            told_s = _backpressure_s(stream, now_s())
-            stream.retry_after_s = max(stream.retry_after_s, told_s)
+            backpressure_s = _backpressure_s(stream, now_s())
+            stream.retry_after_s = max(stream.retry_after_s, backpressure_s)
         _log_no_chain(stream)
     return chain
 
 
 async def _acquire_permit(stream):
-    """Ask for a permit at a limited engine that is beside this entry.
+    """Request permits for the limited engines in this entry's data centre.
 
-    Its issuer is near, too, and answers sooner than the stream would get to another
-    data centre. Farther engines are asked for when nothing else is left.
+    Their permit issuer is near, too, and answers sooner than the stream would reach
+    another data centre. Permits for remote engines are requested when no other engine
+    is left.
     """
     state, now = stream.job.state, now_s()
     if state.rates.book.limits:
@@ -79,7 +80,7 @@
 
 
 def _limited_firsts(stream, now, vm_zone=""):
-    """Return the limited engines at which a stream could begin if it had a permit."""
+    """Return the engines where the stream could begin if it had a permit."""
     state = stream.job.state
     if not state.rates.book.limits:
         return []
@@ -93,7 +94,7 @@
 
 
 def _first_engines(stream, now):
-    """Return the engines at which a stream could begin if they took requests."""
+    """Return the engines where the stream could begin, ignoring limits and backoffs."""
     state, avoided = stream.job.state, stream.excluded(now)
     only_at = bounding_firsts(stream)
     return [
@@ -107,7 +108,7 @@
 
 
 def _are_all_barred(stream, now):
-    """Tell whether no engine at which a stream could begin takes a request now."""
+    """Return whether limits or backoffs bar all engines where it could begin."""
     state = stream.job.state
     if not state.backoffs.backoffs and not state.rates.book.limits:
         return False
@@ -117,9 +118,9 @@
 
 
 def _is_backoff_too_long(stream, now):
-    """Tell whether all engines at which a stream could begin want nothing for too long.
+    """Return whether all possible first engines back off for longer than it may wait.
 
-    An answer that has begun can't be refused, so it waits.
+    An answer that has begun can't be refused, so its stream waits in any case.
     """
     book = stream.job.state.backoffs
     if not book.backoffs or stream.has_begun:
@@ -130,7 +131,7 @@
 
 
 def _backpressure_s(stream, now):
-    """Return when some engine may take a stream, spread over those that wait."""
+    """Return the time until some engine may take the stream, with jitter."""
     state = stream.job.state
     engine_ids = [one.engine_id for one in _first_engines(stream, now)]
     wait_s = backpressure.wait_s(state, engine_ids, now)
@@ -138,10 +139,10 @@
 
 
 def _queue_entry(stream):
-    """Return what the queue is told of a stream.
+    """Return the queue's entry for a stream.
 
-    One that was interrupted waits until its client leaves. Given up after a part of
-    that time it ended in the middle while others were given room.
+    A stream whose answer has begun waits until its client's timeout. Given up earlier,
+    its answer would end in the middle while other streams were given room.
     """
     job, route = stream.job, stream.job.route
     give_up_s = min(job.arrived_s + WAIT_SHARE * job.client_timeout_s(), job.end_s)
@@ -157,16 +158,16 @@
 
 
 def bounding_firsts(stream: "Stream", is_running: bool = False) -> set[str]:
-    """Return the only engines at which a stream may begin again, nothing for any.
+    """Return the only engines where the stream may begin again, empty for any engine.
 
-    Failure: parts of two chains die one after the other under one answer. The route
-    allows no third engine, and the answer ended in the middle at once, although the
-    first engines of both chains lived. It may begin there again over other parts, or
-    elsewhere once one of them is known to have ended; until then it waits.
+    Problem: parts of two chains die one after the other during one answer. The route
+    allows no third engine, and the answer used to end in the middle at once, although
+    the first engines of both chains were alive. The stream may begin there again over
+    other parts, or elsewhere once one of them is confirmed dead; until then it waits.
 
-    A run counts until its engine has ended for certain. The entry's own suspicion isn't
-    enough, also of an engine that leaves: it may still be at work, and a request that
-    is taken from living engines again and again is work for all of them.
+    A run counts until its engine is confirmed dead. This entry's own suspicion isn't
+    enough, also for an engine that leaves: the engine may still be running the request,
+    and a request that moves from one living engine to the next loads all of them.
     """
     state, ran = stream.job.state, set(stream.ran_at)
     if is_running:
@@ -178,11 +179,11 @@
 
 
 def has_other_chain(stream: "Stream", lost: set[str]) -> bool:
-    """Tell whether a stream could leave its chain for one without some engines now.
+    """Return whether the stream could switch now to a whole chain without some engines.
 
-    The chain is kept for it, for the moment in which it leaves: the search takes longer
-    than all else that an entry does for it, and each stream of a dead engine is waited
-    for by the next one.
+    The chain is kept for the stream's next attempt. The search takes longer than
+    everything else that an entry does for the stream, and the streams of a dead engine
+    are handled one after the other.
     """
     job, now = stream.job, now_s()
     engines = usable_engines(stream, lost, now, is_running=True)
@@ -202,10 +203,11 @@
     is_running: bool = False,
     vm_zone: str = "",
 ) -> list[Candidate]:
-    """Return the engines that a stream may go over, without some.
+    """Return the engines that the stream may use, without the lost addresses.
 
-    Those at which it may not begin are there for the other parts. `is_running` counts
-    the run that is under way. Those of one data centre, if it is given.
+    Engines where it may not begin are included for the other parts of the chain.
+    `is_running` counts the present run. `vm_zone` restricts the result to one data
+    centre.
     """
     job = stream.job
     candidates = entrystate.candidates(job.state, job.service.name, now, vm_zone)
@@ -218,7 +220,7 @@
 
 
 def _take_chain(stream):
-    """Return a chain and count it in; it is counted out when its attempt ends."""
+    """Return a chain and add the stream's load to it until `release`."""
     chain = _take_kept_chain(stream, now_s()) or _choose(stream)
     if chain is not None:
         stream.chain = chain
@@ -229,32 +231,32 @@
 
 
 def _take_kept_chain(stream, now):
-    """Return the chain that was kept for a stream, if it may still go over it."""
-    offer, stream.kept_chain = stream.kept_chain, None
-    if offer is None or now > offer.until_s:
+    """Return the chain kept for the stream, if it is still usable."""
+    kept, stream.kept_chain = stream.kept_chain, None
+    if kept is None or now > kept.until_s:
         return None
-    if stream.excluded(now) & {part.address for part in offer.chain}:
+    if stream.excluded(now) & {part.address for part in kept.chain}:
         return None
     if any(
         entrystate.is_suspect(stream.job.state, part.engine_id, now)
-        for part in offer.chain
+        for part in kept.chain
     ):
         return None
-    if not backpressure.may_begin(stream.job.state, offer.chain[0].engine_id, now):
+    if not backpressure.may_begin(stream.job.state, kept.chain[0].engine_id, now):
         return None
-    stream.expected_pause_s = offer.expected_pause_s
-    return offer.chain
+    stream.expected_pause_s = kept.expected_pause_s
+    return kept.chain
 
 
 def release(stream: "Stream") -> None:
-    """Count a stream's chain out, if it is counted in."""
+    """Remove the stream's load from its chain, if it was added."""
     if stream.is_counted:
         stream.is_counted = False
         entrystate.remove_load(stream.job.state, stream.chain, stream.tokens)
 
 
 def _choose(stream):
-    """Return a chain, or None and why there is none in `refusal`."""
+    """Return a chain, or None with the reason in `stream.refusal`."""
     job, now = stream.job, now_s()
     engines = usable_engines(stream, set(), now)
     need = Need(stream.tokens, job.state.settings.vm_zone)
@@ -265,8 +267,8 @@
         stream.refusal = _refusal(stream, engines, now)
         return None
     if not chains.covers(chain, job.service.model.layers):
-        # Checked again where it is sent: a layer left out or run twice spoils every
-        # token, and nothing behind would notice.
+        # Check again: a layer left out or run twice makes every token wrong, and no
+        # later step would detect it.
         job.note("bad-chain", True, chain=[list(part) for part in chain])
         return None
     stream.expected_pause_s = pace.expected_pause_s(job.service.model, chain, engines)
@@ -274,7 +276,7 @@
 
 
 def _refusal(stream, engines, now):
-    """Return why there is no chain, and ask for permits if these are what it lacks."""
+    """Return why there is no chain; request permits where they are missing."""
     job = stream.job
     limited = _limited_firsts(stream, now)
     ratekeeper.ask(job.state, limited, now)
@@ -285,11 +287,12 @@
 
 
 def _choose_mixed(stream, engines, need, now):
-    """Return a chain over several data centres, as far as the pipes allow.
+    """Return a chain over several data centres, as far as the links' budget allows.
 
-    Not before most engines have had the time to announce themselves to an entry that
-    has just started: after a loss of power no data centre seems whole for some tenths
-    of a second, and chains over all of them would fill the pipes for seconds.
+    An entry that has just started returns none until most engines have had the time to
+    announce themselves. After a power loss no data centre seems to hold all layers for
+    some tenths of a second, and chains across all of them would fill the links between
+    them for seconds.
     """
     state, model = stream.job.state, stream.job.service.model
     if now - state.started_s < ANNOUNCED_SHARE * state.settings.heartbeat_s:
@@ -297,8 +300,8 @@
     tokens = stream.job.facts.prompt_tokens
     least_s = pipes.crossing_s(model, tokens, 1)
     if not pipes.is_open(state.pipes, least_s, state.entries, now):
-        # The search over all data centres is the dearest part of a choice, and those
-        # that wait for room would make it again and again.
+        # The search over all data centres is the most expensive part of a choice, and
+        # streams that wait for room would repeat it.
         return None
     chain = chains.choose_mixed_chain(model, engines, need)
     if chain is None:
@@ -312,7 +315,7 @@
 
 
 def _log_no_chain(stream):
-    """Log what a stream lacked: which layer is held by too few, or too full."""
+    """Log why there was no chain, with the layer that has the least free room."""
     job = stream.job
     engines = entrystate.candidates(job.state, job.service.name, now_s())
     layer, free = chains.tightest(job.service.model, engines)
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -1,8 +1,9 @@
-"""Streams through chains of engines, carried on inside one answer when an engine dies.
+"""Relay streams through chains of engines, and resume them when an engine dies.
 
-Three ways to go on, in this order: the first engine carries the request on over another
-chain, so that only the new parts read it again; another chain goes on behind the last
-event that the client has; a request without any event yet is sent once more.
+There are three ways to resume inside the same answer, tried in this order. The first
+engine reroutes the request over another chain, so that only the new parts read it
+again. Or another chain resumes after the last event that the client has. Or a request
+without any event yet is sent again.
 """
 
 from cherryrudder.platform import engines, messages
@@ -19,26 +20,26 @@
 from .streamchains import BACKING_OFF, LIMITED, NO_CHAIN, NO_ROOM
 from .supervision import StreamSupervisor
 
-# A second attempt is worth sending while this much is left: a prompt is read within
-# 0.1 s, and some events are better than none.
+# A second attempt is worth sending while this much time is left: a prompt is read
+# within 0.1 s, and some events are better than none.
 EXPECTED_S = 0.3
-# The chains that a hole in the layers leaves without are back after a load: a part of
-# 14 s for all layers, 1 to 2 s for one engine's range.
+# Missing layers are back once an engine has loaded them. All layers take 14 s, one
+# engine's range 1 to 2 s.
 NO_CHAIN_RETRY_S = 3.0
-# Room comes back as streams end; one lasts 2.2 s on the average. Most clients come back
-# once only, so that a time which is too short to help costs them the answer.
+# Room becomes free as streams end; a stream lasts 2.2 s on average. Most clients retry
+# only once, so too short a time costs them the answer.
 NO_ROOM_RETRY_S = 2.0
-# A client counts a time to come back that is longer than a third of the time left, some
-# 6 s, as that third.
+# Clients shorten a Retry-After of more than a third of their time left (some 6 s) to
+# that third.
 MAX_RETRY_AFTER_S = 5.0
-# Sends beyond the route's attempts that engines may refuse unrun, or die under. They
-# don't count against the route, but each is work for the engines that are left. A
-# request without an answer can be told to come back instead; one whose answer has begun
-# goes on as long as the retry budget lasts.
+# Sends beyond the route's attempts, for engines that refuse a request without running
+# it or die while running it. They don't count against the route, but each loads the
+# remaining engines. A request without an answer can be told to retry later instead; one
+# whose answer has begun is resumed as long as the retry budget lasts.
 MAX_EXTRA_SENDS = 4
 
-# How long a request keeps away from an engine that refused it for want of room: as long
-# as a usual answer takes to end there.
+# How long a request avoids an engine that refused it for lack of room: as long as a
+# usual answer takes.
 REFUSAL_EXCLUSION_S = 2.0
 
 RETRY_AFTER_S = {
@@ -50,7 +51,7 @@
 
 
 async def serve(job: Job, supervisor: StreamSupervisor) -> None:
-    """See a stream to its end."""
+    """Serve a stream: run attempts until its answer has ended or none may follow."""
     stream = Stream(job, supervisor)
     failed = FailedAttempt(NO_CHAIN, is_not_run=True, is_sent=False)
     has_run = False
@@ -82,17 +83,17 @@
 
 
 async def _may_retry(stream, failed):
-    """Tell whether the stream may go out once more.
+    """Return whether the stream may be sent again.
 
-    The route bounds the engines that a request runs on, not how often it goes out, and
-    that bound is kept where a chain is chosen (`streamchains.bounding_firsts`): here no
-    run counts against it.
+    The route limits the engines that a request runs on, not how often it is sent. That
+    limit is applied where a chain is chosen (`streamchains.bounding_firsts`), so no run
+    is counted here.
     """
-    job, most_runs = stream.job, stream.job.route.max_attempts
-    if not stream.has_begun and job.attempts >= most_runs + MAX_EXTRA_SENDS:
+    job, max_runs = stream.job, stream.job.route.max_attempts
+    if not stream.has_begun and job.attempts >= max_runs + MAX_EXTRA_SENDS:
         return False
     return await attempts.may_retry(
-        job, failed, 0, most_runs, EXPECTED_S, has_begun=stream.has_begun
+        job, failed, 0, max_runs, EXPECTED_S, has_begun=stream.has_begun
     )
 
 
@@ -107,7 +108,8 @@
 async def _give_up(stream, failed):
     job = stream.job
     if stream.has_begun:
-        # The connection closes without an end, so that the answer can't look complete.
+        # The connection closes without an end, so that the answer doesn't look
+        # complete.
         job.outcome = f"broken off: {failed.reason}"
         return
     if failed.is_not_run and failed.reason in RETRY_AFTER_S:
@@ -156,8 +158,9 @@
         is_broken = is_broken and (not stream.break_reason or stream.has_lost_first)
         reason = stream.break_reason or str(error)
         if not stream.break_reason:
-            # All streams of an engine that crashes break at the same moment. Each would
-            # go straight back to it, and spend its last attempt on a reset connection.
+            # When an engine crashes, all its streams break at once. Without this, each
+            # would return to it at once and spend its last attempt on a reset
+            # connection.
             supervision.mark_first_dead(stream, reason, is_unreached=False)
         if not stream.break_reason or stream.has_lost_first:
             _note_break(stream, reason, is_broken)
@@ -191,7 +194,7 @@
 
 
 def _note_head(stream):
-    """Take note that the first engine has begun the request, or refused it."""
+    """Record that the first engine has begun the request, or refused it."""
     job, now = stream.job, now_s()
     engine_id, request_id = stream.chain[0].engine_id, job.facts.request_id
     hangs.begun(job.state.hangs, engine_id, request_id, now)
@@ -201,7 +204,7 @@
 
 
 def _note_break(stream, reason, is_broken):
-    """Keep how far a run had come when its engine broke it off."""
+    """Record how far a run got when its engine broke it off."""
     job, engine_id, head_s = stream.job, stream.chain[0].engine_id, stream.head_s
     if is_broken and head_s is not None:
         news = crashes.broke(job, engine_id, stream.position(), now_s())
@@ -234,7 +237,7 @@
 
 
 async def _relay(stream, connection):
-    """Pass an engine's answer on; return what kept it from its end, if anything."""
+    """Relay an engine's answer; return the failure if it did not end."""
     job = stream.job
     head, facts = await attempts.read_matching_head(
         job, connection, stream.chain[0].engine_id, job.left_s()
@@ -256,9 +259,9 @@
 
 
 def _exclude_refusing(stream, status, facts):
-    """Keep away from the engine that refused: the named one, else the first itself.
+    """Exclude the engine that refused: the one named as at fault, else the first.
 
-    One that is full has room again soon; one that lacks the layers does not.
+    A full engine has room again soon; one without the layers is excluded for good.
     """
     address, now = facts.fault_address or stream.chain[0].address, now_s()
     if status == 421:
@@ -271,14 +274,14 @@
 async def _begin(stream, head):
     job = stream.job
     headers = messages.answer_headers(head.headers)
-    # A stream that is carried on by another engine may have another length.
+    # A stream that is resumed on another engine may have another length.
     headers = [pair for pair in headers if pair[0] != b"content-length"]
     stream.has_begun = True
     await job.exchange.begin(head.status, headers)
 
 
 async def _pass_failure(stream, whole):
-    """Pass an engine's own failure on, unless it is to be tried once more."""
+    """Relay an engine's own failure to the client, unless the request is retried."""
     job = stream.job
     if stream.has_begun:
         return FailedAttempt(
@@ -292,7 +295,7 @@
 
 
 async def _pass_events(stream, connection):
-    """Pass whole events on until the stream's complete end."""
+    """Relay whole events until the stream's complete end; raises AnswerBroken."""
     job = stream.job
     stream.splitter = events.EventSplitter()
     while True:
@@ -318,7 +321,7 @@
 
 
 def _is_new(stream, event):
-    """Tell whether the client lacks an event, and take note that it gets it."""
+    """Return whether the client lacks an event, and record that it gets it."""
     if event.number is None:
         return True
     if stream.last_event is not None and event.number <= stream.last_event:
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -1,9 +1,10 @@
-"""Watching all streams for silence, and carrying them on when an engine has died.
+"""Check all streams for silence, and reroute them when an engine has died.
 
-One task looks at every stream some fifty times a second; a timer for each event of
-each stream would cost a quarter of the time that an entry spends on it. A silent
-stream's chain is looked into (`stalls`), and its dead part is replaced: the survivors
-keep their memory, and the stream goes on once the new part has read it.
+One task reviews every stream some fifty times a second. A timer for each event of each
+stream would cost a quarter of the time that an entry spends on the stream. When a
+stream is silent, the engines of its chain are asked for reports (`stalls`) and its dead
+part is replaced. The surviving engines keep their caches, and the stream continues once
+the new part has read the request.
 """
 
 from typing import TYPE_CHECKING
@@ -28,35 +29,36 @@
 log = logger.bind(part="streams")
 
 REVIEW_INTERVAL_S = 0.02
-# When a stream counts as silent, by its own pauses: engines read long prompts between
-# its events, and clients count a pause of some 200 ms as late.
+# When a stream counts as silent, derived from its own pauses. Engines read long prompts
+# between its events, and clients count a pause of some 200 ms as late.
 SILENCE_BOUNDS = Bounds(least_s=0.07, first_s=INITIAL_SILENCE_S, most_s=1.0)
-# A chain with an engine that was found dead by another stream needs less proof.
+# A shorter limit for a chain with an engine that is already suspect.
 SUSPECT_SILENCE_S = 0.06
-# Weight of the newest pause in a stream's usual one.
+# Weight of the newest pause in a stream's moving average.
 PAUSE_WEIGHT = 0.2
-# Each further look at a stream that is slow but not stalled waits longer.
+# Factor on the silence limit after each check of a stream that is slow but not stalled.
 SILENCE_BACKOFF = 1.6
-# The engines themselves give up on a dead neighbour after 2.5 s; past this the first
-# engine is lost as well.
+# Engines time out a dead neighbour after 2.5 s. When a stream is silent for longer than
+# this, its first engine is dead as well.
 FIRST_ENGINE_TIMEOUT_S = 4.0
-# An engine that leaves serves for some two seconds more, as operators give it. Streams
-# that are still under way at the end are cut, and go on elsewhere after 0.3 s or not at
-# all; moved before, their clients see the pause of reading the prompt, some 0.1 s. A
-# stream that moves when half of that time is over would hardly have ended by itself.
+# An engine that leaves serves for some two seconds more, as operators set it. Streams
+# that are still in flight then are cut, and resume elsewhere after 0.3 s or not at all.
+# If they are moved before, their clients only see the pause for reading the prompt,
+# some 0.1 s. A stream that still runs after half of that time would hardly have ended
+# in time.
 MOVE_AFTER_S = 1.0
 MOVE_SPREAD_S = 0.7
 MOVE_AGAIN_S = 0.3
-# Between two complaints of one stream's pace. Its control VM looks at once, and knows
-# an engine that it has just found sound.
+# Interval between two complaints about one stream's pace. The control VM asks the
+# engines at once, and ignores those that it has just found healthy.
 COMPLAINT_INTERVAL_S = 1.0
-# A round that comes this late says that this process itself stood still, and not that
-# the engines did: what they sent meanwhile is yet to be read.
-LATE_ROUND_S = 0.1
+# A review that is this late means that this process stalled, not the engines: what they
+# sent meanwhile has yet to be read.
+LATE_REVIEW_S = 0.1
 
 
 class StreamSupervisor:
-    """The streams of one entry that are under way."""
+    """Watches the streams of one entry that are in flight."""
 
     def __init__(self, state: EntryState, stalls: StallDetector, desks: RoomDesks):
         self.state = state
@@ -65,13 +67,13 @@
         self.streams: set[Stream] = set()
 
     async def run(self) -> None:
-        """Look at the streams again and again."""
+        """Review all streams periodically, until cancelled."""
         async with anyio.create_task_group() as group:
             last_s = now_s()
             while True:
                 await self._wait_for_review()
                 now = now_s()
-                is_late = now - last_s > REVIEW_INTERVAL_S + LATE_ROUND_S
+                is_late = now - last_s > REVIEW_INTERVAL_S + LATE_REVIEW_S
                 last_s = now
                 hung = set() if is_late else self._find_hung(now)
                 for stream in tuple(self.streams):
@@ -81,7 +83,7 @@
                         stream.exclude(
                             stream.chain[0].address, now + FIRST_ENGINE_EXCLUSION_S
                         )
-                        stream.abort_attempt("the first engine begins nothing")
+                        stream.abort_attempt("the first engine hangs")
                     elif _must_stop(stream, now):
                         stream.abort_attempt(crashes.ENDS_ENGINES.reason)
                     elif self._is_due(stream, now):
@@ -94,14 +96,14 @@
                         self._complain(stream, now)
 
     async def _wait_for_review(self):
-        """Wait for the next round, which the news of a death brings forward."""
+        """Wait for the next review; it starts early when an engine is found dead."""
         with anyio.move_on_after(REVIEW_INTERVAL_S):
             await self.state.engine_died.wait()
         if self.state.engine_died.is_set():
             self.state.engine_died = anyio.Event()
 
     def _find_hung(self, now):
-        """Return the engines that hang, and log those that were found now."""
+        """Return the engines that hang, and log the newly found ones."""
         state = self.state
         for engine_id in hangs.find(state.hangs, now):
             state.metrics.beliefs.labels("engine-hung").inc()
@@ -113,7 +115,7 @@
             return False
         if now >= stream.job.end_s:
             stream.is_late = True
-            stream.abort_attempt("the time is up")
+            stream.abort_attempt("the time limit has passed")
             return False
         silent_s = now - stream.last_progress_s
         if silent_s > FIRST_ENGINE_TIMEOUT_S:
@@ -126,17 +128,18 @@
         return silent_s > SUSPECT_SILENCE_S and bool(self._suspect_parts(stream, now))
 
     def _must_move(self, stream, now):
-        """Tell whether a stream goes through an engine that ends before it may.
+        """Return whether a stream is due to move away from engines that leave.
 
-        Not when it may still end by itself, and each at a moment of its own: all
-        streams of an engine at once would read their prompts again at the same time.
+        A stream gets the time to end by itself first. Each stream moves at a random
+        time, as otherwise all streams of an engine would read their prompts again at
+        once.
         """
         if stream.is_under_review or not stream.has_head or now < stream.move_at_s:
             return False
         return bool(self._leaving(stream, now))
 
     def _leaving(self, stream, now):
-        """Return the parts behind the first whose engines leave soon, by address."""
+        """Return the addresses of parts after the first whose engines leave soon."""
         leaving_s = self.state.leaving_s
         return {
             part.address
@@ -147,7 +150,7 @@
     async def _move(self, stream):
         now, connection = now_s(), stream.connection
         if not stream.move_at_s:
-            # Due for the first time: its own moment is still to come.
+            # Due for the first time: choose the random time at which to move.
             stream.move_at_s = now + self.state.rng.random() * MOVE_SPREAD_S
             return
         stream.move_at_s = now + MOVE_AGAIN_S
@@ -165,10 +168,10 @@
         self.stalls.uplink.complain([e.announcement for e in known if e is not None])
 
     def _suspect_parts(self, stream, now):
-        """Return the parts whose engines are thought dead, gone, or without the layers.
+        """Return the addresses of parts whose engines are suspect, gone or lack layers.
 
-        By incarnation: an engine that has started again at its address has lost its
-        memory. One that leaves still serves what it has; see `_move`.
+        Engines are compared by incarnation: one that has restarted at its address has
+        lost its cache. An engine that leaves still serves its streams; see `_move`.
         """
         table = self.state.endpoints.table
         holdings = {a.engine_id: a.holding for a in endpoints.live(table, now)}
@@ -183,9 +186,9 @@
         try:
             await work(stream)
         except Exception as error:
-            # A fault in looking after one stream must not end the process, and with
-            # it all others; the stream itself still ends by its time limit.
-            log.opt(exception=error).error("A stream was not looked after.")
+            # An error with one stream must not end the process and with it all other
+            # streams. The stream itself still ends by its time limit.
+            log.opt(exception=error).error("Checking or moving a stream failed.")
         finally:
             stream.is_under_review = False
 
@@ -198,24 +201,24 @@
             await reroute.go_on_without(stream, stream.connection, lost)
 
     async def _find_lost(self, stream):
-        """Return the addresses of the chain's engines that are dead or cut off."""
-        accused = self._suspect_parts(stream, now_s())
-        if accused:
-            return accused
-        # The stream may be on its next chain when the looks are over.
+        """Return the addresses of the chain's engines that are dead or unreachable."""
+        suspects = self._suspect_parts(stream, now_s())
+        if suspects:
+            return suspects
+        # The stream may be on its next chain when the reports are there.
         chain = stream.chain
         addresses = [part.address for part in chain]
-        looks = await self.stalls.get_reports(addresses)
+        reports = await self.stalls.get_reports(addresses)
         silent = {
             part.address
             for part in chain
-            if not self._has_answered(part.engine_id, looks[part.address].report)
+            if not self._has_answered(part.engine_id, reports[part.address].report)
         }
         if len(silent) * 2 > len(addresses):
-            # Rather this machine than most engines at once.
+            # Most engines don't answer: more likely this machine is cut off.
             return set()
-        self._note_paces(chain, looks)
-        first = looks[addresses[0]].report
+        self._note_paces(chain, reports)
+        first = reports[addresses[0]].report
         request_id = stream.job.facts.request_id
         for stalled in first.stalled if first else ():
             if stalled.request_id == request_id and stalled.address in addresses:
@@ -224,15 +227,15 @@
             self.stalls.mark_dead(address, "silent or stalled")
         return silent
 
-    def _note_paces(self, chain, looks):
+    def _note_paces(self, chain, reports):
         for part in chain:
-            report = looks[part.address].report
+            report = reports[part.address].report
             entry = self.state.endpoints.table.entries.get(part.engine_id)
             if report is not None and entry is not None:
                 self.stalls.uplink.report_pace(entry.announcement, report.slowness)
 
     def _has_answered(self, engine_id, report):
-        """Tell whether a report is there, of the incarnation that the chain names."""
+        """Return whether a report comes from the incarnation that the chain names."""
         if report is None:
             return False
         entry = self.state.endpoints.table.entries.get(engine_id)
@@ -246,13 +249,13 @@
 
 
 def _is_hung(stream, hung):
-    """Tell whether a stream waits at an engine that hangs and may go elsewhere."""
+    """Return whether a stream waits for an engine that hangs and may be sent again."""
     is_at_hung = stream.chain[0].engine_id in hung and not stream.has_head
     return is_at_hung and stream.job.is_idempotent
 
 
 def _must_stop(stream, now):
-    """Tell whether a stream that no engine has begun yet would end its engine."""
+    """Return whether a stream that no engine has begun yet is blocked for crashes."""
     is_waiting = stream.connection is not None and not stream.has_head
     return is_waiting and crashes.is_blocked(stream.job, now)
 
@@ -268,11 +271,11 @@
 
 
 def note_progress(stream: "Stream", now: float) -> None:
-    """Take note that a stream is alive."""
+    """Record that data came on a stream, and update its silence limit."""
     if stream.has_begun:
         pause_s = now - stream.last_progress_s
         stream.mean_pause_s += PAUSE_WEIGHT * (pause_s - stream.mean_pause_s)
-        # An outage is no usual pause.
+        # Cap the pause, so that an outage doesn't raise the limit.
         answertimes.note(stream.pauses, min(pause_s, stream.silence_limit_s))
         stream.silence_limit_s = answertimes.limit_s(stream.pauses, SILENCE_BOUNDS)
     else:
@@ -281,7 +284,10 @@
 
 
 def mark_first_dead(stream: "Stream", why: str, is_unreached: bool = True) -> None:
-    """Take the first engine of a stream's chain as dead."""
+    """Record the first engine of a stream's chain as dead.
+
+    The stream avoids the engine for good if it was unreached, else for a while.
+    """
     first = stream.chain[0]
     if is_unreached:
         stream.exclude(first.address)
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -1,16 +1,16 @@
-"""Looking for oneself at an engine that an entry takes for dead.
-
-Failure: links to one data centre lose packets. An entry waits for an engine there, has
-no answer in time and tells everybody that it is dead. Each entry does so for another
-engine; within three seconds all chains of a deployment are broken, though every engine
-lives. So an entry's word counts for itself only. The control VMs nearest to the engine
-ask it as well, and everybody hears of the death only when they had no answer; else the
-entry is told that the engine lives.
-
-Failure: a control VM behind a full link has no answer in time either, and another one
-of its data centre has. Were one word enough, the engine would be dead for all, and the
-streams that run there would each be sent to one engine more than their route allows.
-So "not reached from here" is an opinion, and an answer outweighs any number of them.
+"""Verify an entry's accusation that an engine is dead.
+
+Problem: links to one data centre lose packets. An entry gets no answer from an engine
+there in time and reports it to everybody as dead. Each entry does so for another
+engine, and within three seconds all chains of a deployment are broken although every
+engine is alive. So an entry's suspicion counts for that entry only. The control VMs
+nearest to the engine probe it as well, and send out its death only if they got no
+answer either. Otherwise they inform the entry that the engine is alive.
+
+Problem: a control VM behind a full link gets no answer in time, while another one of
+its data centre does. If one missing answer were enough, the engine would count as dead
+everywhere, and the streams that run there would each be sent to one engine more than
+their route allows. So one answer outweighs any number of missing ones.
 """
 
 from collections.abc import Iterable
@@ -28,39 +28,39 @@
 from .errors import EngineCallFailed
 from .gossip import Accusation, Acquittal, DeathNotice, EndNotice, Finding, Question
 
-# A report takes some milliseconds inside a data centre and 15 from a busy engine; a
-# lost packet is sent again after 0.2 s.
+# A report takes some milliseconds inside a data centre and 15 ms from a busy engine; a
+# lost packet is retransmitted after 0.2 s.
 REPORT_TIMEOUT_S = 0.1
 SECOND_REPORT_TIMEOUT_S = 0.3
-# A report whose time limit was noticed late says that this process stood still. It is
-# asked for again, but not for ever.
+# A timeout that is noticed late means that this process stalled. The report is then
+# requested again, at most this often.
 MAX_STALL_RETRIES = 3
-# Other control VMs that are asked what they see.
+# Other control VMs that are asked to probe an engine.
 MOST_WITNESSES = 2
-# Both of a witness's reports, and the way there and back.
+# Time for both of the other control VM's probes and the round trip.
 OPINION_S = 0.6
-# Heartbeats that an engine misses at the end. One that lives was heard by then, whoever
-# else misses it.
+# Heartbeats that an engine must miss before its end is confirmed. One from a living
+# engine has arrived by then, even if some processes do not receive it.
 MISSED_BEATS = 2
-# How often entries are told that an engine has ended: each notice may be lost.
+# How often entries are sent the notice that an engine has ended: a notice may be lost.
 END_NOTICES = 3
 
 log = logger.bind(part="verification")
 
 
 class Seen(StrEnum):
-    """What one look at an engine shows."""
+    """The result of one probe of an engine."""
 
     LIVES = "lives"
-    # Another incarnation is at its address.
+    # Another incarnation answers at its address.
     ENDED = "ended"
     SILENT = "silent"
-    # This process has never heard of it.
+    # This process has no announcement of it.
     UNKNOWN = "unknown"
 
 
 class Verdict(StrEnum):
-    """What a control VM makes of its own look and of what others saw."""
+    """A control VM's conclusion from its own probe and those of others."""
 
     LIVES = "lives"
     DEAD = "dead"
@@ -68,10 +68,11 @@
 
 
 def judge(own: Seen, others: Iterable[Seen], asked: int) -> Verdict:
-    """Return what follows from an own look and from the answers of those asked.
+    """Return the verdict from the own probe and the answers of the VMs asked.
 
-    Silence is believed when another one met it too, or when there is nobody to ask. A
-    VM that nobody answers may be the one that is cut off.
+    A silent engine counts as dead if another control VM found it silent too, or if
+    there was none to ask. Without any answer from the others, this VM itself may be cut
+    off.
     """
     seen = {own, *others}
     if Seen.ENDED in seen:
@@ -83,37 +84,37 @@
 
 
 class _Probe:
-    """A look under way, for all who ask meanwhile."""
+    """A probe in flight, shared by all who request one meanwhile."""
 
     def __init__(self):
-        self.seen = Seen.UNKNOWN
+        self.result = Seen.UNKNOWN
         self.is_over = anyio.Event()
 
 
 class _PeerProbes(NamedTuple):
-    """The control VMs that were asked about an engine, and what they have answered."""
+    """The control VMs asked to probe an engine, and their answers so far."""
 
     asked: tuple[str, ...]
-    heard: dict[str, Seen]
+    answers: dict[str, Seen]
     is_over: anyio.Event
 
 
 class Verifier:
-    """The accusations that a control process is looking into."""
+    """Verifies accusations against engines in a control process."""
 
     def __init__(self, state: ControlState, links, group):
         self.state = state
         self.links = links
         self.group = group
-        # Who waits for the outcome, by the engine's incarnation.
+        # Addresses that wait for the outcome, by the engine's incarnation.
         self._waiting: dict[str, set[str]] = {}
         self._probes: dict[str, _Probe] = {}
         self._peer_probes: dict[str, _PeerProbes] = {}
-        # How often entries were told that an engine has ended.
+        # How often entries were sent the notice that an engine has ended.
         self._notices_sent: dict[str, int] = {}
 
     def hear(self, accusation: Accusation) -> None:
-        """Look into an accusation; one look serves all who accuse at that time."""
+        """Verify an accusation; accusers of one engine share a verification."""
         engine_id = accusation.engine_id
         senders = self._waiting.get(engine_id)
         if senders is not None:
@@ -123,18 +124,18 @@
         self.group.start_soon(self._investigate, engine_id)
 
     def hear_question(self, question: Question) -> None:
-        """Look at an engine for another control VM; the verdict is that one's."""
+        """Probe an engine for another control VM, which decides the verdict."""
         self.group.start_soon(self._answer, question)
 
     def hear_finding(self, finding: Finding) -> None:
-        """Take what another control VM saw."""
-        opinions = self._peer_probes.get(finding.engine_id)
-        if opinions is None or finding.sender not in opinions.asked:
+        """Record another control VM's answer."""
+        peers = self._peer_probes.get(finding.engine_id)
+        if peers is None or finding.sender not in peers.asked:
             return
-        opinions.heard[finding.sender] = Seen(finding.seen)
+        peers.answers[finding.sender] = Seen(finding.seen)
         is_clear = finding.seen in (Seen.LIVES, Seen.ENDED)
-        if is_clear or len(opinions.heard) == len(opinions.asked):
-            opinions.is_over.set()
+        if is_clear or len(peers.answers) == len(peers.asked):
+            peers.is_over.set()
 
     async def _answer(self, question):
         seen = await self._probe(question.engine_id)
@@ -143,16 +144,16 @@
 
     async def _investigate(self, engine_id):
         own = await self._probe(engine_id)
-        opinions = self._ask(engine_id) if own is Seen.SILENT else None
-        if opinions is not None and opinions.asked:
+        peers = self._ask(engine_id) if own is Seen.SILENT else None
+        if peers is not None and peers.asked:
             with anyio.move_on_after(OPINION_S):
-                await opinions.is_over.wait()
+                await peers.is_over.wait()
         self._peer_probes.pop(engine_id, None)
         senders = self._waiting.pop(engine_id)
-        heard = opinions.heard if opinions else {}
-        asked = len(opinions.asked) if opinions else 0
-        verdict = judge(own, heard.values(), asked)
-        self._log(engine_id, senders, own, heard, verdict)
+        answers = peers.answers if peers else {}
+        asked = len(peers.asked) if peers else 0
+        verdict = judge(own, answers.values(), asked)
+        self._log(engine_id, senders, own, answers, verdict)
         if verdict is Verdict.LIVES:
             for address in senders:
                 self.links.send(address, Acquittal(engine_id))
@@ -162,7 +163,7 @@
                 DeathNotice(engine_id), self.state.roster, self.state.entries
             )
 
-    def _log(self, engine_id, senders, own, heard, verdict):
+    def _log(self, engine_id, senders, own, answers, verdict):
         self.state.sink.write(
             "control",
             "accusation",
@@ -170,36 +171,37 @@
             engine_id=engine_id,
             senders=sorted(senders),
             seen=own,
-            others=heard,
+            others=answers,
             outcome=verdict,
         )
 
     def _send_all(self, notice, *rosters):
         now = now_s()
-        for listeners in rosters:
-            for address in roster.present(listeners, now):
+        for recipients in rosters:
+            for address in roster.present(recipients, now):
                 self.links.send(address, notice)
 
     def condemn(self, engine_id: str) -> None:
-        """Take an engine as dead until it is heard again."""
+        """Record an engine as dead until its next heartbeat."""
         self.state.accused[engine_id] = now_s()
 
     def review(self, now: float) -> None:
-        """Drop accusations that were refuted; tell entries of engines that ended.
+        """Drop refuted accusations, and send entries notices of engines that ended.
 
-        Nobody's silence alone ends the runs at an engine: it has to miss its heartbeats
-        as well. Only the log's leader tells, as one that others don't hear can't lead.
+        Failed probes alone don't confirm an engine's end: it must miss its heartbeats
+        as well. Only the log's leader sends notices, since a VM that is cut off from
+        the others can't be leader.
         """
-        unheard_s = MISSED_BEATS * self.state.settings.heartbeat_s
+        max_silence_s = MISSED_BEATS * self.state.settings.heartbeat_s
         for engine_id, accused_s in list(self.state.accused.items()):
             known = self.state.endpoints.table.entries.get(engine_id)
             if known is None or known.is_gone or known.heard_s > accused_s:
                 del self.state.accused[engine_id]
                 self._notices_sent.pop(engine_id, None)
-            elif now - known.heard_s > unheard_s and self.state.is_leader():
-                told = self._notices_sent.get(engine_id, 0)
-                if told < END_NOTICES:
-                    self._notices_sent[engine_id] = told + 1
+            elif now - known.heard_s > max_silence_s and self.state.is_leader():
+                sent = self._notices_sent.get(engine_id, 0)
+                if sent < END_NOTICES:
+                    self._notices_sent[engine_id] = sent + 1
                     self.group.start_soon(self._confirm_end, engine_id)
 
     async def _confirm_end(self, engine_id):
@@ -214,7 +216,7 @@
         )
 
     def _ask(self, engine_id):
-        """Ask other control VMs what they see, those near the engine before others."""
+        """Ask other control VMs to probe an engine, those in its data centre first."""
         known = self._peer_probes.get(engine_id)
         if known is not None:
             return known
@@ -223,25 +225,25 @@
         vm_zone = entry.announcement.vm_zone if entry else ""
         present.sort(key=lambda beat: (beat.vm_zone != vm_zone, beat.address))
         asked = tuple(beat.address for beat in present[:MOST_WITNESSES])
-        opinions = _PeerProbes(asked, {}, anyio.Event())
-        self._peer_probes[engine_id] = opinions
+        peers = _PeerProbes(asked, {}, anyio.Event())
+        self._peer_probes[engine_id] = peers
         for address in asked:
             self.links.send(address, Question(engine_id, self.state.address))
-        return opinions
+        return peers
 
     async def _probe(self, engine_id):
-        """Return what a look shows; who asks during one gets the same answer."""
-        look = self._probes.get(engine_id)
-        if look is not None:
-            await look.is_over.wait()
-            return look.seen
-        look = self._probes[engine_id] = _Probe()
+        """Probe an engine; requests during a probe share its result."""
+        probe = self._probes.get(engine_id)
+        if probe is not None:
+            await probe.is_over.wait()
+            return probe.result
+        probe = self._probes[engine_id] = _Probe()
         try:
-            look.seen = await self._probe_once(engine_id)
+            probe.result = await self._probe_once(engine_id)
         finally:
             del self._probes[engine_id]
-            look.is_over.set()
-        return look.seen
+            probe.is_over.set()
+        return probe.result
 
     async def _probe_once(self, engine_id):
         known = self.state.endpoints.table.entries.get(engine_id)
@@ -258,12 +260,12 @@
                 is_there = is_same and self._is_newest_there(engine_id, address)
                 return Seen.LIVES if is_there else Seen.ENDED
             if engine_id in self._waiting:
-                # The others look while this one tries once more.
+                # The others probe while this one tries a second time.
                 self._ask(engine_id)
         return Seen.SILENT
 
     async def _report(self, address, timeout_s):
-        """Return an engine's report, or None; asks again after an own standstill."""
+        """Return an engine's report, or None; ask again if this process stalled."""
         for _ in range(MAX_STALL_RETRIES):
             asked_s = now_s()
             try:
