--- a/libs/node/src/cherryrudder/node/__init__.py
+++ b/libs/node/src/cherryrudder/node/__init__.py
@@ -1,1 +1,1 @@
-"""The entry and control processes on the users' platform."""
+"""The entry and control processes that run on the users' platform."""
--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -78,7 +78,7 @@
         if not is_for_other_request(job, facts):
             check_seal(head, facts)
             if head.status != WRONG_INCARNATION_STATUS:
-                backpressure.note_answer(job, engine_id, head.status, facts, now_s())
+                backpressure.record_answer(job, engine_id, head.status, facts, now_s())
             return head, facts
         job.note("foreign-answer", address=connection.address)
         while await connection.read() is not None:
--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -23,16 +23,16 @@
 RETRY_AFTER_JITTER = 0.5
 
 
-def note_answer(
+def record_answer(
     job: "Job", engine_id: str, status: int, facts: AnswerFacts, now_s: float
 ) -> None:
     """Record the limit, backoff or notice to leave in an engine's answer."""
     ratekeeper.note_answer(job, engine_id, facts, now_s)
     state = job.state
     if facts.is_leaving:
-        _note_leaving(job, engine_id, now_s)
+        _record_leaving(job, engine_id, now_s)
     if asks_for_backoff(status, facts):
-        _note_backoff(job, engine_id, facts, now_s)
+        _record_backoff(job, engine_id, facts, now_s)
     elif backoffs.answered(state.backoffs, engine_id, job.sent_s):
         job.note("engine-backoff-over", engine_id=engine_id)
 
@@ -42,7 +42,7 @@
     return status in BACKOFF_STATUSES and bool(facts.retry_after_s)
 
 
-def _note_leaving(job, engine_id, now_s):
+def _record_leaving(job, engine_id, now_s):
     """Send no new work to an engine that leaves, and inform the other processes."""
     state = job.state
     if tablesync.tell_senders(state.endpoints, engine_id, now_s):
@@ -52,7 +52,7 @@
         state.spread_endpoints([engine_id])
 
 
-def _note_backoff(job, engine_id, facts, now_s):
+def _record_backoff(job, engine_id, facts, now_s):
     """Back off from the engine that answered, and from the one named as at fault."""
     state, backoff_s = job.state, facts.retry_after_s
     backoffs.start(state.backoffs, engine_id, backoff_s, now_s)
--- a/libs/node/src/cherryrudder/node/brokenruns.py
+++ b/libs/node/src/cherryrudder/node/brokenruns.py
@@ -1,17 +1,18 @@
-"""Runs that broke off, kept until it is known whether their engine has ended.
+"""Keep runs that broke off until it is known whether their engine has crashed.
 
-A broken answer alone says nothing of the engine: answers are lost and reset while it
-lives. Only when control VMs found it dead too, or another incarnation is at its
-address, did it end under those runs.
+A broken answer alone is no evidence of a crash, as connections are also lost and reset
+while the engine is alive. The engine crashed during those runs only if control VMs
+found it dead too, or another incarnation is at its address.
 """
 
 from typing import NamedTuple
 
-# An engine that nobody asks for is missed when it is back at its address.
+# How long runs are kept: an unused engine's end is only detected when its next
+# incarnation is at its address.
 PENDING_S = 10.0
 MAX_ENGINES = 64
 MAX_RUNS = 256
-# What an engine had sent before it ended is read within this time.
+# Data that an engine sent before it ended is read within this time.
 IN_FLIGHT_S = 0.2
 
 
@@ -22,7 +23,7 @@
     request_id: str
     account: str
     service: str
-    # Last event that had come.
+    # Number of the last event received.
     last_event: int
     broke_s: float
 
@@ -36,25 +37,25 @@
 
 
 def broke(runs: BrokenRuns, engine_id: str, run: BrokenRun) -> None:
-    """Keep a run."""
+    """Add a run that an engine broke off; the oldest are dropped beyond MAX_RUNS."""
     kept = runs.runs.setdefault(engine_id, [])
     kept.append(run)
     del kept[:-MAX_RUNS]
 
 
 def ended(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
-    """Take note that an engine has ended."""
+    """Record that an engine has ended."""
     runs.ended_s.setdefault(engine_id, now_s)
 
 
 def lives(runs: BrokenRuns, engine_id: str) -> None:
-    """Take note that an engine lives: its runs broke for another reason."""
+    """Record that an engine is alive: its runs broke for another reason."""
     runs.runs.pop(engine_id, None)
     runs.ended_s.pop(engine_id, None)
 
 
 def answered(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
-    """Drop the runs after which their engine has answered another request."""
+    """Drop the broken runs after which the engine has answered another request."""
     broken = runs.runs.get(engine_id)
     if broken:
         late = [run for run in broken if now_s - run.broke_s < IN_FLIGHT_S]
@@ -64,9 +65,10 @@
 
 
 def take(runs: BrokenRuns, engine_id: str, leaving_since_s: float) -> list[BrokenRun]:
-    """Return the runs that an engine ended under, once, if it is known to have.
+    """Remove and return the runs during which an engine crashed, if it has ended.
 
-    Not those that broke after it had said that it leaves: that end was planned.
+    Runs that broke after the engine announced that it leaves are left out, as that end
+    was planned.
     """
     if engine_id not in runs.ended_s:
         return []
@@ -75,7 +77,7 @@
 
 
 def sweep(runs: BrokenRuns, now_s: float) -> None:
-    """Forget runs and ends that are old, and the oldest when there are many."""
+    """Drop runs and ends that are old, and the oldest beyond MAX_ENGINES."""
     for engine_id, broken in list(runs.runs.items()):
         young = [run for run in broken if now_s - run.broke_s <= PENDING_S]
         runs.runs[engine_id] = young
--- a/libs/node/src/cherryrudder/node/enginecalls.py
+++ b/libs/node/src/cherryrudder/node/enginecalls.py
@@ -1,4 +1,4 @@
-"""This system's own calls to engines: reports, orders and changes of a chain."""
+"""The router's own calls to engines: reports, orders and reroutes."""
 
 import anyio
 
@@ -11,8 +11,8 @@
 
 from .errors import EngineCallFailed
 
-# A report or an order is answered within some milliseconds; an engine that takes
-# longer is dead or cut off.
+# A report or an order is answered within some milliseconds; an engine that takes longer
+# than this is dead or unreachable.
 CALL_TIMEOUT_S = 0.5
 MAX_ANSWER_BYTES = 1024 * 1024
 
@@ -22,7 +22,7 @@
 ) -> engines.Report:
     """Return an engine's report; raises EngineCallFailed.
 
-    With a pool, the connection is taken from there and kept for the next call.
+    With a pool in `kept`, the connection is taken from there and returned afterwards.
     """
     call = (b"GET", calls.REPORT_PATH, b"")
     status, body = await _call(address, call, timeout_s, kept)
@@ -35,9 +35,9 @@
 
 
 async def send_order(address: str, order: engines.Order) -> int:
-    """Order an engine to hold layers; return the status; raises EngineCallFailed.
+    """Order an engine to hold layers and return the status; raises EngineCallFailed.
 
-    Without an answer the order may still be carried out seconds later.
+    An order without an answer may still be executed seconds later.
     """
     body = engines.write_order(order)
     status, _ = await _call(address, (b"POST", calls.ORDER_PATH, body), CALL_TIMEOUT_S)
@@ -45,7 +45,7 @@
 
 
 async def reroute(address: str, request_id: str, chain: Chain) -> tuple[int, str]:
-    """Carry a running request on over another chain; return status and fault address.
+    """Reroute a running request over another chain; return status and fault address.
 
     Raises EngineCallFailed.
     """
--- a/libs/node/src/cherryrudder/node/entry.py
+++ b/libs/node/src/cherryrudder/node/entry.py
@@ -1,4 +1,4 @@
-"""The entry process: clients' connections and the platform's question of readiness."""
+"""The entry process: serve clients' connections and the platform's readiness checks."""
 
 from functools import partial
 
@@ -21,10 +21,10 @@
 from .surface import Shown
 from .uplink import Uplink
 
-# The platform asks once a second and needs two misses to send nobody here any more;
-# until then new connections go on coming, and are served.
+# The platform checks readiness once a second and stops sending clients after two failed
+# checks. Until then new connections still arrive and are served.
 OUT_OF_ROTATION_S = 2.6
-# Left of the platform's patience for closing what has still not ended.
+# Part of the platform's grace period kept for closing connections that have not ended.
 CLOSE_MARGIN_S = 0.4
 SWEEP_INTERVAL_S = 1.0
 
@@ -37,9 +37,9 @@
     async with anyio.create_task_group() as group:
         uplink = Uplink(state, group)
         uplink.start()
-        door = RequestHandler(state, uplink)
-        group.start_soon(door.supervisor.run)
-        server = HttpServer(door.handle)
+        handler = RequestHandler(state, uplink)
+        group.start_soon(handler.supervisor.run)
+        server = HttpServer(handler.handle)
         server.limits = Limits(*DEFAULT_LIMITS)
         group.start_soon(httpserver.serve, server, settings.client_address)
         group.start_soon(_answer_readiness, state, leaving)
@@ -53,9 +53,9 @@
                 partial(ratekeeper.dump, state.rates),
             ),
         )
-        group.start_soon(_sweep, state, server, door)
+        group.start_soon(_sweep, state, server, handler)
         await leaving.wait()
-        await _stop(door, server, settings.bounds.grace_s)
+        await _stop(handler, server, settings.bounds.grace_s)
         group.cancel_scope.cancel()
 
 
@@ -73,15 +73,15 @@
 
 
 def _is_ready(state):
-    """Tell whether clients are better off here than elsewhere."""
+    """Return whether the configuration is confirmed recently enough for new clients."""
     if state.table is None:
         return False
     age_s = now_s() - state.confirmed_s
     return age_s < gatekeeping.READY_SHARE * state.settings.bounds.revoke_s
 
 
-async def _sweep(state, server, door):
-    """Follow the configured limits, and close connections that grew old."""
+async def _sweep(state, server, handler):
+    """Apply the configured limits and close old pooled connections, periodically."""
     while True:
         await anyio.sleep(SWEEP_INTERVAL_S)
         if state.table is not None:
@@ -90,15 +90,15 @@
         live = endpoints.live(state.endpoints.table, now)
         known = {announcement.address for announcement in live}
         pool.sweep(state.pool, known, now)
-        door.supervisor.stalls.drop_unknown(known)
+        handler.supervisor.stalls.drop_unknown(known)
 
 
-async def _stop(door, server, grace_s):
-    """Serve on until the platform sends nobody, then until all requests have ended."""
+async def _stop(handler, server, grace_s):
+    """Serve until the platform sends no more clients, then until all requests end."""
     server.is_closing = True
-    deadline_s = door.process_ends_s = now_s() + grace_s - CLOSE_MARGIN_S
+    deadline_s = handler.process_ends_s = now_s() + grace_s - CLOSE_MARGIN_S
     await anyio.sleep(min(OUT_OF_ROTATION_S, grace_s / 2))
-    door.is_closed = True
+    handler.is_closed = True
     server.close_idle()
     while server.busy() and now_s() < deadline_s:
         await anyio.sleep(0.02)
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -239,7 +239,7 @@
     return (entry and entry.announcement.name) or engine_id
 
 
-def note_full(state: EntryState, address: str, now_s: float) -> None:
+def record_full(state: EntryState, address: str, now_s: float) -> None:
     """Record that an engine had no room for a stream."""
     state.full_until_s[address] = now_s + FULL_HOLD_S
 
--- a/libs/node/src/cherryrudder/node/errors.py
+++ b/libs/node/src/cherryrudder/node/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the processes on the users' platform."""
+"""Errors of the entry and control processes."""
 
 from cherryrudder.model.errors import CherryrudderError
 
 
 class NodeError(CherryrudderError):
-    """Base of the processes' own errors."""
+    """Base class of the errors of the entry and control processes."""
 
 
 class StartError(NodeError):
-    """Something without which the process cannot start; one line for the operator."""
+    """The process cannot start; the message is one line for the operator."""
 
 
 class EngineCallFailed(NodeError):
-    """An engine gave no usable answer to a call of this system's own."""
+    """An engine gave no usable answer to one of the router's own calls."""
--- a/libs/node/src/cherryrudder/node/httpserver.py
+++ b/libs/node/src/cherryrudder/node/httpserver.py
@@ -1,4 +1,4 @@
-"""Listening for HTTP, and ending it without cutting an answer."""
+"""Listen for HTTP connections, and close them without cutting off an answer."""
 
 import anyio
 from loguru import logger
@@ -7,7 +7,7 @@
 from cherryrudder.replica.clock import now_s
 from cherryrudder.wire import sockets
 
-# Of the process's own control and readiness ports, whose callers are the platform's.
+# Limits of the process's own control and readiness ports, which the platform calls.
 CALL_LIMITS = Limits(16_384, 16 * 1024 * 1024, 3.0, 60.0)
 
 log = logger.bind(part="clients")
@@ -19,14 +19,14 @@
     def __init__(self, handler: Handler):
         self.handler = handler
         self.limits = CALL_LIMITS
-        # Set: answers say that the connection ends with them.
+        # If set, answers announce that the connection closes after them.
         self.is_closing = False
         self.connections: set[ClientConnection] = set()
 
     def close_idle(self) -> None:
-        """Close the connections that no request is under way on.
+        """Close the connections without a request in flight.
 
-        A request that crosses the close was not read, and its client knows.
+        A request that arrives during the close is not read, which its client can see.
         """
         for connection in tuple(self.connections):
             if not connection.is_busy:
@@ -48,7 +48,7 @@
         try:
             await connection.run(server.handler)
         except Exception as error:
-            # A fault in one answer must not end all others; the connection closes
+            # An error in one answer must not end all others. The connection closes
             # without an answer that looks complete.
             log.opt(exception=error).error("A request's handler failed.")
         finally:
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -101,20 +101,20 @@
             return self.route.is_resumable
         return self.route.kind is RouteKind.SAFE
 
-    def note_chunk(self, now: float) -> None:
+    def record_chunk(self, now: float) -> None:
         """Record that the client gets a chunk of a stream at this time."""
         if self.first_byte_s is None:
             self.first_byte_s = now
         else:
-            self._note_pause(now)
+            self._record_pause(now)
         self.last_chunk_s = now
 
-    def _note_pause(self, now):
+    def _record_pause(self, now):
         if now - self.last_chunk_s > self.longest_pause_s:
             self.longest_pause_s = now - self.last_chunk_s
             self.longest_pause_end_s = now
 
-    def note_wait(self, waited_s: float, waited_for: str) -> None:
+    def record_wait(self, waited_s: float, waited_for: str) -> None:
         """Add a wait for a chain; waits after the first event are ignored."""
         if self.first_byte_s is None:
             self.waited_s += waited_s
--- a/libs/node/src/cherryrudder/node/main.py
+++ b/libs/node/src/cherryrudder/node/main.py
@@ -1,4 +1,4 @@
-"""Starts the role that the platform's settings name."""
+"""Run the role named on the command line, with the platform's settings file."""
 
 import importlib
 import os
@@ -15,8 +15,8 @@
 from .linesink import LineSink, take_over_logs
 from .metrics import Metrics
 
-# The module of each role. Only the one that runs is loaded: after a loss of power each
-# process starts with 0.3 s of imports, and callers wait for it.
+# The module of each role. Only the module of the running role is imported: after a
+# power loss each process spends 0.3 s on imports while clients wait.
 ROLES = {"entry": ".entry", "control": ".control"}
 FLUSH_S = 0.25
 
@@ -24,7 +24,7 @@
 
 
 def load_settings(path: str):
-    """Return the settings of a file; raises StartError."""
+    """Read a settings file; raises StartError."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -73,10 +73,10 @@
 
 
 def _reload(sink, path):
-    """Read changed settings; what is in force stays when they can't be read.
+    """Check and log the changed settings; the ones in force stay.
 
-    Only the seeds change while a process runs, and a running process knows its peers
-    better than they do; the next start reads them.
+    Only the seeds change while a process runs, and a running process has a newer list
+    of its peers than they are. The next start uses them.
     """
     try:
         settings = load_settings(path)
--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -1,12 +1,13 @@
-"""Looking at the engines of streams that go slower than they should.
+"""Check the pace of engines whose streams are slower than expected.
 
-Failure: engines turn several times slower and answer all questions at once. The streams
-of every entry crawl, and each new one goes to them as well. An entry sees that a stream
-is slow but not by whose fault; engines tell their pace in their reports, and each look
-costs the operators. So entries complain of whole chains, and one control VM beside each
-engine looks once for all of them, goes on looking while the engine is slow, and tells
-everybody. Looks at an engine that turns out to be sound come ever more rarely: under
-a burst all streams are slow.
+Problem: engines become several times slower but still answer every call at once. The
+streams of all entries slow down, and new streams are sent to these engines as well. An
+entry detects that a stream is slow but not which engine causes it. Engines state their
+pace in their reports, but each request for a report costs the operators. So entries
+send complaints about whole chains. One control VM near each engine requests a report
+for all of them, repeats it while the engine is slow, and sends the result to all
+entries. Checks of an engine that proves healthy become ever rarer, since all streams
+are slow during a burst.
 """
 
 import anyio
@@ -20,34 +21,34 @@
 from .errors import EngineCallFailed
 from .gossip import Complaint, PaceNews
 
-# Between looks at a slow engine; its report is some 0.2 s old by itself.
+# Interval between reports from a slow engine; a report itself is some 0.2 s old.
 POLL_INTERVAL_S = 0.5
-# After a look that found an engine sound, it is left alone for so long, twice as long
-# after each further one. The first one is short, as a report is some 0.2 s old: a look
-# at the moment at which an engine turns slow finds nothing.
+# Pause after a report that showed a healthy engine, doubled after each further one. The
+# first pause is short because a report is some 0.2 s old: one that is requested just
+# when an engine becomes slow doesn't show it.
 MIN_REST_S = 0.4
 MAX_REST_S = 4.0
-# A report takes some milliseconds inside a data centre, and 15 from a busy engine; a
-# lost packet is sent again after 0.2 s.
+# A report takes some milliseconds inside a data centre, and 15 ms from a busy engine; a
+# lost packet is retransmitted after 0.2 s.
 REPORT_TIMEOUT_S = 0.3
 
 log = logger.bind(part="pace")
 
 
 class PaceWatch:
-    """The engines that one control process looks at for their pace."""
+    """Checks the pace of engines for one control process."""
 
     def __init__(self, state: ControlState, links, group):
         self.state = state
         self.links = links
         self.group = group
-        # By the engine's boot: those that are looked at now, and until when the others
-        # rest, with the length of that rest.
+        # By engine id: the engines that are checked now, and the end and the length of
+        # the pause of others.
         self._watched: set[str] = set()
         self._rests: dict[str, tuple[float, float]] = {}
 
     def hear(self, complaint: Complaint) -> None:
-        """Look at the engines of a slow chain that were not looked at lately."""
+        """Check the engines of a slow chain that are not in their pause."""
         now = now_s()
         for engine_id in complaint.engine_ids:
             until_s, _ = self._rests.get(engine_id, (0.0, 0.0))
@@ -58,7 +59,7 @@
                 self.group.start_soon(self._watch, engine_id)
 
     def hear_seen(self, news: PaceNews) -> None:
-        """Take over from an entry that has seen in a report that an engine is slow."""
+        """Send out a slow pace that an entry found in a report, and keep checking."""
         engine_id = news.engine_id
         is_known = engine_id in self.state.endpoints.table.entries
         if is_known and engine_id not in self._watched:
@@ -80,7 +81,7 @@
             self._rest(engine_id, was_slow)
 
     async def _slowness(self, engine_id):
-        """Return an engine's pace, 1 when it gives none: it may be dead instead."""
+        """Return an engine's slowness, 1 if it gives no report, as it may be dead."""
         known = self.state.endpoints.table.entries.get(engine_id)
         if known is None or known.is_gone:
             return 1.0
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -35,7 +35,7 @@
 )
 
 
-async def serve(job: Job, tell: Callable[[CrashNews | None], None]) -> None:
+async def serve(job: Job, send_crashes: Callable[[CrashNews | None], None]) -> None:
     """Serve a request until its final answer.
 
     `tell` sends news about crashes that the request may have caused.
@@ -52,11 +52,11 @@
         result = await _attempt(job, place)
         if isinstance(result, WholeAnswer):
             brokenruns.answered(job.state.broken, place.engine_id, now_s())
-            tell(crashes.reached(job, FINISHED, now_s()))
+            send_crashes(crashes.reached(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
         if result.is_broken:
-            tell(crashes.broke(job, place.engine_id, 0, now_s()))
+            send_crashes(crashes.broke(job, place.engine_id, 0, now_s()))
             await crashes.wait_for_fate(job, place.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
@@ -149,7 +149,7 @@
         state.running[place.address] -= 1
         if not state.running[place.address]:
             del state.running[place.address], state.tokens[place.address]
-    _note_health(job, place, result)
+    _record_health(job, place, result)
     return result
 
 
@@ -216,7 +216,7 @@
     return b"".join(pieces)
 
 
-def _note_health(job, place, result):
+def _record_health(job, place, result):
     """Record the attempt's result in the endpoint's health."""
     suspicions, engine_id, now = job.state.suspicions, place.engine_id, now_s()
     if isinstance(result, FailedAttempt) and result.is_backoff:
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -56,7 +56,7 @@
         # load would stay counted for as long as this process runs.
         release(stream)
         raise
-    job.note_wait(now_s() - began_s, stream.refusal)
+    job.record_wait(now_s() - began_s, stream.refusal)
     if chain is None:
         stream.retry_after_s = desk.retry_after_s()
         if stream.refusal in (LIMITED, BACKING_OFF):
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -148,7 +148,7 @@
             engine_id=first.engine_id,
             last_event=sending.last_event,
         )
-        _note_sent(stream)
+        _record_sent(stream)
         await attempts.send(job, connection, sending)
         failed = await _relay(stream, connection)
         is_kept = failed is None or failed.is_not_run
@@ -163,7 +163,7 @@
             # connection.
             supervision.mark_first_dead(stream, reason, is_unreached=False)
         if not stream.break_reason or stream.has_lost_first:
-            _note_break(stream, reason, is_broken)
+            _record_break(stream, reason, is_broken)
         return FailedAttempt(
             reason,
             is_not_run=False,
@@ -172,7 +172,7 @@
         )
     finally:
         stream.connection = None
-        stream.note_read()
+        stream.record_prompt_read()
         hangs.ended(job.state.hangs, first.engine_id, job.facts.request_id)
         stream.supervisor.streams.discard(stream)
         if is_kept:
@@ -181,9 +181,9 @@
             connection.close()
 
 
-def _note_sent(stream):
+def _record_sent(stream):
     job, now = stream.job, now_s()
-    stream.note_sent()
+    stream.record_prompt_sent()
     hangs.sent(
         job.state.hangs,
         stream.chain[0].engine_id,
@@ -203,7 +203,7 @@
     stream.head_s = now
 
 
-def _note_break(stream, reason, is_broken):
+def _record_break(stream, reason, is_broken):
     """Record how far a run got when its engine broke it off."""
     job, engine_id, head_s = stream.job, stream.chain[0].engine_id, stream.head_s
     if is_broken and head_s is not None:
@@ -226,7 +226,7 @@
     stream.has_lost_first = False
     stream.has_head = False
     stream.head_s = None
-    supervision.note_progress(stream, now_s())
+    supervision.record_progress(stream, now_s())
     stream.supervisor.streams.add(stream)
 
 
@@ -246,7 +246,7 @@
     if facts.is_not_run:
         await _read_rest(connection)
         _exclude_refusing(stream, head.status, facts)
-        _note_refusal(stream, head, facts)
+        _log_refusal(stream, head, facts)
         return FailedAttempt(f"status {head.status} from the engine", is_not_run=True)
     if head.status != 200:
         body = await _read_rest(connection)
@@ -268,7 +268,7 @@
         stream.exclude(address)
         return
     stream.exclude(address, now + REFUSAL_EXCLUSION_S)
-    entrystate.note_full(stream.job.state, address, now)
+    entrystate.record_full(stream.job.state, address, now)
 
 
 async def _begin(stream, head):
@@ -302,21 +302,21 @@
         data = await connection.read()
         if data is None:
             break
-        supervision.note_progress(stream, now_s())
-        stream.note_read()
+        supervision.record_progress(stream, now_s())
+        stream.record_prompt_read()
         fresh = [e for e in events.split(stream.splitter, data) if _is_new(stream, e)]
         if not fresh:
             continue
-        job.note_chunk(now_s())
-        _note_reached(stream, stream.position())
+        job.record_chunk(now_s())
+        _record_reached(stream, stream.position())
         await job.exchange.send(b"".join(event.data for event in fresh))
     if stream.splitter.rest:
         raise AnswerBroken("the stream ended inside an event")
-    _note_reached(stream, FINISHED)
+    _record_reached(stream, FINISHED)
     await job.exchange.end()
 
 
-def _note_reached(stream, event):
+def _record_reached(stream, event):
     stream.stalls.uplink.tell_crashes(crashes.reached(stream.job, event, now_s()))
 
 
@@ -330,7 +330,7 @@
     return True
 
 
-def _note_refusal(stream, head, facts):
+def _log_refusal(stream, head, facts):
     stream.job.note(
         "engine-refused",
         status=head.status,
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -78,7 +78,7 @@
                 hung = set() if is_late else self._find_hung(now)
                 for stream in tuple(self.streams):
                     if is_late:
-                        note_progress(stream, now)
+                        record_progress(stream, now)
                     elif _is_hung(stream, hung):
                         stream.exclude(
                             stream.chain[0].address, now + FIRST_ENGINE_EXCLUSION_S
@@ -217,7 +217,7 @@
         if len(silent) * 2 > len(addresses):
             # Most engines don't answer: more likely this machine is cut off.
             return set()
-        self._note_paces(chain, reports)
+        self._report_paces(chain, reports)
         first = reports[addresses[0]].report
         request_id = stream.job.facts.request_id
         for stalled in first.stalled if first else ():
@@ -227,7 +227,7 @@
             self.stalls.mark_dead(address, "silent or stalled")
         return silent
 
-    def _note_paces(self, chain, reports):
+    def _report_paces(self, chain, reports):
         for part in chain:
             report = reports[part.address].report
             entry = self.state.endpoints.table.entries.get(part.engine_id)
@@ -270,7 +270,7 @@
     )
 
 
-def note_progress(stream: "Stream", now: float) -> None:
+def record_progress(stream: "Stream", now: float) -> None:
     """Record that data came on a stream, and update its silence limit."""
     if stream.has_begun:
         pause_s = now - stream.last_progress_s
--- a/libs/node/test/entrycase.py
+++ b/libs/node/test/entrycase.py
@@ -75,7 +75,7 @@
         """Take an engine's answer that names a limit, or a time to back off."""
         job = self.a_job() if sent_s is None else self.a_job(sent_s=sent_s)
         facts = an_answer(limit_per_s, **says)
-        backpressure.note_answer(job, engine_id, status, facts, now_s())
+        backpressure.record_answer(job, engine_id, status, facts, now_s())
 
     def grant(self, permits=1, next_s=0.0, wait_s=0.0, engine_id=ENGINE):
         self.uplink._take(PermitGrant(engine_id, Grant(permits, next_s, wait_s)))
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -79,7 +79,7 @@
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
         place = SimpleNamespace(engine_id=ENGINE)
         failed = FailedAttempt("503", is_not_run=True, is_backoff=True)
-        plainrelay._note_health(self.job, place, failed)
+        plainrelay._record_health(self.job, place, failed)
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
 
 
--- a/libs/node/test/test_job.py
+++ b/libs/node/test/test_job.py
@@ -29,7 +29,7 @@
 
     def test_a_client_leaves_some_time_after_the_last_piece(self):
         job = StubJob(100.0, 120.0)
-        job.note_chunk(101.0)
+        job.record_chunk(101.0)
         self.assertAlmostEqual(job.client_leaves_s(), 103.0 + jobs.LEAVE_MARGIN_S)
 
     def test_without_any_piece_the_time_counts_from_its_arrival(self):
@@ -50,15 +50,15 @@
     def test_the_longest_pause_is_told_with_its_end(self):
         job = StubJob(0.0, 20.0)
         for piece_s in (1.0, 1.1, 1.6, 1.8):
-            job.note_chunk(piece_s)
+            job.record_chunk(piece_s)
         self.assertAlmostEqual(job.longest_pause_s, 0.5)
         self.assertEqual(job.longest_pause_end_s, 1.6)
 
     def test_waits_after_the_first_event_are_no_reason_for_a_late_one(self):
         job = StubJob(0.0, 20.0)
-        job.note_wait(0.3, "no room")
-        job.note_chunk(1.0)
-        job.note_wait(0.7, "no chain")
+        job.record_wait(0.3, "no room")
+        job.record_chunk(1.0)
+        job.record_wait(0.7, "no chain")
         self.assertEqual((job.waited_s, job.waited_for), (0.3, "no room"))
 
 
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -34,7 +34,7 @@
         facts=SimpleNamespace(request_id="r1"),
         arrived_s=0.0,
         end_s=1e9,
-        note_wait=lambda *_: None,
+        record_wait=lambda *_: None,
         client_timeout_s=lambda: 0.1,
         client_leaves_s=lambda: 1e9,
     )
--- a/libs/node/test/test_supervision.py
+++ b/libs/node/test/test_supervision.py
@@ -52,7 +52,7 @@
             took_s = max(0.001, rng.gauss(pause_s, spread_s))
             alarms += took_s > stream.silence_limit_s
             now += took_s
-            supervision.note_progress(stream, now)
+            supervision.record_progress(stream, now)
         return stream, alarms
 
     def test_a_steady_stream_is_silent_after_a_few_pauses(self):
@@ -72,7 +72,7 @@
 
     def test_an_outage_does_not_hide_the_next_one(self):
         stream, _ = self.play(0.029, 0.005)
-        supervision.note_progress(stream, stream.last_progress_s + 1.0)
+        supervision.record_progress(stream, stream.last_progress_s + 1.0)
         self.assertLess(stream.silence_limit_s, 0.15)
 
 
