--- a/libs/node/test/entrycase.py
+++ b/libs/node/test/entrycase.py
@@ -1,4 +1,4 @@
-"""Entries with stand-ins for what they hear, for the tests of backpressure."""
+"""Base class for tests of backpressure: an entry that receives prepared messages."""
 
 import unittest
 from types import SimpleNamespace
@@ -17,15 +17,15 @@
 
 
 class ControlStub(SimpleNamespace):
-    """What an entry and other control VMs look at in a control VM's beat."""
+    """A control VM's heartbeat with the fields that its receivers read."""
 
 
 class EntryStub(SimpleNamespace):
-    """What a control VM looks at in an entry's beat."""
+    """An entry's heartbeat with the fields that a control VM reads."""
 
 
 def an_answer(limit_per_s=None, backoff_s=None, **changes):
-    """Return what an answer says that names a limit, or a time to back off."""
+    """Return the facts of an answer with a rate limit or a backoff."""
     facts = AnswerFacts(
         request_id="",
         is_not_run=backoff_s is not None,
@@ -60,7 +60,7 @@
         self.job = self.a_job()
 
     def a_job(self, **changes):
-        """Return a request at this entry."""
+        """Return a stub of a request at this entry."""
         fields = {
             "state": self.state,
             "sent_s": now_s(),
@@ -72,7 +72,7 @@
         return SimpleNamespace(**fields | changes)
 
     def hear(self, limit_per_s=None, engine_id=ENGINE, status=200, sent_s=None, **says):
-        """Take an engine's answer that names a limit, or a time to back off."""
+        """Record an engine's answer with a rate limit or a backoff."""
         job = self.a_job() if sent_s is None else self.a_job(sent_s=sent_s)
         facts = an_answer(limit_per_s, **says)
         backpressure.record_answer(job, engine_id, status, facts, now_s())
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -1,4 +1,4 @@
-"""Entries that engines turn away and ask to back off."""
+"""Entries that engines ask to back off."""
 
 import unittest
 from types import SimpleNamespace
@@ -14,14 +14,14 @@
 
 
 class BackoffTest(EntryCase):
-    """Guards against requests to an engine that asked this machine to back off."""
+    """Guards against sending requests to an engine that asked to back off."""
 
-    def shed(self, *engine_ids, backoff_s=3):
+    def back_off(self, *engine_ids, backoff_s=3):
         for engine_id in engine_ids:
             self.hear(engine_id=engine_id, status=503, backoff_s=backoff_s)
 
-    def test_no_stream_goes_through_it(self):
-        self.shed(ENGINE)
+    def test_an_engine_in_backoff_gets_no_stream(self):
+        self.back_off(ENGINE)
         found = {
             engine.engine_id: engine.tokens
             for engine in entrystate.candidates(self.state, "llm", now_s())
@@ -29,22 +29,22 @@
         self.assertEqual(found[ENGINE], float("inf"))
         self.assertLess(found[OTHER], float("inf"))
 
-    def test_the_engine_that_is_named_is_left_alone_too(self):
+    def test_the_engine_named_as_at_fault_is_in_backoff_too(self):
         self.hear(status=503, backoff_s=3.0, fault_address=f"{OTHER}:80")
         self.assertFalse(self.may_begin(ENGINE))
         self.assertFalse(self.may_begin(OTHER))
 
-    def test_a_time_to_come_back_in_a_success_is_none(self):
+    def test_retry_after_in_a_success_starts_no_backoff(self):
         self.hear(backoff_s=3)
         self.assertTrue(self.may_begin())
 
-    def test_what_is_no_time_is_none(self):
+    def test_a_missing_or_zero_retry_after_starts_no_backoff(self):
         for backoff_s in (None, 0.0):
-            self.shed(ENGINE, backoff_s=backoff_s)
+            self.back_off(ENGINE, backoff_s=backoff_s)
         self.assertTrue(self.may_begin())
 
-    def test_after_it_one_request_goes_alone_until_it_is_served(self):
-        self.shed(ENGINE, backoff_s=0.01)
+    def test_after_a_backoff_one_probe_request_must_succeed_first(self):
+        self.back_off(ENGINE, backoff_s=0.01)
         anyio.run(anyio.sleep, 0.02)
         self.assertTrue(self.may_begin())
         backpressure.begin(self.state, ENGINE, now_s())
@@ -52,28 +52,28 @@
         self.hear(status=200)
         self.assertTrue(self.may_begin())
 
-    def test_a_request_goes_to_the_endpoint_that_serves(self):
-        self.shed(ENGINE)
+    def test_a_request_goes_to_an_endpoint_without_backoff(self):
+        self.back_off(ENGINE)
         place = anyio.run(plainrelay._choose, self.a_job(), set())
         self.assertEqual(place.engine_id, OTHER)
 
-    def test_when_all_back_off_a_request_is_refused_at_once_with_the_time(self):
-        self.shed(ENGINE, OTHER)
+    def test_if_all_back_off_a_request_is_refused_at_once_with_retry_after(self):
+        self.back_off(ENGINE, OTHER)
 
-        async def play():
+        async def scenario():
             with anyio.fail_after(0.1):
                 return await plainrelay._choose(self.a_job(), set())
 
-        failed = anyio.run(play)
+        failed = anyio.run(scenario)
         self.assertTrue(failed.is_not_run)
         self.assertGreater(failed.retry_after_s, 2.5)
 
-    def test_a_backoff_that_ends_in_time_is_waited_for(self):
-        self.shed(ENGINE, OTHER, backoff_s=0.1)
+    def test_a_request_waits_for_a_backoff_that_ends_in_time(self):
+        self.back_off(ENGINE, OTHER, backoff_s=0.1)
         place = anyio.run(plainrelay._choose, self.a_job(), set())
         self.assertIn(place.engine_id, (ENGINE, OTHER))
 
-    def test_being_turned_away_is_no_proof_of_health(self):
+    def test_a_backoff_answer_is_no_evidence_of_health(self):
         for _ in range(20):
             suspicion.answered(self.state.suspicions, ENGINE, False, now_s())
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
@@ -84,7 +84,7 @@
 
 
 class StreamTest(EntryCase):
-    """Guards against streams that wait in vain while all first engines back off."""
+    """Guards against streams that wait although all first engines back off too long."""
 
     def a_stream(self, has_begun=False):
         job = self.a_job(
@@ -103,37 +103,37 @@
             excluded=lambda _: set(),
         )
 
-    def is_in_vain(self, backoff_s, **changes):
+    def is_too_long(self, backoff_s, **changes):
         for engine_id in (ENGINE, OTHER):
             self.hear(engine_id=engine_id, status=503, backoff_s=backoff_s)
         return streamchains._is_backoff_too_long(self.a_stream(**changes), now_s())
 
-    def test_a_long_backoff_is_not_waited_for(self):
-        self.assertTrue(self.is_in_vain(3))
+    def test_a_stream_does_not_wait_for_a_long_backoff(self):
+        self.assertTrue(self.is_too_long(3))
 
-    def test_a_short_one_is(self):
-        self.assertFalse(self.is_in_vain(0.5))
+    def test_a_stream_waits_for_a_short_backoff(self):
+        self.assertFalse(self.is_too_long(0.5))
 
     def refusal(self):
-        """Return what a stream lacks when no engine has room for it."""
+        """Return the reason for refusal of a stream that no engine has room for."""
         stream = self.a_stream()
         stream.job.service.model = a_model(8)
         engines = entrystate.candidates(self.state, "llm", now_s())
         return streamchains._refusal(stream, engines, now_s())
 
-    def test_it_lacks_a_permit_only_when_no_engine_takes_it_without(self):
+    def test_the_reason_is_a_limit_only_if_no_engine_is_without_limit(self):
         self.hear(2.5, engine_id=ENGINE)
         self.assertEqual(self.refusal(), streamchains.NO_ROOM)
         self.hear(engine_id=OTHER, status=503, backoff_s=3)
         self.assertEqual(self.refusal(), streamchains.LIMITED)
 
-    def test_it_lacks_an_engine_that_takes_anything(self):
+    def test_the_reason_is_backoff_if_all_engines_back_off(self):
         for engine_id in (ENGINE, OTHER):
             self.hear(engine_id=engine_id, status=503, backoff_s=3)
         self.assertEqual(self.refusal(), streamchains.BACKING_OFF)
 
-    def test_an_answer_that_has_begun_waits(self):
-        self.assertFalse(self.is_in_vain(3, has_begun=True))
+    def test_an_answer_that_has_begun_waits_in_any_case(self):
+        self.assertFalse(self.is_too_long(3, has_begun=True))
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -10,10 +10,10 @@
 
 
 class StartTest(unittest.TestCase):
-    """All entries lose power and start together, with the requests that came meanwhile.
+    """Guards against overloading one engine when all entries start together.
 
-    The control VMs have started too and know few entries. Each entry that took itself
-    for alone sent all it had to the same engine, which refused most of it.
+    After a power loss the control VMs have seen few entries. An entry that counted no
+    others sent all its requests to the same engine as they did, which refused most.
     """
 
     def setUp(self):
@@ -22,20 +22,20 @@
         self.state = a_state(self.piped.sink)
 
     def others_seen(self):
-        """Return what the others are thought to run once this entry has sent ten."""
+        """Return the estimated load of the others once this entry has sent ten."""
         own = Load(10.0, 9000.0, 10.0)
         others = self.state.other_load
         return otherload.estimate(others, "e:1", own, self.state.peers)
 
-    def test_before_any_word_the_others_are_thought_to_send_as_much(self):
+    def test_before_any_report_the_others_are_assumed_to_send_as_much(self):
         self.assertGreaterEqual(self.others_seen().firsts, 50)
 
-    def test_an_early_word_of_few_entries_is_not_believed(self):
+    def test_an_early_report_of_few_entries_is_ignored(self):
         self.state.entries = 2
         entrystate.hear_others(self.state, (), 3, self.state.started_s + 0.5)
         self.assertGreaterEqual(self.others_seen().firsts, 50)
 
-    def test_later_the_word_counts(self):
+    def test_a_later_report_counts(self):
         self.state.entries = 6
         later_s = self.state.started_s + entrystate.STARTUP_S
         entrystate.hear_others(self.state, (), 3, later_s)
@@ -50,20 +50,20 @@
         self.addCleanup(self.piped.close)
         self.state = a_state(self.piped.sink)
 
-    def test_a_prompt_counts_on_each_engine_until_it_was_read(self):
+    def test_a_prompt_counts_on_each_engine_until_it_is_read(self):
         entrystate.add_unread(self.state, self.CHAIN, 700)
         entrystate.add_unread(self.state, self.CHAIN[:1], 300)
         self.assertEqual(self.state.unread, {"e1:1": 1000, "e2:1": 700})
         entrystate.remove_unread(self.state, self.CHAIN, 700)
         self.assertEqual(self.state.unread, {"e1:1": 300})
 
-    def test_an_empty_prompt_takes_nothing_from_others(self):
+    def test_removing_an_empty_prompt_keeps_other_prompts_counted(self):
         entrystate.add_unread(self.state, self.CHAIN, 0)
         entrystate.add_unread(self.state, self.CHAIN, 700)
         entrystate.remove_unread(self.state, self.CHAIN, 0)
         self.assertEqual(self.state.unread, {"e1:1": 700, "e2:1": 700})
 
-    def test_the_others_are_thought_to_have_as_much_on_the_way(self):
+    def test_the_others_are_assumed_to_have_as_many_unread_tokens(self):
         now = now_s()
         told = an_announcement("e1", layers=(0, 8), address="e1:1")
         tablesync.hear(self.state.endpoints, told, now)
--- a/libs/node/test/test_job.py
+++ b/libs/node/test/test_job.py
@@ -6,7 +6,7 @@
 
 
 class StubJob(Job):
-    """A request with a route and times, and nothing that would need an entry."""
+    """A request with a route and times, without an entry."""
 
     def __init__(self, arrived_s, end_s, objective_s=0.5, gap_s=0.2):
         self.route = SimpleNamespace(objective_s=objective_s, gap_s=gap_s)
@@ -21,40 +21,40 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """A stream stands still; its client leaves after a while without any event.
+    """Guards against a wrong estimate of when a stalled stream's client disconnects.
 
-    Given up before that, it ends in the middle; held much longer, it takes room for
-    nobody.
+    Given up earlier, the answer ends in the middle. Held much longer, the stream takes
+    room without a client.
     """
 
-    def test_a_client_leaves_some_time_after_the_last_piece(self):
+    def test_a_client_leaves_some_time_after_the_last_chunk(self):
         job = StubJob(100.0, 120.0)
         job.record_chunk(101.0)
         self.assertAlmostEqual(job.client_leaves_s(), 103.0 + jobs.LEAVE_MARGIN_S)
 
-    def test_without_any_piece_the_time_counts_from_its_arrival(self):
-        """The head of the answer came, and its engine died before the first event."""
+    def test_without_any_chunk_the_timeout_counts_from_arrival(self):
+        """The answer's head arrived, and its engine died before the first event."""
         job = StubJob(100.0, 120.0)
         self.assertAlmostEqual(job.client_leaves_s(), 102.0 + jobs.LEAVE_MARGIN_S)
 
-    def test_long_objectives_and_pauses_make_for_patience(self):
+    def test_long_objectives_and_pauses_extend_the_timeout(self):
         self.assertEqual(StubJob(0.0, 60.0, objective_s=3.0).client_timeout_s(), 12.0)
         self.assertEqual(StubJob(0.0, 60.0, gap_s=1.0).client_timeout_s(), 8.0)
 
-    def test_never_beyond_the_time_of_the_request(self):
+    def test_a_client_never_stays_beyond_the_request_time_limit(self):
         job = StubJob(100.0, 101.5)
         self.assertEqual(job.client_leaves_s(), 101.5)
 
 
 class PauseTest(unittest.TestCase):
-    def test_the_longest_pause_is_told_with_its_end(self):
+    def test_the_longest_pause_is_recorded_with_its_end(self):
         job = StubJob(0.0, 20.0)
-        for piece_s in (1.0, 1.1, 1.6, 1.8):
-            job.record_chunk(piece_s)
+        for chunk_s in (1.0, 1.1, 1.6, 1.8):
+            job.record_chunk(chunk_s)
         self.assertAlmostEqual(job.longest_pause_s, 0.5)
         self.assertEqual(job.longest_pause_end_s, 1.6)
 
-    def test_waits_after_the_first_event_are_no_reason_for_a_late_one(self):
+    def test_only_waits_before_the_first_event_are_recorded(self):
         job = StubJob(0.0, 20.0)
         job.record_wait(0.3, "no room")
         job.record_chunk(1.0)
--- a/libs/node/test/test_pacewatch.py
+++ b/libs/node/test/test_pacewatch.py
@@ -18,16 +18,16 @@
 
 
 class WatchTest(unittest.TestCase):
-    """Engines turn slow; entries see slow streams and complain of whole chains.
+    """Guards against slow engines that entries are not informed of.
 
-    Everybody has to hear which engines are slow, and when they are sound again, and
-    the engines must not be asked again for each stream that complains.
+    Entries send complaints about whole chains. All entries must receive which engines
+    are slow and when they are healthy again, without a report request per complaint.
     """
 
-    def play(self, paces, scenario):
-        """Return the news that went out, and how often an engine was asked.
+    def run_scenario(self, paces, scenario):
+        """Return the messages sent and the addresses asked for a report.
 
-        `paces` are an engine's next answers; None for no answer.
+        `paces` are the engine's next answers, None for no answer.
         """
         table = SharedTable("boot")
         endpoints.hear(table.table, an_announcement("boot-1"), now_s())
@@ -60,32 +60,32 @@
     async def complain(self, watch):
         watch.hear(Complaint(("boot-1", "unknown")))
 
-    def test_a_slow_engine_is_told_until_it_is_sound(self):
-        sent, _ = self.play([5.0, 5.0, 1.0], self.complain)
+    def test_a_slow_pace_is_sent_until_the_engine_is_healthy(self):
+        sent, _ = self.run_scenario([5.0, 5.0, 1.0], self.complain)
         self.assertEqual(sent, [PaceNews("boot-1", p) for p in (5.0, 5.0, 1.0)])
 
-    def test_a_sound_engine_is_no_news_and_rests(self):
+    def test_a_healthy_engine_is_not_reported_and_checked_once(self):
         async def scenario(watch):
             for _ in range(5):
                 watch.hear(Complaint(("boot-1",)))
                 await anyio.sleep(0.01)
 
-        sent, asked = self.play([], scenario)
+        sent, asked = self.run_scenario([], scenario)
         self.assertEqual((sent, len(asked)), ([], 1))
 
-    def test_an_engine_that_gives_no_report_is_not_called_slow(self):
-        sent, _ = self.play([None], self.complain)
+    def test_an_engine_without_a_report_does_not_count_as_slow(self):
+        sent, _ = self.run_scenario([None], self.complain)
         self.assertEqual(sent, [])
 
-    def test_what_an_entry_has_seen_counts_at_once(self):
-        """An engine that was found sound rests, and an entry sees it slow then."""
+    def test_a_slow_pace_found_by_an_entry_is_sent_at_once(self):
+        """The engine was found healthy just before, so its checks are paused."""
 
         async def scenario(watch):
             watch.hear(Complaint(("boot-1",)))
             await anyio.sleep(0.02)
             watch.hear_seen(PaceNews("boot-1", 7.0))
 
-        sent, _ = self.play([1.0, 7.0, 1.0], scenario)
+        sent, _ = self.run_scenario([1.0, 7.0, 1.0], scenario)
         self.assertEqual([news.slowness for news in sent], [7.0, 7.0, 1.0])
 
 
--- a/libs/node/test/test_request_handler.py
+++ b/libs/node/test/test_request_handler.py
@@ -14,7 +14,7 @@
 
 
 class EntryStub:
-    """What the decision needs of an entry's state."""
+    """The parts of an entry's state that the decision reads."""
 
     def __init__(self):
         self.table = None
@@ -24,17 +24,17 @@
 
 
 class HoldTest(unittest.TestCase):
-    """All machines lose power; entries are back a second before the control VMs lead.
+    """Guards against refusing clients while an entry waits for its configuration.
 
-    Clients that ask meanwhile were refused once by then, and come back no third time:
-    refused again, they get no answer at all. So a request waits for the configuration.
+    After a power loss, entries are up a second before the control VMs have a leader.
+    Clients were refused once by then and don't try a third time, so a request waits.
     """
 
     def decide(self, configured_after_s, deadline_ms=b"20000"):
         """Return the decision and how long it took."""
         state = EntryStub()
-        door = RequestHandler.__new__(RequestHandler)
-        door.state = state
+        handler = RequestHandler.__new__(RequestHandler)
+        handler.state = state
         request = SimpleNamespace(target=b"/a/x", arrived_s=now_s())
         facts = read_request([(b"host", b"h"), (b"deadline-ms", deadline_ms)])
 
@@ -47,7 +47,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(configure)
                 exchange = SimpleNamespace(request=request)
-                decision = await door._decide(exchange, facts)
+                decision = await handler._decide(exchange, facts)
                 group.cancel_scope.cancel()
             return decision, now_s() - request.arrived_s
 
@@ -57,43 +57,44 @@
         decision, _ = self.decide(0.1)
         self.assertEqual(decision.status, 404)
 
-    def test_it_does_not_wait_longer_than_its_client(self):
+    def test_a_request_waits_no_longer_than_its_client(self):
         decision, took_s = self.decide(60.0, b"200")
         self.assertIs(decision, UNKNOWN)
         self.assertLess(took_s, request_handler.MAX_HOLD_S)
 
 
 class OutlastTest(unittest.TestCase):
-    """An entry is told to stop; for two seconds the platform still sends new clients.
+    """Guards against accepting streams that the end of the process would cut.
 
-    A stream that takes six seconds is cut in the middle when the platform's patience
-    ends after eight. It has to go elsewhere from the start; a short one may stay.
+    After the order to stop, the platform still sends new clients for two seconds and
+    kills the process after eight. A stream of six seconds is refused at once; a short
+    one is served.
     """
 
     def may_outlast(self, left_s, guess=0, most=0, layers=80):
-        door = RequestHandler.__new__(RequestHandler)
-        door.process_ends_s = None if left_s is None else now_s() + left_s
+        handler = RequestHandler.__new__(RequestHandler)
+        handler.process_ends_s = None if left_s is None else now_s() + left_s
         model = SimpleNamespace(layers=layers, usual_answer_tokens=174)
         facts = SimpleNamespace(guessed_answer_tokens=guess, max_answer_tokens=most)
         job = SimpleNamespace(facts=facts, service=SimpleNamespace(model=model))
-        return door._may_outlast(job)
+        return handler._may_outlast(job)
 
-    def test_long_streams_go_elsewhere_and_short_ones_stay(self):
+    def test_long_streams_are_refused_and_short_ones_served(self):
         self.assertTrue(self.may_outlast(7.0, guess=300))
         self.assertFalse(self.may_outlast(7.0, guess=100))
         self.assertTrue(self.may_outlast(3.0, guess=100))
 
-    def test_without_a_guess_the_usual_length_counts(self):
+    def test_without_a_guess_the_usual_length_is_assumed(self):
         self.assertFalse(self.may_outlast(7.0))
         self.assertTrue(self.may_outlast(5.0))
 
-    def test_no_answer_is_longer_than_its_request_allows(self):
+    def test_the_length_is_bounded_by_the_request_limit(self):
         self.assertFalse(self.may_outlast(7.0, guess=300, most=400))
 
     def test_nothing_is_refused_before_the_order_to_stop(self):
         self.assertFalse(self.may_outlast(None, guess=10_000))
 
-    def test_other_services_are_no_streams(self):
+    def test_services_without_layers_are_not_refused(self):
         self.assertFalse(self.may_outlast(1.0, layers=0))
 
 
--- a/libs/node/test/test_reroute.py
+++ b/libs/node/test/test_reroute.py
@@ -13,7 +13,7 @@
 
 
 def a_stream(has_begun=True):
-    """Return a stream whose chain goes over two engines."""
+    """Return a stub of a stream with a chain of two engines."""
     labels = SimpleNamespace(labels=lambda *_: SimpleNamespace(inc=lambda: None))
     state = SimpleNamespace(metrics=SimpleNamespace(reroutes=labels))
     stream = SimpleNamespace(
@@ -30,22 +30,22 @@
 
 
 class NoOtherChainTest(unittest.TestCase):
-    """An engine in the middle of a chain dies, and for a moment nobody else has room.
+    """Guards against aborting an attempt while no engine can replace the lost part.
 
-    The first engine holds the request and waits. Broken off at once, the stream lost
-    what was read of it and one of its two attempts, and waited all the same; with the
-    next death it ended in the middle.
+    An engine in the middle of a chain dies, and for a moment no other one has room. The
+    first engine still holds the request. An abort lost its cache and one of the
+    stream's two attempts, and after the next death the answer ended in the middle.
     """
 
-    def go_on(self, stream, parts, others=lambda: False, orders=None):
-        """Look after the stream while `parts` says over what chain it may go on."""
+    def replace(self, stream, parts, others=lambda: False, orders=None):
+        """Return the chains ordered; `parts` and `others` give the available chains."""
         orders = [] if orders is None else orders
 
         async def request_reroute(_, chain):
             orders.append(chain)
             return 200, ""
 
-        async def play():
+        async def scenario():
             with anyio.fail_after(10):
                 await reroute.go_on_without(
                     stream, stream.connection, {CHAIN[1].address}
@@ -60,35 +60,35 @@
                 reroute.streamchains, "has_other_chain", lambda *_: others()
             ),
         ):
-            anyio.run(play)
+            anyio.run(scenario)
         return orders
 
-    def test_it_goes_on_once_another_engine_has_room(self):
+    def test_the_stream_is_rerouted_once_another_engine_has_room(self):
         stream, tries = a_stream(), []
 
         def parts():
             tries.append(1)
             return OTHER if len(tries) > 5 else None
 
-        self.assertEqual(self.go_on(stream, parts), [OTHER])
+        self.assertEqual(self.replace(stream, parts), [OTHER])
         self.assertEqual(stream.break_reason, [])
 
-    def test_it_goes_elsewhere_as_soon_as_there_is_another_whole_chain(self):
-        stream, looks = a_stream(), []
+    def test_the_attempt_is_aborted_once_there_is_another_whole_chain(self):
+        stream, checks = a_stream(), []
 
         def others():
-            looks.append(1)
-            return len(looks) > 3
+            checks.append(1)
+            return len(checks) > 3
 
-        self.assertEqual(self.go_on(stream, lambda: None, others), [])
+        self.assertEqual(self.replace(stream, lambda: None, others), [])
         self.assertEqual(len(stream.break_reason), 1)
 
-    def test_a_stream_without_any_event_goes_elsewhere_at_once(self):
+    def test_the_attempt_of_a_stream_without_any_event_is_aborted_at_once(self):
         stream = a_stream(has_begun=False)
-        self.go_on(stream, lambda: None)
+        self.replace(stream, lambda: None)
         self.assertEqual(len(stream.break_reason), 1)
 
-    def test_it_is_left_alone_when_its_chain_goes_on_after_all(self):
+    def test_nothing_is_done_if_the_chain_continues_after_all(self):
         stream, tries = a_stream(), []
 
         def parts():
@@ -97,7 +97,7 @@
                 stream.last_progress_s += 1.0
             return None
 
-        self.go_on(stream, parts)
+        self.replace(stream, parts)
         self.assertEqual(stream.break_reason, [])
 
     def test_nothing_is_done_once_the_attempt_has_ended(self):
@@ -107,7 +107,7 @@
             stream.connection = None
             return None
 
-        self.go_on(stream, parts)
+        self.replace(stream, parts)
         self.assertEqual(stream.break_reason, [])
 
 
--- a/libs/node/test/test_stalls.py
+++ b/libs/node/test/test_stalls.py
@@ -15,7 +15,7 @@
 
 
 class EntryStub:
-    """What the detector needs of an entry's state."""
+    """The parts of an entry's state that the detector reads."""
 
     pool = None
     settings = builders.some_settings()
@@ -24,19 +24,19 @@
         self.endpoints = SharedTable("boot")
 
 
-class ForgetTest(unittest.TestCase):
-    """An engine leaves while an entry waits for its report about a silent stream.
+class DroppedAddressTest(unittest.TestCase):
+    """Guards against an error when an address is dropped during its report request.
 
-    Its address is forgotten in between. The look must still end: an error there ended
-    the whole entry, with every stream that it had.
+    An engine leaves while an entry waits for its report about a silent stream. An error
+    there ended the whole entry with all its streams.
     """
 
-    def look(self, address, forget):
+    def get_reports(self, address, drop):
         detector = StallDetector(EntryStub(), None)
 
         async def get_report(address, timeout_s, kept):
             await anyio.sleep(0)
-            if forget:
+            if drop:
                 detector.drop_unknown(set())
             if address == "dead":
                 raise EngineCallFailed(address)
@@ -49,35 +49,36 @@
         finally:
             enginecalls.get_report = kept
 
-    def test_a_forgotten_address_is_still_answered(self):
-        self.assertIsNotNone(self.look("e", forget=True)["e"].report)
+    def test_a_dropped_address_still_gets_its_result(self):
+        self.assertIsNotNone(self.get_reports("e", drop=True)["e"].report)
 
-    def test_an_engine_that_gives_no_report_is_told(self):
-        found = self.look("dead", forget=False)
+    def test_a_missing_report_is_returned_as_none(self):
+        found = self.get_reports("dead", drop=False)
         self.assertIsNone(found["dead"].report)
         self.assertIsNotNone(found["other"].report)
 
 
-def stand_still(wait_s):
-    """Hold the loop up, as a long computation does."""
+def block_event_loop(wait_s):
+    """Block the event loop, as a long computation does."""
     time.sleep(wait_s)
 
 
-class StandstillTest(unittest.TestCase):
-    """An entry decodes a large configuration while it waits for an engine's report.
+class ProcessStallTest(unittest.TestCase):
+    """Guards against taking an engine as dead when this process stalls.
 
-    Its time limit passes although the answer is there, unread. Taken for death, this
-    breaks every stream through the engine off.
+    An entry decodes a large configuration while it waits for an engine's report, and
+    the time limit passes although the answer is there, unread. Every stream through the
+    engine would break off.
     """
 
-    def test_a_report_is_asked_for_again_after_an_own_standstill(self):
+    def test_a_report_is_requested_again_after_a_stall_of_this_process(self):
         detector = StallDetector(EntryStub(), None)
         calls = []
 
         async def get_report(address, timeout_s, kept):
             calls.append(address)
             if len(calls) == 1:
-                stand_still(timeout_s + 2 * stalls.OWN_DELAY_S)
+                block_event_loop(timeout_s + 2 * stalls.OWN_DELAY_S)
                 raise EngineCallFailed(address)
             return Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
 
@@ -91,12 +92,12 @@
         self.assertEqual(len(calls), 2)
 
 
-class SharedLookTest(unittest.TestCase):
-    """Guards against a look of its own, one after the other, for each silent stream."""
+class SharedReportTest(unittest.TestCase):
+    """Guards against separate, sequential report requests for each silent stream."""
 
     STREAMS = 6
 
-    def test_streams_that_are_silent_together_share_one_look(self):
+    def test_streams_that_are_silent_together_share_one_result(self):
         detector = StallDetector(EntryStub(), None)
         calls, seen = [], []
 
@@ -105,79 +106,79 @@
             await anyio.sleep(timeout_s)
             raise EngineCallFailed(address)
 
-        async def look():
-            found = await detector.get_reports(["dark"])
-            seen.append(found["dark"].report)
+        async def get_report_once():
+            found = await detector.get_reports(["unreachable"])
+            seen.append(found["unreachable"].report)
 
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
                 for _ in range(self.STREAMS):
-                    group.start_soon(look)
+                    group.start_soon(get_report_once)
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            anyio.run(play)
+            anyio.run(scenario)
         self.assertEqual(seen, [None] * self.STREAMS)
         self.assertEqual(len(calls), len(stalls.NEAR_TRIES))
 
 
-class DarkEngineTest(unittest.TestCase):
-    """Guards against a dark engine's streams pausing for longer than clients allow."""
+class UnreachableEngineTest(unittest.TestCase):
+    """Guards against too long pauses of streams whose engine is unreachable."""
 
-    # An allowed pause, less a stream's silence and the reading by the new part.
+    # An allowed pause, less a stream's silence limit and the reading by the new part.
     ALLOWED_S = 0.25 - 0.11 - 0.06
 
-    def test_it_is_known_in_time_once_others_have_answered(self):
+    def test_it_is_detected_in_time_once_others_have_answered(self):
         detector = StallDetector(EntryStub(), None)
         limits_s = []
 
         async def get_report(address, timeout_s, kept):
-            if address == "dark":
+            if address == "unreachable":
                 limits_s.append(timeout_s)
                 raise EngineCallFailed(address)
             return A_REPORT
 
-        async def play():
+        async def scenario():
             for number in range(20):
                 await detector.get_reports(["first", f"engine-{number}"])
-            return await detector.get_reports(["first", "dark"])
+            return await detector.get_reports(["first", "unreachable"])
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            found = anyio.run(play)
-        self.assertIsNone(found["dark"].report)
+            found = anyio.run(scenario)
+        self.assertIsNone(found["unreachable"].report)
         self.assertLessEqual(sum(limits_s), self.ALLOWED_S)
 
-    def test_it_is_known_in_time_in_the_first_look_of_an_entry(self):
+    def test_it_is_detected_in_time_in_the_first_check_of_an_entry(self):
         detector = StallDetector(EntryStub(), None)
         limits_s = []
 
         async def get_report(address, timeout_s, kept):
-            if address == "dark":
+            if address == "unreachable":
                 limits_s.append(timeout_s)
                 await anyio.sleep(timeout_s)
                 raise EngineCallFailed(address)
             return A_REPORT
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            anyio.run(detector.get_reports, ["first", "dark", "one", "two"])
+            anyio.run(detector.get_reports, ["first", "unreachable", "one", "two"])
         self.assertLessEqual(sum(limits_s), self.ALLOWED_S)
 
-    def test_a_starved_first_engine_is_given_more_time_than_a_part(self):
+    def test_a_slow_first_engine_is_given_more_time_than_another_part(self):
         detector = StallDetector(EntryStub(), None)
 
         async def get_report(address, timeout_s, kept):
-            if address == "starved":
+            if address == "slow":
                 await anyio.sleep(min(timeout_s, 0.15))
                 if timeout_s < 0.15:
                     raise EngineCallFailed(address)
             return A_REPORT
 
-        async def play():
-            part = await detector.get_reports(["first", "starved"])
-            first = await detector.get_reports(["starved", "other"])
-            return part["starved"].report, first["starved"].report
+        async def scenario():
+            part = await detector.get_reports(["first", "slow"])
+            first = await detector.get_reports(["slow", "other"])
+            return part["slow"].report, first["slow"].report
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            part, first = anyio.run(play)
+            part, first = anyio.run(scenario)
         self.assertIsNone(part)
         self.assertIsNotNone(first)
 
@@ -193,39 +194,43 @@
                 raise EngineCallFailed(address)
             return A_REPORT
 
-        async def play():
+        async def scenario():
             for number in range(8):
                 await detector.get_reports(["first", f"busy-{number}"])
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            anyio.run(play)
+            anyio.run(scenario)
         self.assertGreater(limits_s[-1], 2 * limits_s[1])
 
-    def look_afar(self, answers):
-        """Return how often a dark engine far away is asked beside some others."""
+    def count_remote_requests(self, answers):
+        """Return how often an unreachable remote engine is asked beside some others."""
         detector = StallDetector(EntryStub(), None)
         detector._zone_of = lambda _: "b"
         calls = []
 
         async def get_report(address, timeout_s, kept):
             calls.append(address)
-            if address == "dark" or not answers:
+            if address == "unreachable" or not answers:
                 await anyio.sleep(timeout_s)
                 raise EngineCallFailed(address)
             await anyio.sleep(0.001)
             return A_REPORT
 
         with mock.patch.object(enginecalls, "get_report", get_report):
-            anyio.run(detector.get_reports, ["dark", "one", "two", "three"])
-        return calls.count("dark")
+            anyio.run(detector.get_reports, ["unreachable", "one", "two", "three"])
+        return calls.count("unreachable")
 
-    def test_one_far_away_is_known_as_soon_where_others_there_answer(self):
-        self.assertEqual(self.look_afar(answers=True), len(stalls.NEAR_TRIES))
+    def test_a_remote_engine_gets_no_extra_try_if_others_there_answer(self):
+        self.assertEqual(
+            self.count_remote_requests(answers=True), len(stalls.NEAR_TRIES)
+        )
 
-    def test_one_behind_a_link_that_loses_packets_is_asked_once_more(self):
-        self.assertEqual(self.look_afar(answers=False), len(stalls.FAR_TRIES))
+    def test_a_remote_engine_gets_an_extra_try_if_no_other_answers(self):
+        self.assertEqual(
+            self.count_remote_requests(answers=False), len(stalls.FAR_TRIES)
+        )
 
-    def test_an_engine_whose_first_answer_is_lost_lives(self):
+    def test_an_engine_whose_first_answer_is_lost_counts_as_alive(self):
         detector = StallDetector(EntryStub(), None)
         calls = []
 
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -17,14 +17,14 @@
 
 
 def a_small_state():
-    """Return what the counts of a chain need of an entry."""
+    """Return the parts of an entry's state that count a chain's load."""
     return SimpleNamespace(
         running={}, tokens={}, firsts={}, rates=RateKeeper(), backoffs=BackoffBook()
     )
 
 
 def a_stream(state, group):
-    """Return what the choice of a chain looks at in a stream."""
+    """Return a stub of a stream with the fields that the choice of a chain reads."""
     route = SimpleNamespace(objective_s=0.5, gap_s=0.2, max_attempts=2)
     job = SimpleNamespace(
         state=state,
@@ -53,17 +53,17 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """All engines are full; a client leaves at the moment at which its turn has come.
+    """Guards against room that stays counted after its client has left.
 
-    Its stream is given room and ends without an attempt. The room has to be free again:
-    counted as taken, it would be lost for all later streams of the entry.
+    All engines are full, and a client disconnects just as its stream gets a chain. The
+    room would be lost for all later streams of the entry.
     """
 
     def test_the_room_is_free_again(self):
         state = a_small_state()
         tries = []
 
-        async def play():
+        async def scenario():
             scope = anyio.CancelScope()
 
             def choose(stream):
@@ -82,7 +82,7 @@
 
         kept = streamchains._choose
         try:
-            anyio.run(play)
+            anyio.run(scenario)
         finally:
             streamchains._choose = kept
         self.assertEqual(len(tries), 2)
@@ -90,22 +90,22 @@
 
 
 class InterruptedTest(unittest.TestCase):
-    """Engines that hold a range leave together; for some time no chain is whole.
+    """Guards against giving up an answer that has begun before its client does.
 
-    A caller has a part of its answer already and waits for the rest. Given up after a
-    part of its patience, the answer ended in the middle though the next chain came in
-    time; a stream without any event is told to come back instead.
+    Engines with the same range leave together, and for some time there is no whole
+    chain. An answer that has begun used to end in the middle although the next chain
+    came in time. A stream without any event is refused with Retry-After instead.
     """
 
     def chain_after(self, tries, has_begun):
-        """Return what a stream gets when there is a chain at a later try only."""
-        made = []
+        """Return what a stream gets if only a later try finds a chain."""
+        tries_made = []
 
         def choose(stream):
-            made.append(stream)
-            return CHAIN if len(made) >= tries else None
+            tries_made.append(stream)
+            return CHAIN if len(tries_made) >= tries else None
 
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
                 state = a_small_state()
                 stream = a_stream(state, group)
@@ -121,7 +121,7 @@
             mock.patch.object(streamchains, "_choose", choose),
             mock.patch.object(streamchains, "_log_no_chain"),
         ):
-            return anyio.run(play)
+            return anyio.run(scenario)
 
     def test_an_answer_that_has_begun_waits_for_the_next_chain(self):
         self.assertEqual(self.chain_after(20, has_begun=True), CHAIN)
@@ -131,15 +131,15 @@
 
 
 class UsedUpTest(unittest.TestCase):
-    """Parts of two chains die one after the other; the route allows two engines.
+    """Guards against a wrong choice after parts of two chains died in one answer.
 
-    The caller's answer has begun, and both first engines live. Ended at once, it broke
-    off in the middle although either of them could go on with it over other parts. On a
-    third engine it would run on one more than the operators allow, which happened when
-    an engine that was only suspected, or about to leave, did not count any more.
+    The route allows two engines, and both first engines are alive. The answer broke off
+    although either could continue it over other parts. A third engine is one more than
+    operators allow; it was used when an engine that was only suspected, or about to
+    leave, did not count any more.
 
-    The lines that showed it: `retry` with `too-many`, and `ended` with `broken off` 0.1
-    ms later, with a client that stayed for two seconds more.
+    The log showed `retry` with `too-many`, and `ended` with `broken off` 0.1 ms later,
+    while the client stayed for two seconds more.
     """
 
     def setUp(self):
@@ -166,41 +166,41 @@
         suspicion.died(self.state.suspicions, name, now_s())
 
     def chosen(self):
-        """Return the first engines of many choices, and the other parts."""
+        """Return the first engines and the other engines of many choices."""
         chains = [streamchains._choose(self.stream) for _ in range(40)]
         firsts = {chain[0].engine_id for chain in chains if chain}
         return firsts, {chain[1].engine_id for chain in chains if chain}
 
-    def test_it_goes_on_at_the_engines_where_it_ran(self):
+    def test_a_stream_continues_at_the_engines_where_it_ran(self):
         for has_begun in (True, False):
             with self.subTest(has_begun=has_begun):
                 self.stream.has_begun = has_begun
                 self.assertEqual(self.chosen(), ({"first", "second"}, {"part"}))
 
-    def test_suspicion_of_an_engine_is_not_its_end(self):
+    def test_a_suspect_engine_still_counts(self):
         self.suspect("first")
         self.assertEqual(self.chosen()[0], {"second"})
         self.suspect("second")
         self.assertEqual(self.chosen()[0], set())
 
-    def test_an_engine_that_leaves_has_not_ended(self):
+    def test_an_engine_that_leaves_still_counts(self):
         for name in ("first", "second"):
             told = an_announcement(name, 4, (0, 8), is_leaving=True)
             tablesync.hear(self.state.endpoints, told, now_s())
             self.suspect(name)
         self.assertEqual(self.chosen()[0], set())
 
-    def test_an_engine_that_lives_counts_again(self):
+    def test_an_engine_found_alive_may_be_used_again(self):
         for name in ("first", "second"):
             self.suspect(name)
             suspicion.acquitted(self.state.suspicions, name)
         self.assertEqual(self.chosen()[0], {"first", "second"})
 
-    def test_a_confirmed_death_makes_room_for_another_engine(self):
+    def test_a_confirmed_death_allows_another_engine(self):
         suspicion.verified(self.state.suspicions, "first", now_s() + 0.001)
         self.assertEqual(self.chosen()[0], {"second", "third"})
 
-    def test_a_departure_makes_room_for_another_engine(self):
+    def test_a_departure_allows_another_engine(self):
         tablesync.depart(self.state.endpoints, "second", now_s())
         self.assertEqual(self.chosen()[0], {"first", "third"})
 
@@ -208,8 +208,8 @@
         self.stream.ran_at = ["first", "first"]
         self.assertEqual(self.chosen()[0], {"first", "second", "third"})
 
-    def test_a_run_under_way_counts_when_it_is_to_be_left(self):
-        """Left for a third engine that it may not use, the stream would only wait."""
+    def test_the_present_run_counts_when_another_chain_is_searched(self):
+        """Otherwise the stream leaves for a third engine it may not use, and waits."""
         self.stream.ran_at = ["first"]
         self.stream.chain = (Part("second:80", "second", 0, 8),)
         self.assertTrue(streamchains.has_other_chain(self.stream, {"second:80"}))
@@ -219,10 +219,10 @@
 
 
 class JustStartedTest(unittest.TestCase):
-    """Guards against pipes that are filled while engines still announce themselves."""
+    """Guards against filling the links while engines still announce themselves."""
 
     def chain(self, age_s, zones):
-        """Return the chain of an entry so long after its start, if it has one."""
+        """Return the chain of an entry of that age and the reason if there is none."""
         piped = PipedSink()
         self.addCleanup(piped.close)
         state = a_state(piped.sink)
@@ -237,7 +237,7 @@
         stream.job.note = lambda *_, **__: None
         return streamchains._choose(stream), stream.refusal
 
-    def test_no_chain_crosses_before_all_had_the_time_to_announce_themselves(self):
+    def test_no_chain_crosses_before_all_engines_could_announce_themselves(self):
         chain, refusal = self.chain(age_s=0.3, zones="ab")
         self.assertIsNone(chain)
         self.assertEqual(refusal, streamchains.NO_CHAIN)
@@ -245,15 +245,15 @@
     def test_a_whole_data_centre_is_used_at_once(self):
         self.assertIsNotNone(self.chain(age_s=0.3, zones="aa")[0])
 
-    def test_a_hole_that_is_still_there_is_bridged(self):
+    def test_layers_that_are_still_missing_are_used_from_elsewhere(self):
         self.assertIsNotNone(self.chain(age_s=2.0, zones="ab")[0])
 
 
-class OfferTest(unittest.TestCase):
-    """Guards against a second search for each stream of an engine that has died."""
+class KeptChainTest(unittest.TestCase):
+    """Guards against a second search for each stream of a dead engine."""
 
-    def offered(self):
-        """Return a stream that has been found another chain, and its entry."""
+    def stream_with_kept_chain(self):
+        """Return a stream with a kept chain, and its entry's state."""
         piped = PipedSink()
         self.addCleanup(piped.close)
         state = a_state(piped.sink)
@@ -266,21 +266,21 @@
         self.assertTrue(streamchains.has_other_chain(stream, {"boot-1:80"}))
         return stream, state
 
-    def test_it_goes_over_the_chain_that_was_found_for_it(self):
-        stream, _ = self.offered()
+    def test_the_kept_chain_is_used(self):
+        stream, _ = self.stream_with_kept_chain()
         with mock.patch.object(streamchains, "_choose", side_effect=AssertionError):
             chain = streamchains._take_chain(stream)
         self.assertEqual([part.engine_id for part in chain], ["boot-2"])
         self.assertIsNone(stream.kept_chain)
 
-    def test_not_once_an_engine_of_it_is_thought_dead(self):
-        stream, state = self.offered()
+    def test_a_kept_chain_with_a_suspect_engine_is_not_used(self):
+        stream, state = self.stream_with_kept_chain()
         suspicion.died(state.suspicions, "boot-2", now_s())
         chain = streamchains._take_chain(stream)
         self.assertEqual([part.engine_id for part in chain], ["boot-1"])
 
-    def test_not_when_it_is_old(self):
-        stream, _ = self.offered()
+    def test_an_expired_kept_chain_is_not_used(self):
+        stream, _ = self.stream_with_kept_chain()
         stream.kept_chain = stream.kept_chain._replace(until_s=now_s() - 0.01)
         self.assertIsNone(streamchains._take_kept_chain(stream, now_s()))
 
--- a/libs/node/test/test_streamrelay.py
+++ b/libs/node/test/test_streamrelay.py
@@ -17,7 +17,7 @@
 
 
 class StubStream(streamrelay.Stream):
-    """A stream with a chain, and nothing else that would need an entry."""
+    """A stream with a chain, without an entry."""
 
     def __init__(self):
         self.job = SimpleNamespace(state=SimpleNamespace(full_until_s={}))
@@ -26,11 +26,11 @@
 
 
 class RefusedTest(unittest.TestCase):
-    """An engine has no place left and refuses a stream, which has not run.
+    """Guards against retrying a refused stream at the same full engine.
 
-    Sent on at once, the stream goes where the load seems least. With nothing noted
-    that is the same engine again, until the budget is spent and the client is refused
-    though other engines have room.
+    The engine without room may seem to have the least load. Unless the refusal is
+    recorded, the stream returns to it until the retry budget is spent and the client is
+    refused, although other engines have room.
     """
 
     def refuse(self, status, fault_address=""):
@@ -39,37 +39,37 @@
         streamrelay._exclude_refusing(stream, status, facts)
         return stream
 
-    def test_without_a_name_the_first_engine_itself_is_full(self):
+    def test_without_a_fault_address_the_first_engine_counts_as_full(self):
         stream = self.refuse(503)
         now = stream.job.state.full_until_s["first:1"] - FULL_HOLD_S
         self.assertEqual(stream.excluded(now), {"first:1"})
 
-    def test_a_named_engine_is_full(self):
+    def test_the_engine_at_the_fault_address_counts_as_full(self):
         stream = self.refuse(503, "second:1")
         self.assertEqual(list(stream.job.state.full_until_s), ["second:1"])
 
-    def test_a_full_engine_may_be_met_again_later(self):
+    def test_a_full_engine_may_be_used_again_later(self):
         stream = self.refuse(503)
         now = stream.job.state.full_until_s["first:1"] - FULL_HOLD_S
         self.assertEqual(
             stream.excluded(now + streamrelay.REFUSAL_EXCLUSION_S + 0.1), set()
         )
 
-    def test_one_without_the_layers_is_not_met_again(self):
+    def test_an_engine_without_the_layers_is_not_used_again(self):
         stream = self.refuse(421, "second:1")
         self.assertEqual(stream.excluded(math.inf), set())
         self.assertEqual(stream.excluded(1e9), {"second:1"})
 
 
 class UsedUpTest(unittest.TestCase):
-    """Two chains break under an answer that has begun; the route allows two engines.
+    """Guards against ending an answer that has begun after two chains broke.
 
-    The answer ended in that moment. It goes out again as long as its client is there;
-    which engines it may begin at is bounded where its chain is chosen.
+    The route allows two engines. The stream is sent again as long as its client stays;
+    the engines where it may begin are limited when its chain is chosen.
     """
 
     def serve(self, breaks, has_begun):
-        """Return how often a stream goes out whose chains break that often."""
+        """Return the attempts and the outcome of a stream with that many breaks."""
         piped = PipedSink()
         self.addCleanup(piped.close)
         state = a_state(piped.sink)
@@ -112,10 +112,10 @@
             anyio.run(streamrelay.serve, job, watch)
         return job.attempts, job.outcome
 
-    def test_a_begun_answer_goes_on_after_two_breaks(self):
+    def test_an_answer_that_has_begun_is_resumed_after_two_breaks(self):
         self.assertEqual(self.serve(breaks=2, has_begun=True), (3, "cut"))
 
-    def test_one_without_any_event_goes_out_a_bounded_number_of_times(self):
+    def test_a_stream_without_any_event_is_sent_a_bounded_number_of_times(self):
         attempts, _ = self.serve(breaks=99, has_begun=False)
         self.assertEqual(attempts, 2 + streamrelay.MAX_EXTRA_SENDS)
 
--- a/libs/node/test/test_verification.py
+++ b/libs/node/test/test_verification.py
@@ -28,15 +28,15 @@
 
 
 class AccusationTest(unittest.TestCase):
-    """A link between data centres loses packets, and an entry misses an answer.
+    """Guards against dropping an engine everywhere because one entry lost a packet.
 
-    It accuses the engine; were all entries to drop it, each lost packet would take an
-    engine from everybody, and soon no chain is left although all engines live. The
-    control VM beside the engine asks it as well before anybody else is told.
+    A link between data centres loses packets, and an entry misses an engine's answer.
+    If all entries dropped the engine, soon no chain would be left although all engines
+    are alive. So the control VM near the engine probes it before it informs the others.
     """
 
     def accuse(self, is_alive, times=1, accusers=(ACCUSER,), started_ms=(0, 0)):
-        """Return what a control VM sends after accusations, and its reports."""
+        """Return a control VM's messages after accusations, its probes and state."""
         piped = PipedSink()
         self.addCleanup(piped.close)
         state = ControlState(read_settings(SETTINGS).ok, piped.sink, Metrics())
@@ -53,7 +53,7 @@
                 raise EngineCallFailed(address)
             return Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), (), started_ms[1])
 
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
                 beats = ControlBeats(state, group)
                 beats.links.send = lambda address, message: sent.append(
@@ -66,29 +66,29 @@
         kept = enginecalls.get_report
         enginecalls.get_report = get_report
         try:
-            anyio.run(play)
+            anyio.run(scenario)
         finally:
             enginecalls.get_report = kept
         return sent, asked, state
 
-    def test_one_that_lives_is_cleared_and_nobody_else_hears_of_it(self):
+    def test_a_living_engine_is_cleared_for_its_accuser_only(self):
         sent, _, state = self.accuse(is_alive=True)
         self.assertEqual(sent, [(ACCUSER, Acquittal("boot-1"))])
         self.assertEqual(state.accused, {})
 
-    def test_one_that_is_dead_is_told_to_everybody(self):
+    def test_a_dead_engine_is_reported_to_all_entries(self):
         sent, _, state = self.accuse(is_alive=False)
         notice = DeathNotice("boot-1")
         self.assertEqual(sent, [(ACCUSER, notice), (OTHER, notice)])
         self.assertIn("boot-1", state.accused)
 
-    def test_many_accusers_at_once_cost_one_look(self):
+    def test_many_accusers_at_once_share_one_probe(self):
         sent, asked, _ = self.accuse(True, times=5, accusers=(ACCUSER, OTHER))
         self.assertEqual(len(asked), 1)
         self.assertEqual({address for address, _ in sent}, {ACCUSER, OTHER})
 
-    def test_one_that_has_started_again_since_is_dead(self):
-        """The address answers, but the boot that held the layers is gone."""
+    def test_an_engine_that_has_restarted_counts_as_dead(self):
+        """The address answers, but the incarnation that held the layers is gone."""
         sent, _, state = self.accuse(is_alive=True, started_ms=(100, 200))
         self.assertIn((ACCUSER, DeathNotice("boot-1")), sent)
         self.assertIn("boot-1", state.accused)
