--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -60,7 +60,7 @@
 def check_seal(head: Head, facts: AnswerFacts) -> None:
     """Raise AnswerBroken for a success without its engine's seal."""
     if FIRST_OK <= head.status <= LAST_OK and not facts.is_sealed:
-        raise AnswerBroken("a success without a seal")
+        raise AnswerBroken("success status without the engine's seal")
 
 
 async def read_matching_head(
--- a/libs/node/src/cherryrudder/node/enginecalls.py
+++ b/libs/node/src/cherryrudder/node/enginecalls.py
@@ -90,5 +90,5 @@
         pieces.append(data)
         size += len(data)
         if size > MAX_ANSWER_BYTES:
-            raise EngineCallFailed("an answer without end")
+            raise EngineCallFailed("the answer is too long")
     return b"".join(pieces)
--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -4,8 +4,8 @@
 streams of all entries slow down, and new streams are sent to these engines as well. An
 entry detects that a stream is slow but not which engine causes it. Engines state their
 pace in their reports, but each request for a report costs the operators. So entries
-send complaints about whole chains. One control VM near each engine requests a report
-for all of them, repeats it while the engine is slow, and sends the result to all
+send slowness reports about whole chains. One control VM near each engine requests a
+report for all of them, repeats it while the engine is slow, and sends the result to all
 entries. Checks of an engine that proves healthy become ever rarer, since all streams
 are slow during a burst.
 """
@@ -47,10 +47,10 @@
         self._watched: set[str] = set()
         self._rests: dict[str, tuple[float, float]] = {}
 
-    def hear(self, complaint: Complaint) -> None:
+    def hear(self, report: Complaint) -> None:
         """Check the engines of a slow chain that are not in their pause."""
         now = now_s()
-        for engine_id in complaint.engine_ids:
+        for engine_id in report.engine_ids:
             until_s, _ = self._rests.get(engine_id, (0.0, 0.0))
             if engine_id in self._watched or now < until_s:
                 continue
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -35,7 +35,7 @@
 )
 
 
-async def serve(job: Job, send_crashes: Callable[[CrashNews | None], None]) -> None:
+async def serve(job: Job, publish_crashes: Callable[[CrashNews | None], None]) -> None:
     """Serve a request until its final answer.
 
     `tell` sends news about crashes that the request may have caused.
@@ -52,11 +52,11 @@
         result = await _attempt(job, place)
         if isinstance(result, WholeAnswer):
             brokenruns.answered(job.state.broken, place.engine_id, now_s())
-            send_crashes(crashes.reached(job, FINISHED, now_s()))
+            publish_crashes(crashes.reached(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
         if result.is_broken:
-            send_crashes(crashes.broke(job, place.engine_id, 0, now_s()))
+            publish_crashes(crashes.broke(job, place.engine_id, 0, now_s()))
             await crashes.wait_for_fate(job, place.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
--- a/libs/node/src/cherryrudder/node/request_handler.py
+++ b/libs/node/src/cherryrudder/node/request_handler.py
@@ -50,9 +50,11 @@
         self.is_closed = False
         # When the process will end, once that is known.
         self.process_ends_s: float | None = None
-        desks = RoomDesks(uplink.group)
-        self._send_crashes = uplink.tell_crashes
-        self.supervisor = StreamSupervisor(state, StallDetector(state, uplink), desks)
+        schedulers = RoomDesks(uplink.group)
+        self._publish_crashes = uplink.tell_crashes
+        self.supervisor = StreamSupervisor(
+            state, StallDetector(state, uplink), schedulers
+        )
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve or refuse one request."""
@@ -120,7 +122,7 @@
             if service.model is not None and service.model.layers:
                 await streamrelay.serve(job, self.supervisor)
             else:
-                await plainrelay.serve(job, self._send_crashes)
+                await plainrelay.serve(job, self._publish_crashes)
         finally:
             _record(job)
 
--- a/libs/node/src/cherryrudder/node/stream.py
+++ b/libs/node/src/cherryrudder/node/stream.py
@@ -60,8 +60,8 @@
         self.pauses = AnswerTimes()
         # When it is moved away from engines that leave; 0 while none does.
         self.move_at_s = 0.0
-        # When this entry last sent a complaint about the chain's pace.
-        self.last_complaint_s = float("-inf")
+        # When this entry last reported the chain as slow.
+        self.last_slowness_report_s = float("-inf")
         self.silence_limit_s = INITIAL_SILENCE_S
         self.is_under_review = False
         self.kept_chain: KeptChain | None = None
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -39,14 +39,14 @@
     """Return a chain with the stream's load added, or None if none is free in time."""
     job, began_s = stream.job, now_s()
     stream.refusal = ""
-    desk = stream.supervisor.desks.of(job.service.name)
+    scheduler = stream.supervisor.schedulers.of(job.service.name)
     await _acquire_permit(stream)
     if _is_backoff_too_long(stream, now_s()):
         stream.refusal = BACKING_OFF
         stream.retry_after_s = _backpressure_s(stream, now_s())
         return None
     try:
-        chain = await desk.find(
+        chain = await scheduler.find(
             _queue_entry(stream),
             lambda: _take_chain(stream),
             is_picky=bool(stream.excluded(began_s) or bounding_firsts(stream)),
@@ -58,7 +58,7 @@
         raise
     job.record_wait(now_s() - began_s, stream.refusal)
     if chain is None:
-        stream.retry_after_s = desk.retry_after_s()
+        stream.retry_after_s = scheduler.retry_after_s()
         if stream.refusal in (LIMITED, BACKING_OFF):
             backpressure_s = _backpressure_s(stream, now_s())
             stream.retry_after_s = max(stream.retry_after_s, backpressure_s)
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -49,9 +49,9 @@
 MOVE_AFTER_S = 1.0
 MOVE_SPREAD_S = 0.7
 MOVE_AGAIN_S = 0.3
-# Interval between two complaints about one stream's pace. The control VM asks the
+# Interval between two slowness reports about one stream. The control VM asks the
 # engines at once, and ignores those that it has just found healthy.
-COMPLAINT_INTERVAL_S = 1.0
+SLOWNESS_REPORT_INTERVAL_S = 1.0
 # A review that is this late means that this process stalled, not the engines: what they
 # sent meanwhile has yet to be read.
 LATE_REVIEW_S = 0.1
@@ -60,10 +60,10 @@
 class StreamSupervisor:
     """Watches the streams of one entry that are in flight."""
 
-    def __init__(self, state: EntryState, stalls: StallDetector, desks: RoomDesks):
+    def __init__(self, state: EntryState, stalls: StallDetector, schedulers: RoomDesks):
         self.state = state
         self.stalls = stalls
-        self.desks = desks
+        self.schedulers = schedulers
         self.streams: set[Stream] = set()
 
     async def run(self) -> None:
@@ -93,7 +93,7 @@
                         stream.is_under_review = True
                         group.start_soon(self._run_review, stream, self._move)
                     elif _is_slow(stream, now):
-                        self._complain(stream, now)
+                        self._report_slowness(stream, now)
 
     async def _wait_for_review(self):
         """Wait for the next review; it starts early when an engine is found dead."""
@@ -161,8 +161,8 @@
         if stream.connection is connection and status in (200, 202):
             reroute.switch_chain(stream, chain)
 
-    def _complain(self, stream, now):
-        stream.last_complaint_s = now
+    def _report_slowness(self, stream, now):
+        stream.last_slowness_report_s = now
         table = self.state.endpoints.table.entries
         known = [table.get(part.engine_id) for part in stream.chain]
         self.stalls.uplink.complain([e.announcement for e in known if e is not None])
@@ -261,7 +261,10 @@
 
 
 def _is_slow(stream, now):
-    if not stream.has_begun or now - stream.last_complaint_s < COMPLAINT_INTERVAL_S:
+    if (
+        not stream.has_begun
+        or now - stream.last_slowness_report_s < SLOWNESS_REPORT_INTERVAL_S
+    ):
         return False
     silent_s = now - stream.last_progress_s
     expected_s = stream.expected_pause_s
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -1,4 +1,4 @@
-"""Verify an entry's accusation that an engine is dead.
+"""Verify an entry's suspicion that an engine is dead.
 
 Problem: links to one data centre lose packets. An entry gets no answer from an engine
 there in time and reports it to everybody as dead. Each entry does so for another
@@ -87,7 +87,7 @@
     """A probe in flight, shared by all who request one meanwhile."""
 
     def __init__(self):
-        self.result = Seen.UNKNOWN
+        self.observation = Seen.UNKNOWN
         self.is_over = anyio.Event()
 
 
@@ -100,7 +100,7 @@
 
 
 class Verifier:
-    """Verifies accusations against engines in a control process."""
+    """Verifies suspicions against engines in a control process."""
 
     def __init__(self, state: ControlState, links, group):
         self.state = state
@@ -113,14 +113,14 @@
         # How often entries were sent the notice that an engine has ended.
         self._notices_sent: dict[str, int] = {}
 
-    def hear(self, accusation: Accusation) -> None:
-        """Verify an accusation; accusers of one engine share a verification."""
-        engine_id = accusation.engine_id
+    def hear(self, report: Accusation) -> None:
+        """Verify a suspicion; reports of the same engine share a verification."""
+        engine_id = report.engine_id
         senders = self._waiting.get(engine_id)
         if senders is not None:
-            senders.add(accusation.sender)
+            senders.add(report.sender)
             return
-        self._waiting[engine_id] = {accusation.sender}
+        self._waiting[engine_id] = {report.sender}
         self.group.start_soon(self._investigate, engine_id)
 
     def hear_question(self, question: Question) -> None:
@@ -186,16 +186,16 @@
         self.state.accused[engine_id] = now_s()
 
     def review(self, now: float) -> None:
-        """Drop refuted accusations, and send entries notices of engines that ended.
+        """Drop refuted suspicions, and send entries notices of engines that ended.
 
         Failed probes alone don't confirm an engine's end: it must miss its heartbeats
         as well. Only the log's leader sends notices, since a VM that is cut off from
         the others can't be leader.
         """
         max_silence_s = MISSED_BEATS * self.state.settings.heartbeat_s
-        for engine_id, accused_s in list(self.state.accused.items()):
+        for engine_id, since_s in list(self.state.accused.items()):
             known = self.state.endpoints.table.entries.get(engine_id)
-            if known is None or known.is_gone or known.heard_s > accused_s:
+            if known is None or known.is_gone or known.heard_s > since_s:
                 del self.state.accused[engine_id]
                 self._notices_sent.pop(engine_id, None)
             elif now - known.heard_s > max_silence_s and self.state.is_leader():
@@ -236,14 +236,14 @@
         probe = self._probes.get(engine_id)
         if probe is not None:
             await probe.is_over.wait()
-            return probe.result
+            return probe.observation
         probe = self._probes[engine_id] = _Probe()
         try:
-            probe.result = await self._probe_once(engine_id)
+            probe.observation = await self._probe_once(engine_id)
         finally:
             del self._probes[engine_id]
             probe.is_over.set()
-        return probe.result
+        return probe.observation
 
     async def _probe_once(self, engine_id):
         known = self.state.endpoints.table.entries.get(engine_id)
--- a/libs/node/test/test_pacewatch.py
+++ b/libs/node/test/test_pacewatch.py
@@ -20,8 +20,8 @@
 class WatchTest(unittest.TestCase):
     """Guards against slow engines that entries are not informed of.
 
-    Entries send complaints about whole chains. All entries must receive which engines
-    are slow and when they are healthy again, without a report request per complaint.
+    Entries report whole chains as slow. All entries must receive which engines are slow
+    and when they are healthy again, without a request to the engine for each of these.
     """
 
     def run_scenario(self, paces, scenario):
@@ -57,11 +57,11 @@
             enginecalls.get_report, pacewatch.POLL_INTERVAL_S = kept
         return sent, asked
 
-    async def complain(self, watch):
+    async def report_slow_chain(self, watch):
         watch.hear(Complaint(("boot-1", "unknown")))
 
     def test_a_slow_pace_is_sent_until_the_engine_is_healthy(self):
-        sent, _ = self.run_scenario([5.0, 5.0, 1.0], self.complain)
+        sent, _ = self.run_scenario([5.0, 5.0, 1.0], self.report_slow_chain)
         self.assertEqual(sent, [PaceNews("boot-1", p) for p in (5.0, 5.0, 1.0)])
 
     def test_a_healthy_engine_is_not_reported_and_checked_once(self):
@@ -74,7 +74,7 @@
         self.assertEqual((sent, len(asked)), ([], 1))
 
     def test_an_engine_without_a_report_does_not_count_as_slow(self):
-        sent, _ = self.run_scenario([None], self.complain)
+        sent, _ = self.run_scenario([None], self.report_slow_chain)
         self.assertEqual(sent, [])
 
     def test_a_slow_pace_found_by_an_entry_is_sent_at_once(self):
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -40,7 +40,7 @@
     )
     return SimpleNamespace(
         job=job,
-        supervisor=SimpleNamespace(desks=RoomDesks(group)),
+        supervisor=SimpleNamespace(schedulers=RoomDesks(group)),
         tokens=900,
         excluded=lambda _: set(),
         has_begun=True,
--- a/libs/node/test/test_verification.py
+++ b/libs/node/test/test_verification.py
@@ -24,10 +24,10 @@
 [listen]
 control = "127.0.0.1:8229"
 """
-ACCUSER, OTHER = "entry-1:1", "entry-2:1"
+REPORTER, OTHER = "entry-1:1", "entry-2:1"
 
 
-class AccusationTest(unittest.TestCase):
+class SuspicionTest(unittest.TestCase):
     """Guards against dropping an engine everywhere because one entry lost a packet.
 
     A link between data centres loses packets, and an entry misses an engine's answer.
@@ -35,14 +35,16 @@
     are alive. So the control VM near the engine probes it before it informs the others.
     """
 
-    def accuse(self, is_alive, times=1, accusers=(ACCUSER,), started_ms=(0, 0)):
-        """Return a control VM's messages after accusations, its probes and state."""
+    def report_suspect(
+        self, is_alive, times=1, reporters=(REPORTER,), started_ms=(0, 0)
+    ):
+        """Return a control VM's messages after the reports, its probes and state."""
         piped = PipedSink()
         self.addCleanup(piped.close)
         state = ControlState(read_settings(SETTINGS).ok, piped.sink, Metrics())
         engine = an_announcement("boot-1", layers=(0, 8), started_ms=started_ms[0])
         endpoints.hear(state.endpoints.table, engine, now_s())
-        for address in (ACCUSER, OTHER):
+        for address in (REPORTER, OTHER):
             roster.hear(state.entries, address, None, now_s())
         sent, asked = [], []
 
@@ -60,8 +62,8 @@
                     (address, message)
                 )
                 for _ in range(times):
-                    for accuser in accusers:
-                        beats._on_frames("", [Accusation("boot-1", accuser)])
+                    for reporter in reporters:
+                        beats._on_frames("", [Accusation("boot-1", reporter)])
 
         kept = enginecalls.get_report
         enginecalls.get_report = get_report
@@ -71,26 +73,26 @@
             enginecalls.get_report = kept
         return sent, asked, state
 
-    def test_a_living_engine_is_cleared_for_its_accuser_only(self):
-        sent, _, state = self.accuse(is_alive=True)
-        self.assertEqual(sent, [(ACCUSER, Acquittal("boot-1"))])
+    def test_a_living_engine_is_cleared_for_the_reporting_entry_only(self):
+        sent, _, state = self.report_suspect(is_alive=True)
+        self.assertEqual(sent, [(REPORTER, Acquittal("boot-1"))])
         self.assertEqual(state.accused, {})
 
     def test_a_dead_engine_is_reported_to_all_entries(self):
-        sent, _, state = self.accuse(is_alive=False)
+        sent, _, state = self.report_suspect(is_alive=False)
         notice = DeathNotice("boot-1")
-        self.assertEqual(sent, [(ACCUSER, notice), (OTHER, notice)])
+        self.assertEqual(sent, [(REPORTER, notice), (OTHER, notice)])
         self.assertIn("boot-1", state.accused)
 
-    def test_many_accusers_at_once_share_one_probe(self):
-        sent, asked, _ = self.accuse(True, times=5, accusers=(ACCUSER, OTHER))
+    def test_many_reports_at_once_share_one_probe(self):
+        sent, asked, _ = self.report_suspect(True, times=5, reporters=(REPORTER, OTHER))
         self.assertEqual(len(asked), 1)
-        self.assertEqual({address for address, _ in sent}, {ACCUSER, OTHER})
+        self.assertEqual({address for address, _ in sent}, {REPORTER, OTHER})
 
     def test_an_engine_that_has_restarted_counts_as_dead(self):
         """The address answers, but the incarnation that held the layers is gone."""
-        sent, _, state = self.accuse(is_alive=True, started_ms=(100, 200))
-        self.assertIn((ACCUSER, DeathNotice("boot-1")), sent)
+        sent, _, state = self.report_suspect(is_alive=True, started_ms=(100, 200))
+        self.assertIn((REPORTER, DeathNotice("boot-1")), sent)
         self.assertIn("boot-1", state.accused)
 
 
