--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -18,10 +18,10 @@
 # Part of the client's timeout that a stream waits for a chain. The rest is for reading
 # the prompt: 0.05 s for a usual prompt at low load, more on busy engines.
 WAIT_SHARE = 0.65
-# Time to read a usual prompt. A stream that has no chain by this long before its
-# objective is late.
+# Time to read a usual prompt. A stream that still has no chain this long before its
+# objective will be late.
 PROMPT_READ_S = 0.1
-# No usable engine holds some of the layers, or none that does has room.
+# Some of the layers are on no usable engine, or on none with room.
 NO_CHAIN = "no chain"
 NO_ROOM = "no room"
 # All engines where the stream may begin limit their requests, and no permit is free.
