--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -38,31 +38,31 @@
 async def serve(job: Job, publish_crashes: Callable[[CrashNews | None], None]) -> None:
     """Serve a request until its final answer.
 
-    `tell` sends news about crashes that the request may have caused.
+    `publish_crashes` sends out crashes that the request may have caused.
     """
     excluded: set[str] = set()
     failed = NO_ENDPOINT
     has_run = False
     while True:
-        place = await _choose(job, excluded)
-        if isinstance(place, FailedAttempt):
+        endpoint = await _choose(job, excluded)
+        if isinstance(endpoint, FailedAttempt):
             if failed is NO_ENDPOINT:
-                failed = place
+                failed = endpoint
             break
-        result = await _attempt(job, place)
+        result = await _attempt(job, endpoint)
         if isinstance(result, WholeAnswer):
-            brokenruns.answered(job.state.broken, place.engine_id, now_s())
+            brokenruns.answered(job.state.broken, endpoint.engine_id, now_s())
             publish_crashes(crashes.reached(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
         if result.is_broken:
-            publish_crashes(crashes.broke(job, place.engine_id, 0, now_s()))
-            await crashes.wait_for_fate(job, place.engine_id)
+            publish_crashes(crashes.broke(job, endpoint.engine_id, 0, now_s()))
+            await crashes.wait_for_fate(job, endpoint.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
             is_not_run=not has_run, answer=result.answer or failed.answer
         )
-        excluded.add(place.engine_id)
+        excluded.add(endpoint.engine_id)
         if not await attempts.may_retry(
             job, result, job.attempts, job.route.max_attempts, EXPECTED_S
         ):
@@ -79,11 +79,11 @@
     state = job.state
     while True:
         barred: set[str] = set()
-        while (place := _pick(job, excluded | barred)) is not None:
-            if await _accepts_request(state, place.engine_id):
-                backpressure.begin(state, place.engine_id, now_s())
-                return place
-            barred.add(place.engine_id)
+        while (endpoint := _pick(job, excluded | barred)) is not None:
+            if await _accepts_request(state, endpoint.engine_id):
+                backpressure.begin(state, endpoint.engine_id, now_s())
+                return endpoint
+            barred.add(endpoint.engine_id)
         if not barred:
             return NO_ENDPOINT
         now = now_s()
@@ -105,26 +105,26 @@
 def _pick(job, excluded):
     """Return the best endpoint; barred ones elsewhere only if there is no other."""
     state, now = job.state, now_s()
-    places, home_zone = _places(job), state.settings.vm_zone
+    endpoints, home_zone = _endpoint_loads(job), state.settings.vm_zone
     far = {
-        place.engine_id
-        for place in places
-        if place.vm_zone != home_zone
-        and not backpressure.may_begin(state, place.engine_id, now)
+        endpoint.engine_id
+        for endpoint in endpoints
+        if endpoint.vm_zone != home_zone
+        and not backpressure.may_begin(state, endpoint.engine_id, now)
     }
-    place = picking.pick(places, home_zone, excluded | far, state.rng)
-    return place or picking.pick(places, home_zone, excluded, state.rng)
+    endpoint = picking.pick(endpoints, home_zone, excluded | far, state.rng)
+    return endpoint or picking.pick(endpoints, home_zone, excluded, state.rng)
 
 
-def _places(job):
+def _endpoint_loads(job):
     state, now = job.state, now_s()
     return [
-        _place(state, announcement, now)
+        _endpoint_load(state, announcement, now)
         for announcement in serving(state, job.service.name, now)
     ]
 
 
-def _place(state, announcement, now):
+def _endpoint_load(state, announcement, now):
     engine_id = announcement.engine_id
     reported = state.reported_loads.get(engine_id, ReportedLoad(0.0, now))
     return Place(
@@ -139,31 +139,31 @@
     )
 
 
-async def _attempt(job: Job, place: Place) -> WholeAnswer | FailedAttempt:
+async def _attempt(job: Job, endpoint: Place) -> WholeAnswer | FailedAttempt:
     state = job.state
-    state.running[place.address] = state.running.get(place.address, 0) + 1
-    state.tokens.setdefault(place.address, 0)
+    state.running[endpoint.address] = state.running.get(endpoint.address, 0) + 1
+    state.tokens.setdefault(endpoint.address, 0)
     try:
-        result = await _exchange(job, place)
+        result = await _exchange(job, endpoint)
     finally:
-        state.running[place.address] -= 1
-        if not state.running[place.address]:
-            del state.running[place.address], state.tokens[place.address]
-    _record_health(job, place, result)
+        state.running[endpoint.address] -= 1
+        if not state.running[endpoint.address]:
+            del state.running[endpoint.address], state.tokens[endpoint.address]
+    _record_health(job, endpoint, result)
     return result
 
 
-async def _exchange(job, place):
+async def _exchange(job, endpoint):
     try:
-        connection = await attempts.open_for(job, place.address)
+        connection = await attempts.open_for(job, endpoint.address)
     except ConnectFailed as error:
         return FailedAttempt(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
     is_kept = False
     try:
-        job.note("sent", address=place.address, engine_id=place.engine_id)
-        await attempts.send(job, connection, job.sending(place.engine_id))
-        result = await _read(job, connection, place)
+        job.note("sent", address=endpoint.address, engine_id=endpoint.engine_id)
+        await attempts.send(job, connection, job.sending(endpoint.engine_id))
+        result = await _read(job, connection, endpoint)
         is_kept = True
         return result
     except AnswerLate as error:
@@ -177,14 +177,14 @@
             connection.close()
 
 
-async def _read(job, connection, place):
+async def _read(job, connection, endpoint):
     head, facts = await attempts.read_matching_head(
-        job, connection, place.engine_id, attempt_timeout_s(job, now_s())
+        job, connection, endpoint.engine_id, attempt_timeout_s(job, now_s())
     )
     body = await _read_body(connection)
     if facts.load is not None:
         running, waiting, _ = facts.load
-        job.state.reported_loads[place.engine_id] = ReportedLoad(
+        job.state.reported_loads[endpoint.engine_id] = ReportedLoad(
             running + waiting, now_s()
         )
     if facts.is_not_run:
@@ -216,9 +216,9 @@
     return b"".join(pieces)
 
 
-def _record_health(job, place, result):
+def _record_health(job, endpoint, result):
     """Record the attempt's result in the endpoint's health."""
-    suspicions, engine_id, now = job.state.suspicions, place.engine_id, now_s()
+    suspicions, engine_id, now = job.state.suspicions, endpoint.engine_id, now_s()
     if isinstance(result, FailedAttempt) and result.is_backoff:
         # The endpoint is alive, but a backoff is no evidence of healthy answers.
         return
--- a/libs/node/src/cherryrudder/node/request_handler.py
+++ b/libs/node/src/cherryrudder/node/request_handler.py
@@ -25,7 +25,8 @@
 from .uplink import Uplink
 
 # Refusal of requests that may not end before this process does: most streams take 2 to
-# 5 of the 8 s that a process has to stop. The client retries elsewhere at once.
+# 5 of the 8 s that a process has to stop. Refused at once as not run, they are retried
+# elsewhere by their clients.
 LEAVING = Refused(503, "leaving", 0.05)
 # How long a request waits for this entry's configuration or its confirmation. After a
 # power loss it takes 1.2 s until a new leader is elected and answers. Clients
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -54,8 +54,8 @@
 
     def test_a_request_goes_to_an_endpoint_without_backoff(self):
         self.back_off(ENGINE)
-        place = anyio.run(plainrelay._choose, self.a_job(), set())
-        self.assertEqual(place.engine_id, OTHER)
+        endpoint = anyio.run(plainrelay._choose, self.a_job(), set())
+        self.assertEqual(endpoint.engine_id, OTHER)
 
     def test_if_all_back_off_a_request_is_refused_at_once_with_retry_after(self):
         self.back_off(ENGINE, OTHER)
@@ -70,16 +70,16 @@
 
     def test_a_request_waits_for_a_backoff_that_ends_in_time(self):
         self.back_off(ENGINE, OTHER, backoff_s=0.1)
-        place = anyio.run(plainrelay._choose, self.a_job(), set())
-        self.assertIn(place.engine_id, (ENGINE, OTHER))
+        endpoint = anyio.run(plainrelay._choose, self.a_job(), set())
+        self.assertIn(endpoint.engine_id, (ENGINE, OTHER))
 
     def test_a_backoff_answer_is_no_evidence_of_health(self):
         for _ in range(20):
             suspicion.answered(self.state.suspicions, ENGINE, False, now_s())
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
-        place = SimpleNamespace(engine_id=ENGINE)
+        endpoint = SimpleNamespace(engine_id=ENGINE)
         failed = FailedAttempt("503", is_not_run=True, is_backoff=True)
-        plainrelay._record_health(self.job, place, failed)
+        plainrelay._record_health(self.job, endpoint, failed)
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
 
 
