--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -58,24 +58,24 @@
                 self._watched.add(engine_id)
                 self.group.start_soon(self._watch, engine_id)
 
-    def hear_seen(self, news: PaceNews) -> None:
+    def hear_seen(self, update: PaceNews) -> None:
         """Send out a slow pace that an entry found in a report, and keep checking."""
-        engine_id = news.engine_id
+        engine_id = update.engine_id
         is_known = engine_id in self.state.endpoints.table.entries
         if is_known and engine_id not in self._watched:
             self._watched.add(engine_id)
-            self._send_pace(engine_id, news.slowness, is_news=True)
+            self._send_pace(engine_id, update.slowness, is_change=True)
             self.group.start_soon(self._watch, engine_id)
 
     async def _watch(self, engine_id):
         was_slow = False
         try:
             while (slowness := await self._slowness(engine_id)) >= LEAST_SLOWNESS:
-                self._send_pace(engine_id, slowness, is_news=not was_slow)
+                self._send_pace(engine_id, slowness, is_change=not was_slow)
                 was_slow = True
                 await anyio.sleep(POLL_INTERVAL_S)
             if was_slow:
-                self._send_pace(engine_id, slowness, is_news=True)
+                self._send_pace(engine_id, slowness, is_change=True)
         finally:
             self._watched.discard(engine_id)
             self._rest(engine_id, was_slow)
@@ -92,11 +92,11 @@
             log.info("No report: {}.", error)
             return 1.0
 
-    def _send_pace(self, engine_id, slowness, is_news):
-        news = PaceNews(engine_id, slowness)
+    def _send_pace(self, engine_id, slowness, is_change):
+        update = PaceNews(engine_id, slowness)
         for address in roster.present(self.state.entries, now_s()):
-            self.links.send(address, news)
-        if is_news:
+            self.links.send(address, update)
+        if is_change:
             self.state.sink.write(
                 "pace", "pace", True, engine_id=engine_id, slowness=round(slowness, 2)
             )
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -34,8 +34,8 @@
 MAX_RETRY_AFTER_S = 5.0
 # Sends beyond the route's attempts, for engines that refuse a request without running
 # it or die while running it. They don't count against the route, but each loads the
-# remaining engines. A request without an answer can be told to retry later instead; one
-# whose answer has begun is resumed as long as the retry budget lasts.
+# remaining engines. A request without an answer can be refused with Retry-After
+# instead; one whose answer has begun is resumed as long as the retry budget lasts.
 MAX_EXTRA_SENDS = 4
 
 # How long a request avoids an engine that refused it for lack of room: as long as a
@@ -207,8 +207,8 @@
     """Record how far a run got when its engine broke it off."""
     job, engine_id, head_s = stream.job, stream.chain[0].engine_id, stream.head_s
     if is_broken and head_s is not None:
-        news = crashes.broke(job, engine_id, stream.position(), now_s())
-        stream.stalls.uplink.tell_crashes(news)
+        update = crashes.broke(job, engine_id, stream.position(), now_s())
+        stream.stalls.uplink.tell_crashes(update)
     job.note(
         "run-broken",
         True,
