--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -30,7 +30,7 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
-async def open_for(job: Job, address: str) -> EngineConnection:
+async def open_connection(job: Job, address: str) -> EngineConnection:
     """Return a connection for one attempt; raises ConnectFailed.
 
     A request that may not be repeated is never sent on a kept-alive connection. The
@@ -111,7 +111,7 @@
         deadline_s=job.end_s,
         max_attempts=max_runs,
     )
-    budget, service = job.state.budget, job.service.name
+    budget, service = job.state.retry_budget, job.service.name
     until_s = job.client_leaves_s() if has_begun else now_s() + BUDGET_WAIT_S
     verdict = sharedbudget.may_retry(budget, service, attempt, now_s(), has_begun)
     while verdict is Verdict.NO_BUDGET and now_s() < until_s:
--- a/libs/node/src/cherryrudder/node/brokenruns.py
+++ b/libs/node/src/cherryrudder/node/brokenruns.py
@@ -9,7 +9,7 @@
 
 # How long runs are kept: an unused engine's end is only detected when its next
 # incarnation is at its address.
-PENDING_S = 10.0
+RETENTION_S = 10.0
 MAX_ENGINES = 64
 MAX_RUNS = 256
 # Data that an engine sent before it ended is read within this time.
@@ -36,25 +36,25 @@
         self.ended_s: dict[str, float] = {}
 
 
-def broke(runs: BrokenRuns, engine_id: str, run: BrokenRun) -> None:
+def add(runs: BrokenRuns, engine_id: str, run: BrokenRun) -> None:
     """Add a run that an engine broke off; the oldest are dropped beyond MAX_RUNS."""
     kept = runs.runs.setdefault(engine_id, [])
     kept.append(run)
     del kept[:-MAX_RUNS]
 
 
-def ended(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
+def record_end(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
     """Record that an engine has ended."""
     runs.ended_s.setdefault(engine_id, now_s)
 
 
-def lives(runs: BrokenRuns, engine_id: str) -> None:
+def record_alive(runs: BrokenRuns, engine_id: str) -> None:
     """Record that an engine is alive: its runs broke for another reason."""
     runs.runs.pop(engine_id, None)
     runs.ended_s.pop(engine_id, None)
 
 
-def answered(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
+def record_answer(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
     """Drop the broken runs after which the engine has answered another request."""
     broken = runs.runs.get(engine_id)
     if broken:
@@ -64,7 +64,9 @@
             del runs.runs[engine_id]
 
 
-def take(runs: BrokenRuns, engine_id: str, leaving_since_s: float) -> list[BrokenRun]:
+def take_crashed(
+    runs: BrokenRuns, engine_id: str, leaving_since_s: float
+) -> list[BrokenRun]:
     """Remove and return the runs during which an engine crashed, if it has ended.
 
     Runs that broke after the engine announced that it leaves are left out, as that end
@@ -79,12 +81,12 @@
 def sweep(runs: BrokenRuns, now_s: float) -> None:
     """Drop runs and ends that are old, and the oldest beyond MAX_ENGINES."""
     for engine_id, broken in list(runs.runs.items()):
-        young = [run for run in broken if now_s - run.broke_s <= PENDING_S]
+        young = [run for run in broken if now_s - run.broke_s <= RETENTION_S]
         runs.runs[engine_id] = young
         if not young:
             del runs.runs[engine_id]
     for engine_id, ended_s in list(runs.ended_s.items()):
-        if now_s - ended_s > PENDING_S:
+        if now_s - ended_s > RETENTION_S:
             del runs.ended_s[engine_id]
     for kept in (runs.runs, runs.ended_s):
         for engine_id in list(kept)[: max(0, len(kept) - MAX_ENGINES)]:
--- a/libs/node/src/cherryrudder/node/pacewatch.py
+++ b/libs/node/src/cherryrudder/node/pacewatch.py
@@ -14,12 +14,12 @@
 from loguru import logger
 
 from cherryrudder.replica.clock import now_s
-from cherryrudder.routing.slowness import LEAST_SLOWNESS
+from cherryrudder.routing.slowness import MIN_SLOWNESS
 
 from . import enginecalls, roster
 from .controlstate import ControlState
 from .errors import EngineCallFailed
-from .gossip import Complaint, PaceNews
+from .gossip import PaceUpdate, SlownessReport
 
 # Interval between reports from a slow engine; a report itself is some 0.2 s old.
 POLL_INTERVAL_S = 0.5
@@ -47,7 +47,7 @@
         self._watched: set[str] = set()
         self._rests: dict[str, tuple[float, float]] = {}
 
-    def hear(self, report: Complaint) -> None:
+    def handle_slowness_report(self, report: SlownessReport) -> None:
         """Check the engines of a slow chain that are not in their pause."""
         now = now_s()
         for engine_id in report.engine_ids:
@@ -58,7 +58,7 @@
                 self._watched.add(engine_id)
                 self.group.start_soon(self._watch, engine_id)
 
-    def hear_seen(self, update: PaceNews) -> None:
+    def handle_pace_update(self, update: PaceUpdate) -> None:
         """Send out a slow pace that an entry found in a report, and keep checking."""
         engine_id = update.engine_id
         is_known = engine_id in self.state.endpoints.table.entries
@@ -70,7 +70,7 @@
     async def _watch(self, engine_id):
         was_slow = False
         try:
-            while (slowness := await self._slowness(engine_id)) >= LEAST_SLOWNESS:
+            while (slowness := await self._slowness(engine_id)) >= MIN_SLOWNESS:
                 self._send_pace(engine_id, slowness, is_change=not was_slow)
                 was_slow = True
                 await anyio.sleep(POLL_INTERVAL_S)
@@ -93,8 +93,8 @@
             return 1.0
 
     def _send_pace(self, engine_id, slowness, is_change):
-        update = PaceNews(engine_id, slowness)
-        for address in roster.present(self.state.entries, now_s()):
+        update = PaceUpdate(engine_id, slowness)
+        for address in roster.live_addresses(self.state.entries, now_s()):
             self.links.send(address, update)
         if is_change:
             self.state.sink.write(
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -13,11 +13,11 @@
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import backoffs, picking, suspicion
 from cherryrudder.routing.crashbook import FINISHED
-from cherryrudder.routing.picking import Place
+from cherryrudder.routing.picking import EndpointLoad
 
-from . import attempts, backpressure, brokenruns, crashes, ratekeeper
-from .entrystate import ReportedLoad, is_suspect, serving
-from .gossip import CrashNews
+from . import attempts, backpressure, brokenruns, crashes, ratelimiter
+from .entrystate import ReportedLoad, is_suspect, serving_endpoints
+from .gossip import CrashUpdate
 from .job import ANSWER_MARGIN_S, FailedAttempt, Job, WholeAnswer
 
 # Part of the time left that an idempotent request waits for one endpoint, so that
@@ -35,7 +35,9 @@
 )
 
 
-async def serve(job: Job, publish_crashes: Callable[[CrashNews | None], None]) -> None:
+async def serve(
+    job: Job, publish_crashes: Callable[[CrashUpdate | None], None]
+) -> None:
     """Serve a request until its final answer.
 
     `publish_crashes` sends out crashes that the request may have caused.
@@ -51,13 +53,15 @@
             break
         result = await _attempt(job, endpoint)
         if isinstance(result, WholeAnswer):
-            brokenruns.answered(job.state.broken, endpoint.engine_id, now_s())
-            publish_crashes(crashes.reached(job, FINISHED, now_s()))
+            brokenruns.record_answer(job.state.broken, endpoint.engine_id, now_s())
+            publish_crashes(crashes.record_progress(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
         if result.is_broken:
-            publish_crashes(crashes.broke(job, endpoint.engine_id, 0, now_s()))
-            await crashes.wait_for_fate(job, endpoint.engine_id)
+            publish_crashes(
+                crashes.record_broken_run(job, endpoint.engine_id, 0, now_s())
+            )
+            await crashes.wait_for_engine_verdict(job, endpoint.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
             is_not_run=not has_run, answer=result.answer or failed.answer
@@ -67,7 +71,7 @@
             job, result, job.attempts, job.route.max_attempts, EXPECTED_S
         ):
             break
-        await crashes.wait_apart(job)
+        await crashes.delay_suspect(job)
         if crashes.is_blocked(job, now_s()):
             await job.refuse_permanently()
             return
@@ -81,7 +85,7 @@
         barred: set[str] = set()
         while (endpoint := _pick(job, excluded | barred)) is not None:
             if await _accepts_request(state, endpoint.engine_id):
-                backpressure.begin(state, endpoint.engine_id, now_s())
+                backpressure.record_request(state, endpoint.engine_id, now_s())
                 return endpoint
             barred.add(endpoint.engine_id)
         if not barred:
@@ -96,9 +100,9 @@
 
 async def _accepts_request(state, engine_id):
     """Return whether an endpoint takes a request; request a permit if needed."""
-    if not backoffs.may_begin(state.backoffs, engine_id, now_s()):
+    if not backoffs.may_send(state.backoffs, engine_id, now_s()):
         return False
-    await ratekeeper.acquire(state, [engine_id])
+    await ratelimiter.acquire(state, [engine_id])
     return backpressure.may_begin(state, engine_id, now_s())
 
 
@@ -120,26 +124,26 @@
     state, now = job.state, now_s()
     return [
         _endpoint_load(state, announcement, now)
-        for announcement in serving(state, job.service.name, now)
+        for announcement in serving_endpoints(state, job.service.name, now)
     ]
 
 
 def _endpoint_load(state, announcement, now):
     engine_id = announcement.engine_id
     reported = state.reported_loads.get(engine_id, ReportedLoad(0.0, now))
-    return Place(
+    return EndpointLoad(
         engine_id=engine_id,
         address=announcement.address,
         vm_zone=announcement.vm_zone,
         slots=announcement.slots,
-        own_running=state.running.get(announcement.address, 0),
-        told_load=reported.load,
-        told_age_s=now - reported.reported_s,
+        own_in_flight=state.running.get(announcement.address, 0),
+        reported_load=reported.load,
+        report_age_s=now - reported.reported_s,
         is_suspect=is_suspect(state, engine_id, now),
     )
 
 
-async def _attempt(job: Job, endpoint: Place) -> WholeAnswer | FailedAttempt:
+async def _attempt(job: Job, endpoint: EndpointLoad) -> WholeAnswer | FailedAttempt:
     state = job.state
     state.running[endpoint.address] = state.running.get(endpoint.address, 0) + 1
     state.tokens.setdefault(endpoint.address, 0)
@@ -155,7 +159,7 @@
 
 async def _exchange(job, endpoint):
     try:
-        connection = await attempts.open_for(job, endpoint.address)
+        connection = await attempts.open_connection(job, endpoint.address)
     except ConnectFailed as error:
         return FailedAttempt(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
@@ -223,7 +227,7 @@
         # The endpoint is alive, but a backoff is no evidence of healthy answers.
         return
     if isinstance(result, FailedAttempt) and not result.is_sent:
-        suspicion.died(suspicions, engine_id, now)
+        suspicion.record_failure(suspicions, engine_id, now)
     else:
         is_good = isinstance(result, WholeAnswer) or result.is_not_run
-        suspicion.answered(suspicions, engine_id, is_good, now)
+        suspicion.record_answer(suspicions, engine_id, is_good, now)
--- a/libs/node/src/cherryrudder/node/reroute.py
+++ b/libs/node/src/cherryrudder/node/reroute.py
@@ -29,7 +29,7 @@
 REPLACEMENT_POLL_S = 0.08
 
 
-async def go_on_without(
+async def replace_lost(
     stream: "Stream", connection: EngineConnection, lost: set[str]
 ) -> None:
     """Replace the lost parts of a stream's chain, or abort the attempt.
@@ -75,7 +75,7 @@
     """
     since_s = stream.last_progress_s
     while stream.connection is connection and stream.last_progress_s <= since_s:
-        chain = without(stream, lost)
+        chain = find_replacement(stream, lost)
         is_first_lost = stream.chain[0].address in lost
         if chain is not None or is_first_lost or not stream.has_begun:
             return chain
@@ -109,7 +109,7 @@
     return status, missing
 
 
-def without(stream: "Stream", lost: set[str]) -> Chain | None:
+def find_replacement(stream: "Stream", lost: set[str]) -> Chain | None:
     """Return a stream's chain with the lost parts replaced, None if impossible."""
     job = stream.job
     if stream.chain[0].address in lost:
--- a/libs/node/src/cherryrudder/node/stalls.py
+++ b/libs/node/src/cherryrudder/node/stalls.py
@@ -32,7 +32,7 @@
 REPORT_MAX_AGE_S = 0.3
 # Time limits for a report: at least a few scheduler turns on either side, at most half
 # of a pause that clients notice. A lost packet is retransmitted only after 0.2 s.
-REPORT_BOUNDS = Bounds(least_s=0.015, first_s=0.03, most_s=0.12)
+REPORT_BOUNDS = Bounds(min_s=0.015, initial_s=0.03, max_s=0.12)
 RETRANSMIT_S = 0.2
 # Tries at a report: each a factor on the usual time limit and seconds on top. An engine
 # that answers none is taken as dead. The second try is longer, in case the engine has
@@ -48,7 +48,7 @@
 FIRST_EXTRA_S = (0.045, 0.2, 0.0)
 # A timeout that is noticed this late means that this process stalled; the engine's
 # answer may have yet to be read.
-OWN_DELAY_S = 0.03
+PROCESS_STALL_S = 0.03
 
 log = logger.bind(part="stalls")
 
@@ -111,12 +111,12 @@
             if retransmit_s and self._answered_s.get(zone, 0.0) > began_s:
                 break
             # Other engines' answers may have changed the usual time meanwhile.
-            limit_s = share * answertimes.limit_s(times, REPORT_BOUNDS) + retransmit_s
+            limit_s = share * answertimes.timeout_s(times, REPORT_BOUNDS) + retransmit_s
             limit_s += extra_s if is_first else 0.0
             report = await self._report(address, limit_s)
             if report is not None:
                 # Counted from the first try: an engine that needs a second one is busy.
-                answertimes.note(times, now_s() - began_s)
+                answertimes.record_time(times, now_s() - began_s)
                 self._answered_s[zone] = now_s()
                 return report
         return None
@@ -133,7 +133,7 @@
                 return await enginecalls.get_report(address, timeout_s, self.state.pool)
             except EngineCallFailed as error:
                 log.info("No report: {}.", error)
-            if now_s() - asked_s < timeout_s + OWN_DELAY_S:
+            if now_s() - asked_s < timeout_s + PROCESS_STALL_S:
                 return None
 
     def drop_unknown(self, known: set[str]) -> None:
@@ -152,10 +152,10 @@
         if engine is None or entrystate.is_suspect(state, engine.engine_id, now):
             return
         engine_id = engine.engine_id
-        suspicion.died(state.suspicions, engine_id, now, is_unreached)
+        suspicion.record_failure(state.suspicions, engine_id, now, is_unreached)
         state.engine_died.set()
         pool.drop(state.pool, address)
-        self.uplink.accuse(engine_id, engine.vm_zone)
+        self.uplink.report_suspect(engine_id, engine.vm_zone)
         state.metrics.beliefs.labels("engine-dead").inc()
         state.sink.write(
             "stalls", "engine-dead", True, address=address, engine_id=engine_id, why=why
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -5,11 +5,11 @@
 
 from cherryrudder.layers import chains, pace, pipes
 from cherryrudder.layers.chains import Candidate, Chain, Need
-from cherryrudder.policy.roomqueue import Waiting
+from cherryrudder.policy.capacityqueue import WaitingStream
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import backoffs
 
-from . import backpressure, entrystate, ratekeeper
+from . import backpressure, entrystate, ratelimiter
 from .stream import KeptChain
 
 if TYPE_CHECKING:
@@ -49,7 +49,9 @@
         chain = await scheduler.find(
             _queue_entry(stream),
             lambda: _take_chain(stream),
-            is_picky=bool(stream.excluded(began_s) or bounding_firsts(stream)),
+            is_restricted=bool(
+                stream.excluded(began_s) or allowed_first_engines(stream)
+            ),
         )
     except BaseException:
         # The client may disconnect just as its stream gets a chain. Without this, the
@@ -76,7 +78,7 @@
     state, now = stream.job.state, now_s()
     if state.rates.book.limits:
         limited = _limited_firsts(stream, now, state.settings.vm_zone)
-        await ratekeeper.acquire(state, limited)
+        await ratelimiter.acquire(state, limited)
 
 
 def _limited_firsts(stream, now, vm_zone=""):
@@ -88,7 +90,7 @@
         one.engine_id
         for one in _first_engines(stream, now)
         if vm_zone in ("", one.vm_zone)
-        and not ratekeeper.may_begin(state, one.engine_id, now)
+        and not ratelimiter.may_begin(state, one.engine_id, now)
         and not backoffs.is_active(state.backoffs, one.engine_id, now)
     ]
 
@@ -96,10 +98,10 @@
 def _first_engines(stream, now):
     """Return the engines where the stream could begin, ignoring limits and backoffs."""
     state, avoided = stream.job.state, stream.excluded(now)
-    only_at = bounding_firsts(stream)
+    only_at = allowed_first_engines(stream)
     return [
         one
-        for one in entrystate.serving(state, stream.job.service.name, now)
+        for one in entrystate.serving_endpoints(state, stream.job.service.name, now)
         if one.holding.first == 0 < one.holding.end
         and one.address not in avoided
         and (not only_at or one.engine_id in only_at)
@@ -127,7 +129,7 @@
         return False
     firsts = _first_engines(stream, now)
     lefts_s = [backoffs.left_s(book, one.engine_id, now) for one in firsts]
-    return min(lefts_s, default=0.0) > max(0.0, _queue_entry(stream).give_up_s - now)
+    return min(lefts_s, default=0.0) > max(0.0, _queue_entry(stream).expires_s - now)
 
 
 def _backpressure_s(stream, now):
@@ -146,18 +148,18 @@
     """
     job, route = stream.job, stream.job.route
     give_up_s = min(job.arrived_s + WAIT_SHARE * job.client_timeout_s(), job.end_s)
-    return Waiting(
+    return WaitingStream(
         request_id=f"{job.facts.request_id}-{id(stream)}",
         account=job.admitted.account,
         tokens=stream.tokens,
         arrived_s=job.arrived_s,
-        in_time_until_s=job.arrived_s + route.objective_s - PROMPT_READ_S,
-        give_up_s=job.client_leaves_s() if stream.has_begun else give_up_s,
+        first_event_deadline_s=job.arrived_s + route.objective_s - PROMPT_READ_S,
+        expires_s=job.client_leaves_s() if stream.has_begun else give_up_s,
         has_begun=stream.has_begun,
     )
 
 
-def bounding_firsts(stream: "Stream", is_running: bool = False) -> set[str]:
+def allowed_first_engines(stream: "Stream", is_running: bool = False) -> set[str]:
     """Return the only engines where the stream may begin again, empty for any engine.
 
     Problem: parts of two chains die one after the other during one answer. The route
@@ -169,12 +171,12 @@
     enough, also for an engine that leaves: the engine may still be running the request,
     and a request that moves from one living engine to the next loads all of them.
     """
-    state, ran = stream.job.state, set(stream.ran_at)
+    state, ran = stream.job.state, set(stream.ran_engine_ids)
     if is_running:
         ran.add(stream.chain[0].engine_id)
     if len(ran) < stream.job.route.max_attempts:
         return set()
-    counted = {e for e in ran if not entrystate.is_certainly_dead(state, e)}
+    counted = {e for e in ran if not entrystate.is_confirmed_dead(state, e)}
     return counted if len(counted) >= stream.job.route.max_attempts else set()
 
 
@@ -213,7 +215,7 @@
     candidates = entrystate.candidates(job.state, job.service.name, now, vm_zone)
     avoided = stream.excluded(now) | lost
     left = [e for e in candidates if e.address not in avoided]
-    firsts = bounding_firsts(stream, is_running)
+    firsts = allowed_first_engines(stream, is_running)
     if not firsts:
         return left
     return [e if e.engine_id in firsts else e._replace(firsts=math.inf) for e in left]
@@ -225,7 +227,7 @@
     if chain is not None:
         stream.chain = chain
         stream.is_counted = True
-        backpressure.begin(stream.job.state, chain[0].engine_id, now_s())
+        backpressure.record_request(stream.job.state, chain[0].engine_id, now_s())
         entrystate.add_load(stream.job.state, chain, stream.tokens)
     return chain
 
@@ -279,10 +281,10 @@
     """Return why there is no chain; request permits where they are missing."""
     job = stream.job
     limited = _limited_firsts(stream, now)
-    ratekeeper.ask(job.state, limited, now)
+    ratelimiter.request_permits(job.state, limited, now)
     if _are_all_barred(stream, now):
         return LIMITED if limited else BACKING_OFF
-    is_whole = chains.is_whole(job.service.model, engines)
+    is_whole = chains.has_full_copy(job.service.model, engines)
     return NO_ROOM if is_whole else NO_CHAIN
 
 
@@ -299,7 +301,7 @@
         return None
     tokens = stream.job.facts.prompt_tokens
     least_s = pipes.crossing_s(model, tokens, 1)
-    if not pipes.is_open(state.pipes, least_s, state.entries, now):
+    if not pipes.has_budget(state.pipes, least_s, state.entries, now):
         # The search over all data centres is the most expensive part of a choice, and
         # streams that wait for room would repeat it.
         return None
@@ -308,7 +310,7 @@
         return None
     count = chains.crossings(chain, engines)
     cost_s = pipes.crossing_s(model, tokens, count)
-    if not pipes.may_cross(state.pipes, cost_s, state.entries, now):
+    if not pipes.try_cross(state.pipes, cost_s, state.entries, now):
         return None
     stream.job.note("crossing", crossings=count, debt_s=round(state.pipes.debt_s, 3))
     return chain
@@ -318,7 +320,7 @@
     """Log why there was no chain, with the layer that has the least free room."""
     job = stream.job
     engines = entrystate.candidates(job.state, job.service.name, now_s())
-    layer, free = chains.tightest(job.service.model, engines)
+    layer, free = chains.tightest_layer(job.service.model, engines)
     job.note(
         "no-chain",
         reason=stream.refusal,
@@ -327,6 +329,6 @@
         tightest_layer=layer,
         free_tokens=round(free),
         own_streams=len(stream.supervisor.streams),
-        only_at=sorted(bounding_firsts(stream)),
+        only_at=sorted(allowed_first_engines(stream)),
         limited=_limited_firsts(stream, now_s()),
     )
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -11,8 +11,8 @@
 from cherryrudder.relay.errors import AnswerBroken, AnswerLate, ConnectFailed
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import hangs
+from cherryrudder.routing.authorization import Refused
 from cherryrudder.routing.crashbook import FINISHED
-from cherryrudder.routing.gatekeeping import Refused
 
 from . import attempts, brokenruns, crashes, entrystate, streamchains, supervision
 from .job import FailedAttempt, Job, WholeAnswer
@@ -56,7 +56,7 @@
     failed = FailedAttempt(NO_CHAIN, is_not_run=True, is_sent=False)
     has_run = False
     while True:
-        await crashes.wait_apart(job)
+        await crashes.delay_suspect(job)
         chain = await streamchains.wait_for_chain(stream)
         if chain is None:
             failed = failed._replace(reason=stream.refusal or failed.reason)
@@ -69,12 +69,12 @@
         if result is None:
             return
         if result.is_broken:
-            await crashes.wait_for_fate(job, chain[0].engine_id)
+            await crashes.wait_for_engine_verdict(job, chain[0].engine_id)
         if crashes.is_blocked(job, now_s()):
             await _refuse_permanently(stream)
             return
         if not result.is_not_run:
-            stream.ran_at.append(chain[0].engine_id)
+            stream.ran_engine_ids.append(chain[0].engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(is_not_run=not has_run)
         if not await _may_retry(stream, result):
@@ -99,8 +99,8 @@
 
 async def _refuse_permanently(stream):
     if stream.has_begun:
-        crashes.note_refused(stream.job, now_s())
-        stream.job.outcome = f"broken off: {crashes.ENDS_ENGINES.reason}"
+        crashes.log_refused(stream.job, now_s())
+        stream.job.outcome = f"broken off: {crashes.REFUSED_AS_CRASHING.reason}"
         return
     await stream.job.refuse_permanently()
 
@@ -131,7 +131,7 @@
 async def _exchange(stream):
     job, first = stream.job, stream.chain[0]
     try:
-        connection = await attempts.open_for(job, first.address)
+        connection = await attempts.open_connection(job, first.address)
     except ConnectFailed as error:
         supervision.mark_first_dead(stream, str(error))
         return FailedAttempt(str(error), is_not_run=True, is_sent=False)
@@ -173,7 +173,7 @@
     finally:
         stream.connection = None
         stream.record_prompt_read()
-        hangs.ended(job.state.hangs, first.engine_id, job.facts.request_id)
+        hangs.record_end(job.state.hangs, first.engine_id, job.facts.request_id)
         stream.supervisor.streams.discard(stream)
         if is_kept:
             pool.give_back(job.state.pool, connection, now_s())
@@ -184,7 +184,7 @@
 def _record_sent(stream):
     job, now = stream.job, now_s()
     stream.record_prompt_sent()
-    hangs.sent(
+    hangs.record_sent(
         job.state.hangs,
         stream.chain[0].engine_id,
         job.facts.request_id,
@@ -197,8 +197,8 @@
     """Record that the first engine has begun the request, or refused it."""
     job, now = stream.job, now_s()
     engine_id, request_id = stream.chain[0].engine_id, job.facts.request_id
-    hangs.begun(job.state.hangs, engine_id, request_id, now)
-    brokenruns.answered(job.state.broken, engine_id, now)
+    hangs.record_start(job.state.hangs, engine_id, request_id, now)
+    brokenruns.record_answer(job.state.broken, engine_id, now)
     stream.has_head = True
     stream.head_s = now
 
@@ -207,8 +207,8 @@
     """Record how far a run got when its engine broke it off."""
     job, engine_id, head_s = stream.job, stream.chain[0].engine_id, stream.head_s
     if is_broken and head_s is not None:
-        update = crashes.broke(job, engine_id, stream.position(), now_s())
-        stream.stalls.uplink.tell_crashes(update)
+        update = crashes.record_broken_run(job, engine_id, stream.position(), now_s())
+        stream.stalls.uplink.publish_crashes(update)
     job.note(
         "run-broken",
         True,
@@ -317,7 +317,9 @@
 
 
 def _record_reached(stream, event):
-    stream.stalls.uplink.tell_crashes(crashes.reached(stream.job, event, now_s()))
+    stream.stalls.uplink.publish_crashes(
+        crashes.record_progress(stream.job, event, now_s())
+    )
 
 
 def _is_new(stream, event):
--- a/libs/node/src/cherryrudder/node/supervision.py
+++ b/libs/node/src/cherryrudder/node/supervision.py
@@ -18,8 +18,8 @@
 from cherryrudder.routing.answertimes import Bounds
 
 from . import crashes, entrystate, reroute, stalls
+from .chainscheduler import ChainSchedulers
 from .entrystate import EntryState
-from .roomdesk import RoomDesks
 from .stalls import StallDetector
 from .stream import FIRST_ENGINE_EXCLUSION_S, INITIAL_SILENCE_S
 
@@ -31,7 +31,7 @@
 REVIEW_INTERVAL_S = 0.02
 # When a stream counts as silent, derived from its own pauses. Engines read long prompts
 # between its events, and clients count a pause of some 200 ms as late.
-SILENCE_BOUNDS = Bounds(least_s=0.07, first_s=INITIAL_SILENCE_S, most_s=1.0)
+SILENCE_BOUNDS = Bounds(min_s=0.07, initial_s=INITIAL_SILENCE_S, max_s=1.0)
 # A shorter limit for a chain with an engine that is already suspect.
 SUSPECT_SILENCE_S = 0.06
 # Weight of the newest pause in a stream's moving average.
@@ -60,7 +60,9 @@
 class StreamSupervisor:
     """Watches the streams of one entry that are in flight."""
 
-    def __init__(self, state: EntryState, stalls: StallDetector, schedulers: RoomDesks):
+    def __init__(
+        self, state: EntryState, stalls: StallDetector, schedulers: ChainSchedulers
+    ):
         self.state = state
         self.stalls = stalls
         self.schedulers = schedulers
@@ -85,7 +87,7 @@
                         )
                         stream.abort_attempt("the first engine hangs")
                     elif _must_stop(stream, now):
-                        stream.abort_attempt(crashes.ENDS_ENGINES.reason)
+                        stream.abort_attempt(crashes.REFUSED_AS_CRASHING.reason)
                     elif self._is_due(stream, now):
                         stream.is_under_review = True
                         group.start_soon(self._run_review, stream, self._check_chain)
@@ -105,10 +107,10 @@
     def _find_hung(self, now):
         """Return the engines that hang, and log the newly found ones."""
         state = self.state
-        for engine_id in hangs.find(state.hangs, now):
+        for engine_id in hangs.find_hanging(state.hangs, now):
             state.metrics.beliefs.labels("engine-hung").inc()
             state.sink.write("streams", "engine-hung", True, engine_id=engine_id)
-        return {e for e in state.hangs.waiting if hangs.is_resting(state.hangs, e, now)}
+        return {e for e in state.hangs.waiting if hangs.is_ejected(state.hangs, e, now)}
 
     def _is_due(self, stream, now):
         if stream.is_under_review or stream.connection is None:
@@ -140,7 +142,7 @@
 
     def _leaving(self, stream, now):
         """Return the addresses of parts after the first whose engines leave soon."""
-        leaving_s = self.state.leaving_s
+        leaving_s = self.state.leaving_since_s
         return {
             part.address
             for part in stream.chain[1:]
@@ -154,7 +156,7 @@
             stream.move_at_s = now + self.state.rng.random() * MOVE_SPREAD_S
             return
         stream.move_at_s = now + MOVE_AGAIN_S
-        chain = reroute.without(stream, self._leaving(stream, now))
+        chain = reroute.find_replacement(stream, self._leaving(stream, now))
         if chain is None or connection is None:
             return
         status, _ = await reroute.request_reroute(stream, chain, is_move=True)
@@ -165,7 +167,9 @@
         stream.last_slowness_report_s = now
         table = self.state.endpoints.table.entries
         known = [table.get(part.engine_id) for part in stream.chain]
-        self.stalls.uplink.complain([e.announcement for e in known if e is not None])
+        self.stalls.uplink.report_slowness(
+            [e.announcement for e in known if e is not None]
+        )
 
     def _suspect_parts(self, stream, now):
         """Return the addresses of parts whose engines are suspect, gone or lack layers.
@@ -194,11 +198,11 @@
 
     async def _check_chain(self, stream):
         stream.silence_limit_s = min(
-            SILENCE_BOUNDS.most_s, stream.silence_limit_s * SILENCE_BACKOFF
+            SILENCE_BOUNDS.max_s, stream.silence_limit_s * SILENCE_BACKOFF
         )
         lost = await self._find_lost(stream)
         if lost and stream.connection is not None:
-            await reroute.go_on_without(stream, stream.connection, lost)
+            await reroute.replace_lost(stream, stream.connection, lost)
 
     async def _find_lost(self, stream):
         """Return the addresses of the chain's engines that are dead or unreachable."""
@@ -268,7 +272,7 @@
         return False
     silent_s = now - stream.last_progress_s
     expected_s = stream.expected_pause_s
-    return pace.is_slow(stream.mean_pause_s, expected_s) or pace.is_stuck(
+    return pace.is_slow(stream.mean_pause_s, expected_s) or pace.is_stalled(
         silent_s, expected_s
     )
 
@@ -279,8 +283,8 @@
         pause_s = now - stream.last_progress_s
         stream.mean_pause_s += PAUSE_WEIGHT * (pause_s - stream.mean_pause_s)
         # Cap the pause, so that an outage doesn't raise the limit.
-        answertimes.note(stream.pauses, min(pause_s, stream.silence_limit_s))
-        stream.silence_limit_s = answertimes.limit_s(stream.pauses, SILENCE_BOUNDS)
+        answertimes.record_time(stream.pauses, min(pause_s, stream.silence_limit_s))
+        stream.silence_limit_s = answertimes.timeout_s(stream.pauses, SILENCE_BOUNDS)
     else:
         stream.silence_limit_s = INITIAL_SILENCE_S
     stream.last_progress_s = now
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -26,7 +26,14 @@
 from . import enginecalls, roster, stalls
 from .controlstate import ControlState
 from .errors import EngineCallFailed
-from .gossip import Accusation, Acquittal, DeathNotice, EndNotice, Finding, Question
+from .gossip import (
+    DeathConfirmation,
+    DeathNotice,
+    ProbeRequest,
+    ProbeResult,
+    Refutation,
+    SuspicionReport,
+)
 
 # A report takes some milliseconds inside a data centre and 15 ms from a busy engine; a
 # lost packet is retransmitted after 0.2 s.
@@ -36,19 +43,19 @@
 # requested again, at most this often.
 MAX_STALL_RETRIES = 3
 # Other control VMs that are asked to probe an engine.
-MOST_WITNESSES = 2
+MAX_PEERS_ASKED = 2
 # Time for both of the other control VM's probes and the round trip.
-OPINION_S = 0.6
+PEER_ANSWER_TIMEOUT_S = 0.6
 # Heartbeats that an engine must miss before its end is confirmed. One from a living
 # engine has arrived by then, even if some processes do not receive it.
-MISSED_BEATS = 2
+MISSED_HEARTBEATS = 2
 # How often entries are sent the notice that an engine has ended: a notice may be lost.
 END_NOTICES = 3
 
 log = logger.bind(part="verification")
 
 
-class Seen(StrEnum):
+class Observation(StrEnum):
     """The result of one probe of an engine."""
 
     LIVES = "lives"
@@ -67,7 +74,9 @@
     UNCLEAR = "unclear"
 
 
-def judge(own: Seen, others: Iterable[Seen], asked: int) -> Verdict:
+def decide_verdict(
+    own: Observation, others: Iterable[Observation], asked: int
+) -> Verdict:
     """Return the verdict from the own probe and the answers of the VMs asked.
 
     A silent engine counts as dead if another control VM found it silent too, or if
@@ -75,19 +84,19 @@
     off.
     """
     seen = {own, *others}
-    if Seen.ENDED in seen:
+    if Observation.ENDED in seen:
         return Verdict.DEAD
-    if Seen.LIVES in seen:
+    if Observation.LIVES in seen:
         return Verdict.LIVES
-    is_shared = Seen.SILENT in set(others) or not asked
-    return Verdict.DEAD if own is Seen.SILENT and is_shared else Verdict.UNCLEAR
+    is_shared = Observation.SILENT in set(others) or not asked
+    return Verdict.DEAD if own is Observation.SILENT and is_shared else Verdict.UNCLEAR
 
 
 class _Probe:
     """A probe in flight, shared by all who request one meanwhile."""
 
     def __init__(self):
-        self.observation = Seen.UNKNOWN
+        self.observation = Observation.UNKNOWN
         self.is_over = anyio.Event()
 
 
@@ -95,7 +104,7 @@
     """The control VMs asked to probe an engine, and their answers so far."""
 
     asked: tuple[str, ...]
-    answers: dict[str, Seen]
+    answers: dict[str, Observation]
     is_over: anyio.Event
 
 
@@ -113,7 +122,7 @@
         # How often entries were sent the notice that an engine has ended.
         self._notices_sent: dict[str, int] = {}
 
-    def hear(self, report: Accusation) -> None:
+    def handle_suspicion(self, report: SuspicionReport) -> None:
         """Verify a suspicion; reports of the same engine share a verification."""
         engine_id = report.engine_id
         senders = self._waiting.get(engine_id)
@@ -123,42 +132,42 @@
         self._waiting[engine_id] = {report.sender}
         self.group.start_soon(self._investigate, engine_id)
 
-    def hear_question(self, question: Question) -> None:
+    def handle_probe_request(self, question: ProbeRequest) -> None:
         """Probe an engine for another control VM, which decides the verdict."""
         self.group.start_soon(self._answer, question)
 
-    def hear_finding(self, finding: Finding) -> None:
+    def handle_probe_result(self, finding: ProbeResult) -> None:
         """Record another control VM's answer."""
         peers = self._peer_probes.get(finding.engine_id)
         if peers is None or finding.sender not in peers.asked:
             return
-        peers.answers[finding.sender] = Seen(finding.seen)
-        is_clear = finding.seen in (Seen.LIVES, Seen.ENDED)
+        peers.answers[finding.sender] = Observation(finding.observation)
+        is_clear = finding.observation in (Observation.LIVES, Observation.ENDED)
         if is_clear or len(peers.answers) == len(peers.asked):
             peers.is_over.set()
 
     async def _answer(self, question):
         seen = await self._probe(question.engine_id)
-        finding = Finding(question.engine_id, self.state.address, seen)
+        finding = ProbeResult(question.engine_id, self.state.address, seen)
         self.links.send(question.sender, finding)
 
     async def _investigate(self, engine_id):
         own = await self._probe(engine_id)
-        peers = self._ask(engine_id) if own is Seen.SILENT else None
+        peers = self._ask(engine_id) if own is Observation.SILENT else None
         if peers is not None and peers.asked:
-            with anyio.move_on_after(OPINION_S):
+            with anyio.move_on_after(PEER_ANSWER_TIMEOUT_S):
                 await peers.is_over.wait()
         self._peer_probes.pop(engine_id, None)
         senders = self._waiting.pop(engine_id)
         answers = peers.answers if peers else {}
         asked = len(peers.asked) if peers else 0
-        verdict = judge(own, answers.values(), asked)
+        verdict = decide_verdict(own, answers.values(), asked)
         self._log(engine_id, senders, own, answers, verdict)
         if verdict is Verdict.LIVES:
             for address in senders:
-                self.links.send(address, Acquittal(engine_id))
+                self.links.send(address, Refutation(engine_id))
         elif verdict is Verdict.DEAD:
-            self.condemn(engine_id)
+            self.mark_dead(engine_id)
             self._send_all(
                 DeathNotice(engine_id), self.state.roster, self.state.entries
             )
@@ -170,7 +179,7 @@
             True,
             engine_id=engine_id,
             senders=sorted(senders),
-            seen=own,
+            observation=own,
             others=answers,
             outcome=verdict,
         )
@@ -178,12 +187,12 @@
     def _send_all(self, notice, *rosters):
         now = now_s()
         for recipients in rosters:
-            for address in roster.present(recipients, now):
+            for address in roster.live_addresses(recipients, now):
                 self.links.send(address, notice)
 
-    def condemn(self, engine_id: str) -> None:
+    def mark_dead(self, engine_id: str) -> None:
         """Record an engine as dead until its next heartbeat."""
-        self.state.accused[engine_id] = now_s()
+        self.state.suspected_s[engine_id] = now_s()
 
     def review(self, now: float) -> None:
         """Drop refuted suspicions, and send entries notices of engines that ended.
@@ -192,13 +201,13 @@
         as well. Only the log's leader sends notices, since a VM that is cut off from
         the others can't be leader.
         """
-        max_silence_s = MISSED_BEATS * self.state.settings.heartbeat_s
-        for engine_id, since_s in list(self.state.accused.items()):
+        max_silence_s = MISSED_HEARTBEATS * self.state.settings.heartbeat_s
+        for engine_id, since_s in list(self.state.suspected_s.items()):
             known = self.state.endpoints.table.entries.get(engine_id)
-            if known is None or known.is_gone or known.heard_s > since_s:
-                del self.state.accused[engine_id]
+            if known is None or known.is_gone or known.last_seen_s > since_s:
+                del self.state.suspected_s[engine_id]
                 self._notices_sent.pop(engine_id, None)
-            elif now - known.heard_s > max_silence_s and self.state.is_leader():
+            elif now - known.last_seen_s > max_silence_s and self.state.is_leader():
                 sent = self._notices_sent.get(engine_id, 0)
                 if sent < END_NOTICES:
                     self._notices_sent[engine_id] = sent + 1
@@ -206,11 +215,11 @@
 
     async def _confirm_end(self, engine_id):
         seen = await self._probe(engine_id)
-        if seen is Seen.LIVES:
-            self.state.accused.pop(engine_id, None)
-            self._send_all(Acquittal(engine_id), self.state.entries)
+        if seen is Observation.LIVES:
+            self.state.suspected_s.pop(engine_id, None)
+            self._send_all(Refutation(engine_id), self.state.entries)
         else:
-            self._send_all(EndNotice(engine_id), self.state.entries)
+            self._send_all(DeathConfirmation(engine_id), self.state.entries)
         self.state.sink.write(
             "control", "engine-unheard", True, engine_id=engine_id, seen=seen
         )
@@ -220,15 +229,15 @@
         known = self._peer_probes.get(engine_id)
         if known is not None:
             return known
-        present = roster.beats(self.state.roster, now_s())
+        present = roster.live_messages(self.state.roster, now_s())
         entry = self.state.endpoints.table.entries.get(engine_id)
         vm_zone = entry.announcement.vm_zone if entry else ""
         present.sort(key=lambda beat: (beat.vm_zone != vm_zone, beat.address))
-        asked = tuple(beat.address for beat in present[:MOST_WITNESSES])
+        asked = tuple(beat.address for beat in present[:MAX_PEERS_ASKED])
         peers = _PeerProbes(asked, {}, anyio.Event())
         self._peer_probes[engine_id] = peers
         for address in asked:
-            self.links.send(address, Question(engine_id, self.state.address))
+            self.links.send(address, ProbeRequest(engine_id, self.state.address))
         return peers
 
     async def _probe(self, engine_id):
@@ -248,9 +257,9 @@
     async def _probe_once(self, engine_id):
         known = self.state.endpoints.table.entries.get(engine_id)
         if known is None or not known.announcement.address:
-            return Seen.UNKNOWN
+            return Observation.UNKNOWN
         if known.is_gone:
-            return Seen.ENDED
+            return Observation.ENDED
         address = known.announcement.address
         for timeout_s in (REPORT_TIMEOUT_S, SECOND_REPORT_TIMEOUT_S):
             report = await self._report(address, timeout_s)
@@ -258,11 +267,11 @@
                 # Another incarnation at the same address would answer as well.
                 is_same = stalls.is_of_incarnation(report, known.announcement)
                 is_there = is_same and self._is_newest_there(engine_id, address)
-                return Seen.LIVES if is_there else Seen.ENDED
+                return Observation.LIVES if is_there else Observation.ENDED
             if engine_id in self._waiting:
                 # The others probe while this one tries a second time.
                 self._ask(engine_id)
-        return Seen.SILENT
+        return Observation.SILENT
 
     async def _report(self, address, timeout_s):
         """Return an engine's report, or None; ask again if this process stalled."""
@@ -272,7 +281,7 @@
                 return await enginecalls.get_report(address, timeout_s)
             except EngineCallFailed as error:
                 log.info("No report: {}.", error)
-            if now_s() - asked_s < timeout_s + stalls.OWN_DELAY_S:
+            if now_s() - asked_s < timeout_s + stalls.PROCESS_STALL_S:
                 return None
         return None
 
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -47,7 +47,7 @@
         self.back_off(ENGINE, backoff_s=0.01)
         anyio.run(anyio.sleep, 0.02)
         self.assertTrue(self.may_begin())
-        backpressure.begin(self.state, ENGINE, now_s())
+        backpressure.record_request(self.state, ENGINE, now_s())
         self.assertFalse(self.may_begin())
         self.hear(status=200)
         self.assertTrue(self.may_begin())
@@ -75,7 +75,7 @@
 
     def test_a_backoff_answer_is_no_evidence_of_health(self):
         for _ in range(20):
-            suspicion.answered(self.state.suspicions, ENGINE, False, now_s())
+            suspicion.record_answer(self.state.suspicions, ENGINE, False, now_s())
         self.assertTrue(entrystate.is_suspect(self.state, ENGINE, now_s()))
         endpoint = SimpleNamespace(engine_id=ENGINE)
         failed = FailedAttempt("503", is_not_run=True, is_backoff=True)
@@ -98,7 +98,7 @@
         return SimpleNamespace(
             job=job,
             tokens=900,
-            ran_at=[],
+            ran_engine_ids=[],
             has_begun=has_begun,
             excluded=lambda _: set(),
         )
--- a/libs/node/test/test_stalls.py
+++ b/libs/node/test/test_stalls.py
@@ -78,7 +78,7 @@
         async def get_report(address, timeout_s, kept):
             calls.append(address)
             if len(calls) == 1:
-                block_event_loop(timeout_s + 2 * stalls.OWN_DELAY_S)
+                block_event_loop(timeout_s + 2 * stalls.PROCESS_STALL_S)
                 raise EngineCallFailed(address)
             return Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
 
--- a/libs/node/test/test_verification.py
+++ b/libs/node/test/test_verification.py
@@ -4,10 +4,10 @@
 from builders import PipedSink, an_announcement
 
 from cherryrudder.node import enginecalls, roster
-from cherryrudder.node.controlbeats import ControlBeats
+from cherryrudder.node.controlgossip import ControlGossip
 from cherryrudder.node.controlstate import ControlState
 from cherryrudder.node.errors import EngineCallFailed
-from cherryrudder.node.gossip import Accusation, Acquittal, DeathNotice
+from cherryrudder.node.gossip import DeathNotice, Refutation, SuspicionReport
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.platform.engines import Report
 from cherryrudder.platform.settings import read_settings
@@ -43,9 +43,9 @@
         self.addCleanup(piped.close)
         state = ControlState(read_settings(SETTINGS).ok, piped.sink, Metrics())
         engine = an_announcement("boot-1", layers=(0, 8), started_ms=started_ms[0])
-        endpoints.hear(state.endpoints.table, engine, now_s())
+        endpoints.record_heartbeat(state.endpoints.table, engine, now_s())
         for address in (REPORTER, OTHER):
-            roster.hear(state.entries, address, None, now_s())
+            roster.record(state.entries, address, None, now_s())
         sent, asked = [], []
 
         async def get_report(address, timeout_s=0.0, kept=None):
@@ -57,13 +57,13 @@
 
         async def scenario():
             async with anyio.create_task_group() as group:
-                beats = ControlBeats(state, group)
+                beats = ControlGossip(state, group)
                 beats.links.send = lambda address, message: sent.append(
                     (address, message)
                 )
                 for _ in range(times):
                     for reporter in reporters:
-                        beats._on_frames("", [Accusation("boot-1", reporter)])
+                        beats._on_frames("", [SuspicionReport("boot-1", reporter)])
 
         kept = enginecalls.get_report
         enginecalls.get_report = get_report
@@ -75,14 +75,14 @@
 
     def test_a_living_engine_is_cleared_for_the_reporting_entry_only(self):
         sent, _, state = self.report_suspect(is_alive=True)
-        self.assertEqual(sent, [(REPORTER, Acquittal("boot-1"))])
-        self.assertEqual(state.accused, {})
+        self.assertEqual(sent, [(REPORTER, Refutation("boot-1"))])
+        self.assertEqual(state.suspected_s, {})
 
     def test_a_dead_engine_is_reported_to_all_entries(self):
         sent, _, state = self.report_suspect(is_alive=False)
         notice = DeathNotice("boot-1")
         self.assertEqual(sent, [(REPORTER, notice), (OTHER, notice)])
-        self.assertIn("boot-1", state.accused)
+        self.assertIn("boot-1", state.suspected_s)
 
     def test_many_reports_at_once_share_one_probe(self):
         sent, asked, _ = self.report_suspect(True, times=5, reporters=(REPORTER, OTHER))
@@ -93,7 +93,7 @@
         """The address answers, but the incarnation that held the layers is gone."""
         sent, _, state = self.report_suspect(is_alive=True, started_ms=(100, 200))
         self.assertIn((REPORTER, DeathNotice("boot-1")), sent)
-        self.assertIn("boot-1", state.accused)
+        self.assertIn("boot-1", state.suspected_s)
 
 
 if __name__ == "__main__":
