--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -1,6 +1,6 @@
 """Apply engines' rate limits and backoffs before a request is sent to them.
 
-An engine may limit the requests of all entries together (`ratekeeper`), and may ask
+An engine may limit the requests of all entries together (`ratelimiter`), and may ask
 this machine to back off. Every code path that sends a request checks here first.
 """
 
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -39,14 +39,14 @@
     """Return a chain with the stream's load added, or None if none is free in time."""
     job, began_s = stream.job, now_s()
     stream.refusal = ""
-    scheduler = stream.supervisor.schedulers.of(job.service.name)
+    scheduler = stream.supervisor.schedulers.get(job.service.name)
     await _acquire_permit(stream)
     if _is_backoff_too_long(stream, now_s()):
         stream.refusal = BACKING_OFF
         stream.retry_after_s = _backpressure_s(stream, now_s())
         return None
     try:
-        chain = await scheduler.find(
+        chain = await scheduler.find_chain(
             _queue_entry(stream),
             lambda: _take_chain(stream),
             is_restricted=bool(
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -86,8 +86,8 @@
     """Return whether the stream may be sent again.
 
     The route limits the engines that a request runs on, not how often it is sent. That
-    limit is applied where a chain is chosen (`streamchains.bounding_firsts`), so no run
-    is counted here.
+    limit is applied where a chain is chosen (`streamchains.allowed_first_engines`), so
+    no run is counted here.
     """
     job, max_runs = stream.job, stream.job.route.max_attempts
     if not stream.has_begun and job.attempts >= max_runs + MAX_EXTRA_SENDS:
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -132,24 +132,24 @@
         self._waiting[engine_id] = {report.sender}
         self.group.start_soon(self._investigate, engine_id)
 
-    def handle_probe_request(self, question: ProbeRequest) -> None:
+    def handle_probe_request(self, request: ProbeRequest) -> None:
         """Probe an engine for another control VM, which decides the verdict."""
-        self.group.start_soon(self._answer, question)
+        self.group.start_soon(self._answer, request)
 
-    def handle_probe_result(self, finding: ProbeResult) -> None:
+    def handle_probe_result(self, result: ProbeResult) -> None:
         """Record another control VM's answer."""
-        peers = self._peer_probes.get(finding.engine_id)
-        if peers is None or finding.sender not in peers.asked:
+        peers = self._peer_probes.get(result.engine_id)
+        if peers is None or result.sender not in peers.asked:
             return
-        peers.answers[finding.sender] = Observation(finding.observation)
-        is_clear = finding.observation in (Observation.LIVES, Observation.ENDED)
+        peers.answers[result.sender] = Observation(result.observation)
+        is_clear = result.observation in (Observation.LIVES, Observation.ENDED)
         if is_clear or len(peers.answers) == len(peers.asked):
             peers.is_over.set()
 
-    async def _answer(self, question):
-        seen = await self._probe(question.engine_id)
-        finding = ProbeResult(question.engine_id, self.state.address, seen)
-        self.links.send(question.sender, finding)
+    async def _answer(self, request):
+        seen = await self._probe(request.engine_id)
+        result = ProbeResult(request.engine_id, self.state.address, seen)
+        self.links.send(request.sender, result)
 
     async def _investigate(self, engine_id):
         own = await self._probe(engine_id)
--- a/libs/node/test/entrycase.py
+++ b/libs/node/test/entrycase.py
@@ -54,8 +54,8 @@
             beat = ControlStub(address=f"{zone}:1", vm_zone=zone, version=7)
             roster.record(self.state.controls, beat.address, beat, now_s())
         for engine_id in (ENGINE, OTHER):
-            told = an_announcement(engine_id, layers=(0, 8))
-            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
+            announcement = an_announcement(engine_id, layers=(0, 8))
+            tablesync.record_heartbeat(self.state.endpoints, announcement, now_s())
         self.uplink = uplink
         self.job = self.a_job()
 
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -65,8 +65,8 @@
 
     def test_the_others_are_assumed_to_have_as_many_unread_tokens(self):
         now = now_s()
-        told = an_announcement("e1", layers=(0, 8), address="e1:1")
-        tablesync.record_heartbeat(self.state.endpoints, told, now)
+        announcement = an_announcement("e1", layers=(0, 8), address="e1:1")
+        tablesync.record_heartbeat(self.state.endpoints, announcement, now)
         self.state.peers = 4.0
         entrystate.add_unread(self.state, self.CHAIN, 700)
         (candidate,) = entrystate.candidates(self.state, "llm", now)
--- a/libs/node/test/test_pacewatch.py
+++ b/libs/node/test/test_pacewatch.py
@@ -86,7 +86,7 @@
             watch.handle_pace_update(PaceUpdate("boot-1", 7.0))
 
         sent, _ = self.run_scenario([1.0, 7.0, 1.0], scenario)
-        self.assertEqual([news.slowness for news in sent], [7.0, 7.0, 1.0])
+        self.assertEqual([update.slowness for update in sent], [7.0, 7.0, 1.0])
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -153,8 +153,8 @@
             ("dead", (8, 16)),
             ("part", (8, 16)),
         ):
-            told = an_announcement(name, layers=layers)
-            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
+            announcement = an_announcement(name, layers=layers)
+            tablesync.record_heartbeat(self.state.endpoints, announcement, now_s())
         self.suspect("dead")
         self.stream = a_stream(self.state, None)
         self.stream.job.service = SimpleNamespace(name="llm", model=a_model(layers=16))
@@ -185,8 +185,8 @@
 
     def test_an_engine_that_leaves_still_counts(self):
         for name in ("first", "second"):
-            told = an_announcement(name, 4, (0, 8), is_leaving=True)
-            tablesync.record_heartbeat(self.state.endpoints, told, now_s())
+            announcement = an_announcement(name, 4, (0, 8), is_leaving=True)
+            tablesync.record_heartbeat(self.state.endpoints, announcement, now_s())
             self.suspect(name)
         self.assertEqual(self.chosen()[0], set())
 
