--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -1,7 +1,7 @@
-"""What engines ask of this entry, before any request is sent to them.
+"""Apply engines' rate limits and backoffs before a request is sent to them.
 
-An engine may limit the requests of all entries together (`ratekeeper`), and ask this
-machine to back off. Every path on which a request goes out asks here.
+An engine may limit the requests of all entries together (`ratelimiter`), and may ask
+this machine to back off. Every code path that sends a request checks here first.
 """
 
 from collections.abc import Collection
@@ -16,34 +16,34 @@
     from .entrystate import EntryState
     from .job import Job
 
-# An engine's answer with one of these may say for how long it wants nothing more.
-TURNED_AWAY = frozenset({429, 503})
-# Clients are told to come back after this at least, spread over so much more time.
-LEAST_RETRY_S = 0.1
-RETRY_SPREAD = 0.5
+# Statuses with which an engine may ask to back off for a given time.
+BACKOFF_STATUSES = frozenset({429, 503})
+# Minimum Retry-After for clients, and the random share that is added to it.
+MIN_RETRY_AFTER_S = 0.1
+RETRY_AFTER_JITTER = 0.5
 
 
-def note_answer(
+def record_answer(
     job: "Job", engine_id: str, status: int, facts: AnswerFacts, now_s: float
 ) -> None:
-    """Take what an engine's answer asks for."""
+    """Record the limit, backoff or notice to leave in an engine's answer."""
     ratelimiter.note_answer(job, engine_id, facts, now_s)
     state = job.state
     if facts.is_leaving:
-        _note_leaving(job, engine_id, now_s)
+        _record_leaving(job, engine_id, now_s)
     if asks_for_backoff(status, facts):
-        _note_backoff(job, engine_id, facts, now_s)
+        _record_backoff(job, engine_id, facts, now_s)
     elif backoffs.record_answer(state.backoffs, engine_id, job.sent_s):
         job.note("engine-backoff-over", engine_id=engine_id)
 
 
 def asks_for_backoff(status: int, facts: AnswerFacts) -> bool:
-    """Tell whether an answer turns this machine away for some time."""
-    return status in TURNED_AWAY and bool(facts.retry_after_s)
+    """Return whether an answer asks this machine to back off."""
+    return status in BACKOFF_STATUSES and bool(facts.retry_after_s)
 
 
-def _note_leaving(job, engine_id, now_s):
-    """Give an engine that says that it leaves no new work, here and elsewhere."""
+def _record_leaving(job, engine_id, now_s):
+    """Send no new work to an engine that leaves, and inform the other processes."""
     state = job.state
     if tablesync.record_leaving(state.endpoints, engine_id, now_s):
         state.leaving_since_s.setdefault(engine_id, now_s)
@@ -52,8 +52,8 @@
         state.spread_endpoints([engine_id])
 
 
-def _note_backoff(job, engine_id, facts, now_s):
-    """Leave the engine that answered alone, and the one that it names as at fault."""
+def _record_backoff(job, engine_id, facts, now_s):
+    """Back off from the engine that answered, and from the one named as at fault."""
     state, backoff_s = job.state, facts.retry_after_s
     backoffs.start(state.backoffs, engine_id, backoff_s, now_s)
     named = entrystate.engine_at(state, facts.fault_address, now_s)
@@ -70,9 +70,10 @@
 
 
 def may_begin(state: "EntryState", engine_id: str, now_s: float) -> bool:
-    """Tell whether a request may be sent to an engine now.
+    """Return whether a request may be sent to an engine now.
 
-    It is asked for each engine at each choice; most ask for nothing.
+    This runs for each engine at each choice, so engines without a limit or backoff are
+    decided by two look-ups.
     """
     if engine_id in state.backoffs.backoffs:
         if not backoffs.may_send(state.backoffs, engine_id, now_s):
@@ -83,13 +84,13 @@
 
 
 def record_request(state: "EntryState", engine_id: str, now_s: float) -> None:
-    """Take note of a request that is about to be sent."""
+    """Record a request that is about to be sent to an engine."""
     backoffs.record_sent(state.backoffs, engine_id, now_s)
     ratelimiter.use_permit(state, engine_id, now_s)
 
 
 def wait_s(state: "EntryState", engine_ids: Collection[str], now_s: float) -> float:
-    """Return the time until one of some engines may be sent a request."""
+    """Return the time until any of the engines may be sent a request."""
     return min(
         (
             max(
@@ -103,5 +104,7 @@
 
 
 def retry_after_s(state: "EntryState", wait_s: float) -> float:
-    """Return when a client may come back, spread so that not all come at once."""
-    return max(LEAST_RETRY_S, wait_s) * (1.0 + RETRY_SPREAD * state.rng.random())
+    """Return when a client may retry, with jitter so that not all retry at once."""
+    return max(MIN_RETRY_AFTER_S, wait_s) * (
+        1.0 + RETRY_AFTER_JITTER * state.rng.random()
+    )
--- a/libs/node/src/cherryrudder/node/brokenruns.py
+++ b/libs/node/src/cherryrudder/node/brokenruns.py
@@ -1,17 +1,18 @@
-"""Runs that broke off, kept until it is known whether their engine has ended.
+"""Keep runs that broke off until it is known whether their engine has crashed.
 
-A broken answer alone says nothing of the engine: answers are lost and reset while it
-lives. Only when control VMs found it dead too, or another incarnation is at its
-address, did it end under those runs.
+A broken answer alone is no evidence of a crash, as connections are also lost and reset
+while the engine is alive. The engine crashed during those runs only if control VMs
+found it dead too, or another incarnation is at its address.
 """
 
 from typing import NamedTuple
 
-# An engine that nobody asks for is missed when it is back at its address.
+# How long runs are kept: an unused engine's end is only detected when its next
+# incarnation is at its address.
 RETENTION_S = 10.0
-MOST_ENGINES = 64
-MOST_RUNS = 256
-# What an engine had sent before it ended is read within this time.
+MAX_ENGINES = 64
+MAX_RUNS = 256
+# Data that an engine sent before it ended is read within this time.
 IN_FLIGHT_S = 0.2
 
 
@@ -22,7 +23,7 @@
     request_id: str
     account: str
     service: str
-    # Last event that had come.
+    # Number of the last event received.
     last_event: int
     broke_s: float
 
@@ -36,25 +37,25 @@
 
 
 def add(runs: BrokenRuns, engine_id: str, run: BrokenRun) -> None:
-    """Keep a run."""
+    """Add a run that an engine broke off; the oldest are dropped beyond MAX_RUNS."""
     kept = runs.runs.setdefault(engine_id, [])
     kept.append(run)
-    del kept[:-MOST_RUNS]
+    del kept[:-MAX_RUNS]
 
 
 def record_end(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
-    """Take note that an engine has ended."""
+    """Record that an engine has ended."""
     runs.ended_s.setdefault(engine_id, now_s)
 
 
 def record_alive(runs: BrokenRuns, engine_id: str) -> None:
-    """Take note that an engine lives: its runs broke for another reason."""
+    """Record that an engine is alive: its runs broke for another reason."""
     runs.runs.pop(engine_id, None)
     runs.ended_s.pop(engine_id, None)
 
 
 def record_answer(runs: BrokenRuns, engine_id: str, now_s: float) -> None:
-    """Drop the runs after which their engine has answered another request."""
+    """Drop the broken runs after which the engine has answered another request."""
     broken = runs.runs.get(engine_id)
     if broken:
         late = [run for run in broken if now_s - run.broke_s < IN_FLIGHT_S]
@@ -63,19 +64,22 @@
             del runs.runs[engine_id]
 
 
-def take_crashed(runs: BrokenRuns, engine_id: str, leaving_s: float) -> list[BrokenRun]:
-    """Return the runs that an engine ended under, once, if it is known to have.
+def take_crashed(
+    runs: BrokenRuns, engine_id: str, leaving_since_s: float
+) -> list[BrokenRun]:
+    """Remove and return the runs during which an engine crashed, if it has ended.
 
-    Not those that broke after it had said that it leaves: that end was planned.
+    Runs that broke after the engine announced that it leaves are left out, as that end
+    was planned.
     """
     if engine_id not in runs.ended_s:
         return []
     broken = runs.runs.pop(engine_id, [])
-    return [run for run in broken if run.broke_s < leaving_s]
+    return [run for run in broken if run.broke_s < leaving_since_s]
 
 
 def sweep(runs: BrokenRuns, now_s: float) -> None:
-    """Forget runs and ends that are old, and the oldest when there are many."""
+    """Drop runs and ends that are old, and the oldest beyond MAX_ENGINES."""
     for engine_id, broken in list(runs.runs.items()):
         young = [run for run in broken if now_s - run.broke_s <= RETENTION_S]
         runs.runs[engine_id] = young
@@ -85,5 +89,5 @@
         if now_s - ended_s > RETENTION_S:
             del runs.ended_s[engine_id]
     for kept in (runs.runs, runs.ended_s):
-        for engine_id in list(kept)[: max(0, len(kept) - MOST_ENGINES)]:
+        for engine_id in list(kept)[: max(0, len(kept) - MAX_ENGINES)]:
             del kept[engine_id]
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -1,7 +1,7 @@
-"""Requests to plain services: whole answers, and another attempt only where it is safe.
+"""Relay requests to plain services, with complete answers and safe retries.
 
-An answer is passed on once it is there in full, so that one which breaks off can still
-be repeated for an idempotent request.
+An answer is relayed once it is complete, so that an idempotent request can still be
+retried if its answer breaks off.
 """
 
 from collections.abc import Callable
@@ -16,68 +16,78 @@
 from cherryrudder.routing.picking import EndpointLoad
 
 from . import attempts, backpressure, brokenruns, crashes, ratelimiter
-from .entrystate import ToldLoad, is_suspect, serving_endpoints
+from .entrystate import ReportedLoad, is_suspect, serving_endpoints
 from .gossip import CrashUpdate
-from .job import ANSWER_MARGIN_S, Failed, Job, Whole
-
-# Part of the time left that an idempotent request waits for one endpoint while another
-# could still answer in time: of the objective, and once that has passed, of the time
-# that its client waits.
-PATIENCE_SHARE = 0.4
-# Time that a second attempt needs to be worth sending: the work is 20 to 70 ms.
+from .job import ANSWER_MARGIN_S, FailedAttempt, Job, WholeAnswer
+
+# Part of the time left that an idempotent request waits for one endpoint, so that
+# another could still answer in time. It applies to the objective, and once that has
+# passed, to the client's time limit.
+TIMEOUT_SHARE = 0.4
+# A second attempt is worth sending while this much time is left: the work takes 20 to
+# 70 ms.
 EXPECTED_S = 0.05
-# Between two looks for a permit at endpoints that limit their requests.
-LEAST_PAUSE_S = 0.01
-NO_ENDPOINT = Failed("no endpoint", is_not_run=True, is_sent=False)
-BARRED = Failed("endpoints take no more requests", is_not_run=True, is_sent=False)
+# Minimum interval between two checks for a permit at endpoints that limit requests.
+MIN_POLL_INTERVAL_S = 0.01
+NO_ENDPOINT = FailedAttempt("no endpoint", is_not_run=True, is_sent=False)
+BARRED = FailedAttempt(
+    "endpoints take no more requests", is_not_run=True, is_sent=False
+)
+
 
+async def serve(
+    job: Job, publish_crashes: Callable[[CrashUpdate | None], None]
+) -> None:
+    """Serve a request until its final answer.
 
-async def serve(job: Job, tell: Callable[[CrashUpdate | None], None]) -> None:
-    """See a request to its answer; `tell` spreads what it shows of engines' ends."""
+    `publish_crashes` sends out crashes that the request may have caused.
+    """
     excluded: set[str] = set()
     failed = NO_ENDPOINT
     has_run = False
     while True:
-        place = await _choose(job, excluded)
-        if isinstance(place, Failed):
+        endpoint = await _choose(job, excluded)
+        if isinstance(endpoint, FailedAttempt):
             if failed is NO_ENDPOINT:
-                failed = place
+                failed = endpoint
             break
-        result = await _attempt(job, place)
-        if isinstance(result, Whole):
-            brokenruns.record_answer(job.state.broken, place.engine_id, now_s())
-            tell(crashes.record_progress(job, FINISHED, now_s()))
+        result = await _attempt(job, endpoint)
+        if isinstance(result, WholeAnswer):
+            brokenruns.record_answer(job.state.broken, endpoint.engine_id, now_s())
+            publish_crashes(crashes.record_progress(job, FINISHED, now_s()))
             await job.pass_on(result)
             return
         if result.is_broken:
-            tell(crashes.record_broken_run(job, place.engine_id, 0, now_s()))
-            await crashes.wait_for_engine_verdict(job, place.engine_id)
+            publish_crashes(
+                crashes.record_broken_run(job, endpoint.engine_id, 0, now_s())
+            )
+            await crashes.wait_for_engine_verdict(job, endpoint.engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(
-            is_not_run=not has_run, whole=result.whole or failed.whole
+            is_not_run=not has_run, answer=result.answer or failed.answer
         )
-        excluded.add(place.engine_id)
+        excluded.add(endpoint.engine_id)
         if not await attempts.may_retry(
             job, result, job.attempts, job.route.max_attempts, EXPECTED_S
         ):
             break
         await crashes.delay_suspect(job)
         if crashes.is_blocked(job, now_s()):
-            await job.refuse_for_good()
+            await job.refuse_permanently()
             return
     await job.fail(failed)
 
 
 async def _choose(job, excluded):
-    """Return the endpoint for the next attempt, or why there is none."""
+    """Return the endpoint for the next attempt, or the reason why there is none."""
     state = job.state
     while True:
         barred: set[str] = set()
-        while (place := _pick(job, excluded | barred)) is not None:
-            if await _takes_it(state, place.engine_id):
-                backpressure.record_request(state, place.engine_id, now_s())
-                return place
-            barred.add(place.engine_id)
+        while (endpoint := _pick(job, excluded | barred)) is not None:
+            if await _accepts_request(state, endpoint.engine_id):
+                backpressure.record_request(state, endpoint.engine_id, now_s())
+                return endpoint
+            barred.add(endpoint.engine_id)
         if not barred:
             return NO_ENDPOINT
         now = now_s()
@@ -85,11 +95,11 @@
         if now + wait_s > job.arrived_s + job.route.objective_s - EXPECTED_S:
             retry_after_s = backpressure.retry_after_s(state, wait_s)
             return BARRED._replace(retry_after_s=retry_after_s)
-        await anyio.sleep(max(LEAST_PAUSE_S, wait_s))
+        await anyio.sleep(max(MIN_POLL_INTERVAL_S, wait_s))
 
 
-async def _takes_it(state, engine_id):
-    """Tell whether an endpoint takes a request; ask for a permit if it needs one."""
+async def _accepts_request(state, engine_id):
+    """Return whether an endpoint takes a request; request a permit if needed."""
     if not backoffs.may_send(state.backoffs, engine_id, now_s()):
         return False
     await ratelimiter.acquire(state, [engine_id])
@@ -97,73 +107,73 @@
 
 
 def _pick(job, excluded):
-    """Return the best endpoint; far ones that take nothing now only in need."""
+    """Return the best endpoint; barred ones elsewhere only if there is no other."""
     state, now = job.state, now_s()
-    places, home_zone = _places(job), state.settings.vm_zone
+    endpoints, home_zone = _endpoint_loads(job), state.settings.vm_zone
     far = {
-        place.engine_id
-        for place in places
-        if place.vm_zone != home_zone
-        and not backpressure.may_begin(state, place.engine_id, now)
+        endpoint.engine_id
+        for endpoint in endpoints
+        if endpoint.vm_zone != home_zone
+        and not backpressure.may_begin(state, endpoint.engine_id, now)
     }
-    place = picking.pick(places, home_zone, excluded | far, state.rng)
-    return place or picking.pick(places, home_zone, excluded, state.rng)
+    endpoint = picking.pick(endpoints, home_zone, excluded | far, state.rng)
+    return endpoint or picking.pick(endpoints, home_zone, excluded, state.rng)
 
 
-def _places(job):
+def _endpoint_loads(job):
     state, now = job.state, now_s()
     return [
-        _place(state, announcement, now)
+        _endpoint_load(state, announcement, now)
         for announcement in serving_endpoints(state, job.service.name, now)
     ]
 
 
-def _place(state, announcement, now):
+def _endpoint_load(state, announcement, now):
     engine_id = announcement.engine_id
-    told = state.told.get(engine_id, ToldLoad(0.0, now))
+    reported = state.reported_loads.get(engine_id, ReportedLoad(0.0, now))
     return EndpointLoad(
         engine_id=engine_id,
         address=announcement.address,
         vm_zone=announcement.vm_zone,
         slots=announcement.slots,
         own_in_flight=state.running.get(announcement.address, 0),
-        reported_load=told.load,
-        report_age_s=now - told.told_s,
+        reported_load=reported.load,
+        report_age_s=now - reported.reported_s,
         is_suspect=is_suspect(state, engine_id, now),
     )
 
 
-async def _attempt(job: Job, place: EndpointLoad) -> Whole | Failed:
+async def _attempt(job: Job, endpoint: EndpointLoad) -> WholeAnswer | FailedAttempt:
     state = job.state
-    state.running[place.address] = state.running.get(place.address, 0) + 1
-    state.tokens.setdefault(place.address, 0)
+    state.running[endpoint.address] = state.running.get(endpoint.address, 0) + 1
+    state.tokens.setdefault(endpoint.address, 0)
     try:
-        result = await _exchange(job, place)
+        result = await _exchange(job, endpoint)
     finally:
-        state.running[place.address] -= 1
-        if not state.running[place.address]:
-            del state.running[place.address], state.tokens[place.address]
-    _judge(job, place, result)
+        state.running[endpoint.address] -= 1
+        if not state.running[endpoint.address]:
+            del state.running[endpoint.address], state.tokens[endpoint.address]
+    _record_health(job, endpoint, result)
     return result
 
 
-async def _exchange(job, place):
+async def _exchange(job, endpoint):
     try:
-        connection = await attempts.open_connection(job, place.address)
+        connection = await attempts.open_connection(job, endpoint.address)
     except ConnectFailed as error:
-        return Failed(str(error), is_not_run=True, is_sent=False)
+        return FailedAttempt(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
     is_kept = False
     try:
-        job.note("sent", address=place.address, engine_id=place.engine_id)
-        await attempts.send(job, connection, job.sending(place.engine_id))
-        result = await _read(job, connection, place)
+        job.note("sent", address=endpoint.address, engine_id=endpoint.engine_id)
+        await attempts.send(job, connection, job.sending(endpoint.engine_id))
+        result = await _read(job, connection, endpoint)
         is_kept = True
         return result
     except AnswerLate as error:
-        return Failed(str(error), is_not_run=False, is_late=True)
+        return FailedAttempt(str(error), is_not_run=False, is_late=True)
     except AnswerBroken as error:
-        return Failed(str(error), is_not_run=False, is_broken=True)
+        return FailedAttempt(str(error), is_not_run=False, is_broken=True)
     finally:
         if is_kept:
             pool.give_back(job.state.pool, connection, now_s())
@@ -171,31 +181,36 @@
             connection.close()
 
 
-async def _read(job, connection, place):
-    head, facts = await attempts.read_own_head(
-        job, connection, place.engine_id, patience_s(job, now_s())
+async def _read(job, connection, endpoint):
+    head, facts = await attempts.read_matching_head(
+        job, connection, endpoint.engine_id, attempt_timeout_s(job, now_s())
     )
     body = await _read_body(connection)
     if facts.load is not None:
         running, waiting, _ = facts.load
-        job.state.told[place.engine_id] = ToldLoad(running + waiting, now_s())
+        job.state.reported_loads[endpoint.engine_id] = ReportedLoad(
+            running + waiting, now_s()
+        )
     if facts.is_not_run:
-        return Failed(
+        return FailedAttempt(
             f"status {head.status} from the endpoint",
             is_not_run=True,
-            is_turned_away=backpressure.asks_for_backoff(head.status, facts),
+            is_backoff=backpressure.asks_for_backoff(head.status, facts),
         )
-    whole = Whole(head.status, head.headers, body)
+    whole = WholeAnswer(head.status, head.headers, body)
     return attempts.failure_of(whole, job.is_idempotent) or whole
 
 
-def patience_s(job: Job, now: float) -> float:
-    """Return how long the present endpoint may take until its answer begins."""
+def attempt_timeout_s(job: Job, now: float) -> float:
+    """Return how long the present endpoint may take until its answer begins.
+
+    A request without a further attempt waits until its time limit.
+    """
     left_s = job.end_s - now - ANSWER_MARGIN_S
     if not job.is_idempotent or job.attempts >= job.route.max_attempts:
         return left_s
     in_time_s = job.arrived_s + job.route.objective_s - now
-    return PATIENCE_SHARE * min(left_s, in_time_s if in_time_s > 0 else left_s)
+    return TIMEOUT_SHARE * min(left_s, in_time_s if in_time_s > 0 else left_s)
 
 
 async def _read_body(connection):
@@ -205,14 +220,14 @@
     return b"".join(pieces)
 
 
-def _judge(job, place, result):
-    """Take what the attempt tells of the endpoint."""
-    suspicions, engine_id, now = job.state.suspicions, place.engine_id, now_s()
-    if isinstance(result, Failed) and result.is_turned_away:
-        # It lives, and says nothing of how it serves.
+def _record_health(job, endpoint, result):
+    """Record the attempt's result in the endpoint's health."""
+    suspicions, engine_id, now = job.state.suspicions, endpoint.engine_id, now_s()
+    if isinstance(result, FailedAttempt) and result.is_backoff:
+        # The endpoint is alive, but a backoff is no evidence of healthy answers.
         return
-    if isinstance(result, Failed) and not result.is_sent:
+    if isinstance(result, FailedAttempt) and not result.is_sent:
         suspicion.record_failure(suspicions, engine_id, now)
     else:
-        is_good = isinstance(result, Whole) or result.is_not_run
+        is_good = isinstance(result, WholeAnswer) or result.is_not_run
         suspicion.record_answer(suspicions, engine_id, is_good, now)
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -1,8 +1,9 @@
-"""Streams through chains of engines, carried on inside one answer when an engine dies.
+"""Relay streams through chains of engines, and resume them when an engine dies.
 
-Three ways to go on, in this order: the first engine carries the request on over another
-chain, so that only the new parts read it again; another chain goes on behind the last
-event that the client has; a request without any event yet is sent once more.
+There are three ways to resume inside the same answer, tried in this order. The first
+engine reroutes the request over another chain, so that only the new parts read it
+again. Or another chain resumes after the last event that the client has. Or a request
+without any event yet is sent again.
 """
 
 from cherryrudder.platform import engines, messages
@@ -14,45 +15,45 @@
 from cherryrudder.routing.crashbook import FINISHED
 
 from . import attempts, brokenruns, crashes, entrystate, streamchains, supervision
-from .job import Failed, Job, Whole
+from .job import FailedAttempt, Job, WholeAnswer
 from .stream import Stream
 from .streamchains import BACKING_OFF, LIMITED, NO_CHAIN, NO_ROOM
-from .supervision import Watch
+from .supervision import StreamSupervisor
 
-# A second attempt is worth sending while this much is left: a prompt is read within
-# 0.1 s, and some events are better than none.
+# A second attempt is worth sending while this much time is left: a prompt is read
+# within 0.1 s, and some events are better than none.
 EXPECTED_S = 0.3
-# The chains that a hole in the layers leaves without are back after a load: a part of
-# 14 s for all layers, 1 to 2 s for one engine's range.
-HOLE_RETRY_S = 3.0
-# Room comes back as streams end; one lasts 2.2 s on the average. Most clients come back
-# once only, so that a time which is too short to help costs them the answer.
-ROOM_RETRY_S = 2.0
-# A client counts a time to come back that is longer than a third of the time left, some
-# 6 s, as that third.
-MOST_RETRY_S = 5.0
-# Sends beyond the route's attempts that engines may refuse unrun, or die under. They
-# don't count against the route, but each is work for the engines that are left. A
-# request without an answer can be told to come back instead; one whose answer has begun
-# goes on as long as the retry budget lasts.
+# Missing layers are back once an engine has loaded them. All layers take 14 s, one
+# engine's range 1 to 2 s.
+NO_CHAIN_RETRY_S = 3.0
+# Room becomes free as streams end; a stream lasts 2.2 s on average. Most clients retry
+# only once, so too short a time costs them the answer.
+NO_ROOM_RETRY_S = 2.0
+# Clients shorten a Retry-After of more than a third of their time left (some 6 s) to
+# that third.
+MAX_RETRY_AFTER_S = 5.0
+# Sends beyond the route's attempts, for engines that refuse a request without running
+# it or die while running it. They don't count against the route, but each loads the
+# remaining engines. A request without an answer can be refused with Retry-After
+# instead; one whose answer has begun is resumed as long as the retry budget lasts.
 MAX_EXTRA_SENDS = 4
 
-# How long a request keeps away from an engine that refused it for want of room: as long
-# as a usual answer takes to end there.
-REFUSED_S = 2.0
+# How long a request avoids an engine that refused it for lack of room: as long as a
+# usual answer takes.
+REFUSAL_EXCLUSION_S = 2.0
 
 RETRY_AFTER_S = {
-    NO_CHAIN: HOLE_RETRY_S,
-    NO_ROOM: ROOM_RETRY_S,
+    NO_CHAIN: NO_CHAIN_RETRY_S,
+    NO_ROOM: NO_ROOM_RETRY_S,
     LIMITED: 0.0,
     BACKING_OFF: 0.0,
 }
 
 
-async def serve(job: Job, watch: Watch) -> None:
-    """See a stream to its end."""
-    stream = Stream(job, watch)
-    failed = Failed(NO_CHAIN, is_not_run=True, is_sent=False)
+async def serve(job: Job, supervisor: StreamSupervisor) -> None:
+    """Serve a stream: run attempts until its answer has ended or none may follow."""
+    stream = Stream(job, supervisor)
+    failed = FailedAttempt(NO_CHAIN, is_not_run=True, is_sent=False)
     has_run = False
     while True:
         await crashes.delay_suspect(job)
@@ -62,7 +63,7 @@
             break
         if crashes.is_blocked(job, now_s()):
             streamchains.release(stream)
-            await _refuse_for_good(stream)
+            await _refuse_permanently(stream)
             return
         result = await _attempt(stream)
         if result is None:
@@ -70,7 +71,7 @@
         if result.is_broken:
             await crashes.wait_for_engine_verdict(job, chain[0].engine_id)
         if crashes.is_blocked(job, now_s()):
-            await _refuse_for_good(stream)
+            await _refuse_permanently(stream)
             return
         if not result.is_not_run:
             stream.ran_engine_ids.append(chain[0].engine_id)
@@ -82,43 +83,44 @@
 
 
 async def _may_retry(stream, failed):
-    """Tell whether the stream may go out once more.
+    """Return whether the stream may be sent again.
 
-    The route bounds the engines that a request runs on, not how often it goes out, and
-    that bound is kept where a chain is chosen (`streamchains.bounding_firsts`): here no
-    run counts against it.
+    The route limits the engines that a request runs on, not how often it is sent. That
+    limit is applied where a chain is chosen (`streamchains.allowed_first_engines`), so
+    no run is counted here.
     """
-    job, most_runs = stream.job, stream.job.route.max_attempts
-    if not stream.has_begun and job.attempts >= most_runs + MAX_EXTRA_SENDS:
+    job, max_runs = stream.job, stream.job.route.max_attempts
+    if not stream.has_begun and job.attempts >= max_runs + MAX_EXTRA_SENDS:
         return False
     return await attempts.may_retry(
-        job, failed, 0, most_runs, EXPECTED_S, has_begun=stream.has_begun
+        job, failed, 0, max_runs, EXPECTED_S, has_begun=stream.has_begun
     )
 
 
-async def _refuse_for_good(stream):
+async def _refuse_permanently(stream):
     if stream.has_begun:
         crashes.log_refused(stream.job, now_s())
         stream.job.outcome = f"broken off: {crashes.REFUSED_AS_CRASHING.reason}"
         return
-    await stream.job.refuse_for_good()
+    await stream.job.refuse_permanently()
 
 
 async def _give_up(stream, failed):
     job = stream.job
     if stream.has_begun:
-        # The connection closes without an end, so that the answer can't look complete.
+        # The connection closes without an end, so that the answer doesn't look
+        # complete.
         job.outcome = f"broken off: {failed.reason}"
         return
     if failed.is_not_run and failed.reason in RETRY_AFTER_S:
         usual_s = RETRY_AFTER_S[failed.reason]
-        retry_after_s = min(MOST_RETRY_S, max(usual_s, stream.retry_after_s))
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(usual_s, stream.retry_after_s))
         await job.refuse(Refused(503, failed.reason, retry_after_s))
         return
     await job.fail(failed)
 
 
-async def _attempt(stream: Stream) -> Failed | None:
+async def _attempt(stream: Stream) -> FailedAttempt | None:
     """Run the stream over its chain; return None once its answer has ended."""
     try:
         return await _exchange(stream)
@@ -131,11 +133,11 @@
     try:
         connection = await attempts.open_connection(job, first.address)
     except ConnectFailed as error:
-        supervision.lose_first(stream, str(error))
-        return Failed(str(error), is_not_run=True, is_sent=False)
+        supervision.mark_first_dead(stream, str(error))
+        return FailedAttempt(str(error), is_not_run=True, is_sent=False)
     job.attempts += 1
     is_kept = False
-    _watch(stream, connection)
+    _start_watching(stream, connection)
     try:
         sending = job.sending(
             first.engine_id, last_event=_last_event(stream), chain=stream.chain
@@ -146,22 +148,23 @@
             engine_id=first.engine_id,
             last_event=sending.last_event,
         )
-        _note_sent(stream)
+        _record_sent(stream)
         await attempts.send(job, connection, sending)
         failed = await _relay(stream, connection)
         is_kept = failed is None or failed.is_not_run
         return failed
     except (AnswerLate, AnswerBroken) as error:
         is_broken = isinstance(error, AnswerBroken)
-        is_broken = is_broken and (not stream.broken or stream.has_lost_first)
-        reason = stream.broken or str(error)
-        if not stream.broken:
-            # All streams of an engine that crashes break at the same moment. Each would
-            # go straight back to it, and spend its last attempt on a reset connection.
-            supervision.lose_first(stream, reason, is_unreached=False)
-        if not stream.broken or stream.has_lost_first:
-            _note_break(stream, reason, is_broken)
-        return Failed(
+        is_broken = is_broken and (not stream.break_reason or stream.has_lost_first)
+        reason = stream.break_reason or str(error)
+        if not stream.break_reason:
+            # When an engine crashes, all its streams break at once. Without this, each
+            # would return to it at once and spend its last attempt on a reset
+            # connection.
+            supervision.mark_first_dead(stream, reason, is_unreached=False)
+        if not stream.break_reason or stream.has_lost_first:
+            _record_break(stream, reason, is_broken)
+        return FailedAttempt(
             reason,
             is_not_run=False,
             is_late=stream.is_late,
@@ -169,18 +172,18 @@
         )
     finally:
         stream.connection = None
-        stream.note_read()
+        stream.record_prompt_read()
         hangs.record_end(job.state.hangs, first.engine_id, job.facts.request_id)
-        stream.watch.streams.discard(stream)
+        stream.supervisor.streams.discard(stream)
         if is_kept:
             pool.give_back(job.state.pool, connection, now_s())
         else:
             connection.close()
 
 
-def _note_sent(stream):
+def _record_sent(stream):
     job, now = stream.job, now_s()
-    stream.note_sent()
+    stream.record_prompt_sent()
     hangs.record_sent(
         job.state.hangs,
         stream.chain[0].engine_id,
@@ -191,7 +194,7 @@
 
 
 def _note_head(stream):
-    """Take note that the first engine has begun the request, or refused it."""
+    """Record that the first engine has begun the request, or refused it."""
     job, now = stream.job, now_s()
     engine_id, request_id = stream.chain[0].engine_id, job.facts.request_id
     hangs.record_start(job.state.hangs, engine_id, request_id, now)
@@ -200,12 +203,12 @@
     stream.head_s = now
 
 
-def _note_break(stream, reason, is_broken):
-    """Keep how far a run had come when its engine broke it off."""
+def _record_break(stream, reason, is_broken):
+    """Record how far a run got when its engine broke it off."""
     job, engine_id, head_s = stream.job, stream.chain[0].engine_id, stream.head_s
     if is_broken and head_s is not None:
-        news = crashes.record_broken_run(job, engine_id, stream.position(), now_s())
-        stream.stalls.uplink.publish_crashes(news)
+        update = crashes.record_broken_run(job, engine_id, stream.position(), now_s())
+        stream.stalls.uplink.publish_crashes(update)
     job.note(
         "run-broken",
         True,
@@ -217,14 +220,14 @@
     )
 
 
-def _watch(stream, connection):
+def _start_watching(stream, connection):
     stream.connection = connection
-    stream.broken = ""
+    stream.break_reason = ""
     stream.has_lost_first = False
     stream.has_head = False
     stream.head_s = None
-    supervision.progressed(stream, now_s())
-    stream.watch.streams.add(stream)
+    supervision.record_progress(stream, now_s())
+    stream.supervisor.streams.add(stream)
 
 
 def _last_event(stream):
@@ -234,20 +237,20 @@
 
 
 async def _relay(stream, connection):
-    """Pass an engine's answer on; return what kept it from its end, if anything."""
+    """Relay an engine's answer; return the failure if it did not end."""
     job = stream.job
-    head, facts = await attempts.read_own_head(
+    head, facts = await attempts.read_matching_head(
         job, connection, stream.chain[0].engine_id, job.left_s()
     )
     _note_head(stream)
     if facts.is_not_run:
         await _read_rest(connection)
-        _avoid(stream, head.status, facts)
-        _note_refusal(stream, head, facts)
-        return Failed(f"status {head.status} from the engine", is_not_run=True)
+        _exclude_refusing(stream, head.status, facts)
+        _log_refusal(stream, head, facts)
+        return FailedAttempt(f"status {head.status} from the engine", is_not_run=True)
     if head.status != 200:
         body = await _read_rest(connection)
-        return await _pass_failure(stream, Whole(head.status, head.headers, body))
+        return await _pass_failure(stream, WholeAnswer(head.status, head.headers, body))
     if not stream.has_begun:
         await _begin(stream, head)
     await _pass_events(stream, connection)
@@ -255,33 +258,35 @@
     return None
 
 
-def _avoid(stream, status, facts):
-    """Keep away from the engine that refused: the named one, else the first itself.
+def _exclude_refusing(stream, status, facts):
+    """Exclude the engine that refused: the one named as at fault, else the first.
 
-    One that is full has room again soon; one that lacks the layers does not.
+    A full engine has room again soon; one without the layers is excluded for good.
     """
     address, now = facts.fault_address or stream.chain[0].address, now_s()
     if status == 421:
         stream.exclude(address)
         return
-    stream.exclude(address, now + REFUSED_S)
-    entrystate.note_full(stream.job.state, address, now)
+    stream.exclude(address, now + REFUSAL_EXCLUSION_S)
+    entrystate.record_full(stream.job.state, address, now)
 
 
 async def _begin(stream, head):
     job = stream.job
     headers = messages.answer_headers(head.headers)
-    # A stream that is carried on by another engine may have another length.
+    # A stream that is resumed on another engine may have another length.
     headers = [pair for pair in headers if pair[0] != b"content-length"]
     stream.has_begun = True
     await job.exchange.begin(head.status, headers)
 
 
 async def _pass_failure(stream, whole):
-    """Pass an engine's own failure on, unless it is to be tried once more."""
+    """Relay an engine's own failure to the client, unless the request is retried."""
     job = stream.job
     if stream.has_begun:
-        return Failed(f"status {whole.status} in a resumed stream", is_not_run=False)
+        return FailedAttempt(
+            f"status {whole.status} in a resumed stream", is_not_run=False
+        )
     failed = attempts.failure_of(whole, job.is_idempotent)
     if failed is not None:
         return failed
@@ -290,35 +295,35 @@
 
 
 async def _pass_events(stream, connection):
-    """Pass whole events on until the stream's complete end."""
+    """Relay whole events until the stream's complete end; raises AnswerBroken."""
     job = stream.job
     stream.splitter = events.EventSplitter()
     while True:
         data = await connection.read()
         if data is None:
             break
-        supervision.progressed(stream, now_s())
-        stream.note_read()
+        supervision.record_progress(stream, now_s())
+        stream.record_prompt_read()
         fresh = [e for e in events.split(stream.splitter, data) if _is_new(stream, e)]
         if not fresh:
             continue
-        job.note_piece(now_s())
-        _note_reached(stream, stream.position())
+        job.record_chunk(now_s())
+        _record_reached(stream, stream.position())
         await job.exchange.send(b"".join(event.data for event in fresh))
     if stream.splitter.rest:
         raise AnswerBroken("the stream ended inside an event")
-    _note_reached(stream, FINISHED)
+    _record_reached(stream, FINISHED)
     await job.exchange.end()
 
 
-def _note_reached(stream, event):
+def _record_reached(stream, event):
     stream.stalls.uplink.publish_crashes(
         crashes.record_progress(stream.job, event, now_s())
     )
 
 
 def _is_new(stream, event):
-    """Tell whether the client lacks an event, and take note that it gets it."""
+    """Return whether the client lacks an event, and record that it gets it."""
     if event.number is None:
         return True
     if stream.last_event is not None and event.number <= stream.last_event:
@@ -327,7 +332,7 @@
     return True
 
 
-def _note_refusal(stream, head, facts):
+def _log_refusal(stream, head, facts):
     stream.job.note(
         "engine-refused",
         status=head.status,
--- a/libs/node/test/test_reroute.py
+++ b/libs/node/test/test_reroute.py
@@ -13,39 +13,39 @@
 
 
 def a_stream(has_begun=True):
-    """Return a stream whose chain goes over two engines."""
+    """Return a stub of a stream with a chain of two engines."""
     labels = SimpleNamespace(labels=lambda *_: SimpleNamespace(inc=lambda: None))
     state = SimpleNamespace(metrics=SimpleNamespace(reroutes=labels))
     stream = SimpleNamespace(
-        job=SimpleNamespace(state=state, leaves_s=lambda: now_s() + 60.0),
+        job=SimpleNamespace(state=state, client_leaves_s=lambda: now_s() + 60.0),
         chain=CHAIN,
         connection=object(),
         exclude=lambda *_: None,
-        progressed_s=now_s(),
+        last_progress_s=now_s(),
         has_begun=has_begun,
     )
-    stream.broken = []
-    stream.break_off = stream.broken.append
+    stream.break_reason = []
+    stream.abort_attempt = stream.break_reason.append
     return stream
 
 
 class NoOtherChainTest(unittest.TestCase):
-    """An engine in the middle of a chain dies, and for a moment nobody else has room.
+    """Guards against aborting an attempt while no engine can replace the lost part.
 
-    The first engine holds the request and waits. Broken off at once, the stream lost
-    what was read of it and one of its two attempts, and waited all the same; with the
-    next death it ended in the middle.
+    An engine in the middle of a chain dies, and for a moment no other one has room. The
+    first engine still holds the request. An abort lost its cache and one of the
+    stream's two attempts, and after the next death the answer ended in the middle.
     """
 
-    def go_on(self, stream, parts, others=lambda: False, orders=None):
-        """Look after the stream while `parts` says over what chain it may go on."""
+    def replace(self, stream, parts, others=lambda: False, orders=None):
+        """Return the chains ordered; `parts` and `others` give the available chains."""
         orders = [] if orders is None else orders
 
-        async def order(_, chain):
+        async def request_reroute(_, chain):
             orders.append(chain)
             return 200, ""
 
-        async def play():
+        async def scenario():
             with anyio.fail_after(10):
                 await reroute.replace_lost(
                     stream, stream.connection, {CHAIN[1].address}
@@ -53,52 +53,52 @@
 
         with (
             mock.patch.object(reroute, "find_replacement", lambda *_: parts()),
-            mock.patch.object(reroute, "order", order),
-            mock.patch.object(reroute, "take"),
-            mock.patch.object(reroute, "PART_POLL_S", 0.001),
+            mock.patch.object(reroute, "request_reroute", request_reroute),
+            mock.patch.object(reroute, "switch_chain"),
+            mock.patch.object(reroute, "REPLACEMENT_POLL_S", 0.001),
             mock.patch.object(
                 reroute.streamchains, "has_other_chain", lambda *_: others()
             ),
         ):
-            anyio.run(play)
+            anyio.run(scenario)
         return orders
 
-    def test_it_goes_on_once_another_engine_has_room(self):
+    def test_the_stream_is_rerouted_once_another_engine_has_room(self):
         stream, tries = a_stream(), []
 
         def parts():
             tries.append(1)
             return OTHER if len(tries) > 5 else None
 
-        self.assertEqual(self.go_on(stream, parts), [OTHER])
-        self.assertEqual(stream.broken, [])
+        self.assertEqual(self.replace(stream, parts), [OTHER])
+        self.assertEqual(stream.break_reason, [])
 
-    def test_it_goes_elsewhere_as_soon_as_there_is_another_whole_chain(self):
-        stream, looks = a_stream(), []
+    def test_the_attempt_is_aborted_once_there_is_another_whole_chain(self):
+        stream, checks = a_stream(), []
 
         def others():
-            looks.append(1)
-            return len(looks) > 3
+            checks.append(1)
+            return len(checks) > 3
 
-        self.assertEqual(self.go_on(stream, lambda: None, others), [])
-        self.assertEqual(len(stream.broken), 1)
+        self.assertEqual(self.replace(stream, lambda: None, others), [])
+        self.assertEqual(len(stream.break_reason), 1)
 
-    def test_a_stream_without_any_event_goes_elsewhere_at_once(self):
+    def test_the_attempt_of_a_stream_without_any_event_is_aborted_at_once(self):
         stream = a_stream(has_begun=False)
-        self.go_on(stream, lambda: None)
-        self.assertEqual(len(stream.broken), 1)
+        self.replace(stream, lambda: None)
+        self.assertEqual(len(stream.break_reason), 1)
 
-    def test_it_is_left_alone_when_its_chain_goes_on_after_all(self):
+    def test_nothing_is_done_if_the_chain_continues_after_all(self):
         stream, tries = a_stream(), []
 
         def parts():
             tries.append(1)
             if len(tries) > 3:
-                stream.progressed_s += 1.0
+                stream.last_progress_s += 1.0
             return None
 
-        self.go_on(stream, parts)
-        self.assertEqual(stream.broken, [])
+        self.replace(stream, parts)
+        self.assertEqual(stream.break_reason, [])
 
     def test_nothing_is_done_once_the_attempt_has_ended(self):
         stream = a_stream()
@@ -107,8 +107,8 @@
             stream.connection = None
             return None
 
-        self.go_on(stream, parts)
-        self.assertEqual(stream.broken, [])
+        self.replace(stream, parts)
+        self.assertEqual(stream.break_reason, [])
 
 
 if __name__ == "__main__":
