--- a/libs/node/src/cherryrudder/node/control.py
+++ b/libs/node/src/cherryrudder/node/control.py
@@ -4,20 +4,20 @@
 
 from cherryrudder.platform.settings import NodeSettings
 
-from . import httpserver, seatkeeper, surface
+from . import httpserver, surface, voterrunner
 from .controlapi import ControlApi
 from .controlbeats import ControlBeats
 from .controlstate import ControlState
 from .httpserver import HttpServer
-from .layerkeeper import LayerKeeper
+from .layercontroller import LayerController
 from .linesink import LineSink
 from .metrics import Metrics
 from .surface import Shown
 
 # How long a process that is to stop waits for its leadership to be taken over and for
 # the calls that it has begun; the platform gives eight seconds.
-HAND_OVER_S = 0.3
-LAST_CALLS_S = 2.0
+HANDOVER_WAIT_S = 0.3
+DRAIN_TIMEOUT_S = 2.0
 
 
 async def run(
@@ -31,10 +31,12 @@
         group.start_soon(
             surface.serve,
             f"{settings.ip}:{surface.PORTS['control']}",
-            Shown(metrics, state.crashes, beats.tell_crashes, beats.rates.told),
+            Shown(
+                metrics, state.crashes, beats.tell_crashes, beats.rates.report_limits
+            ),
         )
-        group.start_soon(seatkeeper.run, state, beats.on_applied)
-        group.start_soon(LayerKeeper(state, beats, group).run)
+        group.start_soon(voterrunner.run, state, beats.on_applied)
+        group.start_soon(LayerController(state, beats, group).run)
         server = HttpServer(ControlApi(state, beats).handle)
         group.start_soon(httpserver.serve, server, settings.control_address)
         await leaving.wait()
@@ -44,9 +46,9 @@
 
 async def _stop(state, server):
     server.is_closing = True
-    seatkeeper.hand_over(state)
-    await anyio.sleep(HAND_OVER_S)
-    with anyio.move_on_after(LAST_CALLS_S):
+    voterrunner.transfer_leadership(state)
+    await anyio.sleep(HANDOVER_WAIT_S)
+    with anyio.move_on_after(DRAIN_TIMEOUT_S):
         while server.busy():
             await anyio.sleep(0.02)
     state.stopping.set()
--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -16,7 +16,7 @@
 
 # Callers turn to another VM after a second without an answer; this leaves them time
 # to hear the reason.
-ANSWER_S = 0.85
+ANSWER_TIMEOUT_S = 0.85
 # Without a confirmation for this long, a VM may be cut off from the others. It then
 # sends engines to another one, so that every entry hears of them.
 CUT_OFF_S = 1.6
@@ -30,7 +30,7 @@
 
     def __init__(self, state: ControlState, beats: ControlBeats):
         self.state = state
-        self.beats = beats
+        self.gossip = beats
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one call."""
@@ -64,7 +64,7 @@
             return
         if tablesync.hear(self.state.endpoints, heard, now_s()):
             self._log_endpoint("endpoint", heard)
-            self.beats.spread([heard.engine_id])
+            self.gossip.spread([heard.engine_id])
         if self._is_cut_off():
             # Heard all the same; but the others should hear it, too. Were it content
             # here, they would take it for lost, and its layers for a hole.
@@ -86,11 +86,11 @@
         # Without its start, the notice is of the incarnation known by that name.
         known = endpoints.newest_incarnation(self.state.endpoints.table, name)
         engine_id = result.ok or known or name
-        if tablesync.sign_off(self.state.endpoints, engine_id, now_s()):
+        if tablesync.record_sign_off(self.state.endpoints, engine_id, now_s()):
             is_gone = self.state.endpoints.table.entries[engine_id].is_gone
             event = "endpoint-gone" if is_gone else "endpoint-signed-off"
             self.state.sink.write("control", event, True, engine_id=engine_id)
-            self.beats.spread([engine_id])
+            self.gossip.spread([engine_id])
         if self._is_cut_off():
             await _fail(exchange, 503, "cut off from the other control VMs")
             return
@@ -138,7 +138,7 @@
             return 200, configlog.Taken.SUPERSEDED
         try:
             payload = configlog.encode(configlog.Put(version, configlog.pack(text)))
-            outcome = await voter.propose(payload, ANSWER_S)
+            outcome = await voter.propose(payload, ANSWER_TIMEOUT_S)
         except ReplicaError as error:
             return 503, str(error)
         # The operators' rule is that a version that isn't higher is acknowledged and
@@ -151,7 +151,7 @@
             if voter is None:
                 await _fail(exchange, 503, "the log is not open")
                 return
-            await voter.confirm(ANSWER_S)
+            await voter.confirm(ANSWER_TIMEOUT_S)
         except ReplicaError as error:
             self.state.sink.write("control", "read-unconfirmed", True, error=str(error))
             await _fail(exchange, 503, str(error))
--- a/libs/node/src/cherryrudder/node/controlstate.py
+++ b/libs/node/src/cherryrudder/node/controlstate.py
@@ -13,12 +13,12 @@
 from cherryrudder.routing.configuration import Service
 
 from . import gossip
-from .council import Member
 from .crashdesk import CrashDesk
 from .linesink import LineSink
 from .metrics import Metrics
 from .roster import Roster
 from .tablesync import SharedTable
+from .voterplanner import Member
 
 if TYPE_CHECKING:
     from cherryrudder.replica.voter import Voter
@@ -89,8 +89,8 @@
         """Return the control processes that tell of themselves, this one included."""
         own = VoterName(self.settings.vm, self.disk_id, self.log_address)
         found = [Member(own, bool(self.settings.data_folder), now_s)]
-        for present in self.roster.heard.values():
-            beat = present.beat
+        for present in self.roster.peers.values():
+            beat = present.message
             if beat.disk_id:
                 name = VoterName(beat.vm, beat.disk_id, beat.log_address)
                 found.append(Member(name, beat.has_disk, present.heard_s))
--- a/libs/node/src/cherryrudder/node/crashdesk.py
+++ b/libs/node/src/cherryrudder/node/crashdesk.py
@@ -6,8 +6,8 @@
 from cherryrudder.routing.crashbook import Block, CrashBook, Record
 
 from . import crashsync
-from .crashsync import Marks
-from .gossip import CrashNews, CrashSync, ToldRecord
+from .crashsync import PeerPositions
+from .gossip import CrashNews, CrashSync, ReportedRecord
 from .linesink import LineSink
 from .metrics import Metrics
 
@@ -17,39 +17,41 @@
 
     def __init__(self, boot: str, sink: LineSink, metrics: Metrics):
         self.book = CrashBook(boot)
-        self.marks = Marks()
+        self.positions = PeerPositions()
         self._sink = sink
         self._metrics = metrics
 
-    def take(self, address: str, sync: CrashSync, now_s: float) -> list[str]:
+    def merge_sync(self, address: str, sync: CrashSync, now_s: float) -> list[str]:
         """Take what came with a beat; return the fingerprints it is news of."""
-        news = crashsync.take(self.book, self.marks, address, sync, now_s)
-        self._conclude(news, now_s)
+        news = crashsync.merge_sync(self.book, self.positions, address, sync, now_s)
+        self._refresh_if_relevant(news, now_s)
         return news
 
-    def take_records(self, records: tuple[ToldRecord, ...], now_s: float) -> list[str]:
+    def merge_records(
+        self, records: tuple[ReportedRecord, ...], now_s: float
+    ) -> list[str]:
         """Take news; return the fingerprints it is news of."""
-        news = crashsync.take_records(self.book, records, now_s)
-        self._conclude(news, now_s)
+        news = crashsync.merge_records(self.book, records, now_s)
+        self._refresh_if_relevant(news, now_s)
         return news
 
-    def note(self, records: dict[str, Record], now_s: float) -> CrashNews:
+    def record(self, records: dict[str, Record], now_s: float) -> CrashNews:
         """Take what this process itself saw; return what others are to hear of it."""
         news = [one for one in records if crashbook.merge(self.book, one, records[one])]
-        self._conclude(news, now_s)
-        return self.news_of(news, now_s)
+        self._refresh_if_relevant(news, now_s)
+        return self.make_update(news, now_s)
 
-    def news_of(self, fingerprints: Iterable[str], now_s: float) -> CrashNews:
+    def make_update(self, fingerprints: Iterable[str], now_s: float) -> CrashNews:
         """Return what others are to hear of some requests."""
-        return CrashNews(crashsync.records_of(self.book, fingerprints, now_s))
+        return CrashNews(crashsync.report_records(self.book, fingerprints, now_s))
 
-    def message(self, address: str, now_s: float) -> CrashSync:
+    def make_sync(self, address: str, now_s: float) -> CrashSync:
         """Return what the process at an address is to hear with the next beat."""
-        return crashsync.message(self.book, self.marks, address, now_s)
+        return crashsync.make_sync(self.book, self.positions, address, now_s)
 
-    def has_heard(self) -> bool:
+    def has_synced(self) -> bool:
         """Tell whether any other process has told its book."""
-        return bool(self.marks.seen)
+        return bool(self.positions.applied)
 
     def is_watched(self, fingerprint: str) -> bool:
         """Tell whether it matters how far a request gets."""
@@ -65,7 +67,7 @@
         known = self.book.records.get(fingerprint)
         if known is None or fingerprint not in self.book.blocks:
             return CrashNews(())
-        return self.note({fingerprint: known._replace(lifted_s=now_s)}, now_s)
+        return self.record({fingerprint: known._replace(lifted_s=now_s)}, now_s)
 
     def dump(self, now_s: float) -> dict:
         """Return all blocks and suspects, for operators."""
@@ -84,14 +86,14 @@
         suspects = sorted(self.book.suspects)
         return {"blocks": blocks, "suspects": suspects, "records": len(records)}
 
-    def review(self, present: set[str], now_s: float) -> None:
+    def sweep(self, present: set[str], now_s: float) -> None:
         """Forget what is old, and end the blocks that are over."""
         if self.book.records:
             crashbook.sweep(self.book, now_s)
             self._refresh(now_s)
-        crashsync.forget(self.marks, present)
+        crashsync.forget(self.positions, present)
 
-    def _conclude(self, news, now_s):
+    def _refresh_if_relevant(self, news, now_s):
         """Draw conclusions, unless each request has one crash at the most."""
         book = self.book
         if any(len(book.records[one].crashes) > 1 for one in news) or any(
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -22,8 +22,8 @@
 ENDS_ENGINES = Refused(400, "it ends the engines that run it")
 # How long a request that engines ended under before waits to hear whether this one has
 # ended, too: control VMs find it out in some milliseconds, and two ask for 0.4 s.
-FATE_S = 0.5
-FATE_POLL_S = 0.02
+VERDICT_WAIT_S = 0.5
+VERDICT_POLL_S = 0.02
 
 
 def is_blocked(job: "Job", now_s: float) -> bool:
@@ -54,7 +54,7 @@
 
 def broke(job: "Job", engine_id: str, event: int, now_s: float) -> CrashNews:
     """Keep a run that broke off; return what others are to hear of it."""
-    _forget_refuted_end(job.state, engine_id)
+    _drop_refuted_end(job.state, engine_id)
     run = BrokenRun(
         fingerprint=job.fingerprint,
         request_id=job.facts.request_id,
@@ -64,10 +64,10 @@
         broke_s=now_s,
     )
     brokenruns.broke(job.state.broken, engine_id, run)
-    return _blame(job.state, engine_id, now_s)
+    return _record_crashes(job.state, engine_id, now_s)
 
 
-def _forget_refuted_end(state, engine_id):
+def _drop_refuted_end(state, engine_id):
     """Drop an end after which the engine was heard again."""
     entry = state.endpoints.table.entries.get(engine_id)
     ended_s = state.broken.ended_s.get(engine_id, math.inf)
@@ -78,10 +78,10 @@
 def engine_ended(state: EntryState, engine_id: str, now_s: float) -> CrashNews:
     """Take note that an engine has ended; return what others are to hear."""
     brokenruns.ended(state.broken, engine_id, now_s)
-    return _blame(state, engine_id, now_s)
+    return _record_crashes(state, engine_id, now_s)
 
 
-def _blame(state, engine_id, now):
+def _record_crashes(state, engine_id, now):
     leaving_s = state.leaving_s.get(engine_id, math.inf)
     entry = state.endpoints.table.entries.get(engine_id)
     runs = brokenruns.take(state.broken, engine_id, leaving_s) if entry else []
@@ -101,7 +101,7 @@
             age_s=round(now - run.broke_s, 3),
             **run._asdict(),
         )
-    return state.crashes.note(records, now)
+    return state.crashes.record(records, now)
 
 
 def reached(job: "Job", event: int, now_s: float) -> CrashNews | None:
@@ -113,7 +113,7 @@
     if event <= crashbook.place(known) + blame.SAME_PLACE_EVENTS:
         return None
     record = Record(known.account, known.service, passed=event)
-    return desk.note({job.fingerprint: record}, now_s)
+    return desk.record({job.fingerprint: record}, now_s)
 
 
 async def wait_for_fate(job: "Job", engine_id: str) -> None:
@@ -121,11 +121,11 @@
 
     Only where others have before; else each further attempt would end one more.
     """
-    state, until_s = job.state, now_s() + FATE_S
+    state, until_s = job.state, now_s() + VERDICT_WAIT_S
     if job.fingerprint not in state.crashes.book.records:
         return
     while now_s() < until_s and engine_id in state.broken.runs:
-        await anyio.sleep(FATE_POLL_S)
+        await anyio.sleep(VERDICT_POLL_S)
 
 
 async def wait_apart(job: "Job") -> None:
--- a/libs/node/src/cherryrudder/node/crashsync.py
+++ b/libs/node/src/cherryrudder/node/crashsync.py
@@ -7,43 +7,45 @@
 from cherryrudder.routing import crashbook
 from cherryrudder.routing.crashbook import Crash, CrashBook, Record
 
-from .gossip import CrashSync, TableMark, ToldCrash, ToldRecord
+from .gossip import CrashSync, ReportedCrash, ReportedRecord, SyncPosition
 
-NOTHING = TableMark("", 0)
+NO_POSITION = SyncPosition("", 0)
 
 
-class Marks:
+class PeerPositions:
     """How far this process follows the books of others, and they its own."""
 
     def __init__(self):
-        self.seen: dict[str, TableMark] = {}
-        self.told: dict[str, TableMark] = {}
+        self.applied: dict[str, SyncPosition] = {}
+        self.acked: dict[str, SyncPosition] = {}
 
 
-def message(book: CrashBook, marks: Marks, address: str, now_s: float) -> CrashSync:
+def make_sync(
+    book: CrashBook, marks: PeerPositions, address: str, now_s: float
+) -> CrashSync:
     """Return what the process at an address is to hear with the next beat."""
-    told = marks.told.get(address, NOTHING)
+    told = marks.acked.get(address, NO_POSITION)
     since = told.version if told.boot == book.boot else -1
     news = [one for one, version in book.changed.items() if version > since]
     return CrashSync(
-        TableMark(book.boot, book.version),
+        SyncPosition(book.boot, book.version),
         since,
-        marks.seen.get(address, NOTHING),
-        records_of(book, news, now_s),
+        marks.applied.get(address, NO_POSITION),
+        report_records(book, news, now_s),
     )
 
 
-def take(
-    book: CrashBook, marks: Marks, address: str, sync: CrashSync, now_s: float
+def merge_sync(
+    book: CrashBook, marks: PeerPositions, address: str, sync: CrashSync, now_s: float
 ) -> list[str]:
     """Take what came with a beat; return the fingerprints it is news of."""
-    if _follows(marks.seen.get(address, NOTHING), sync):
-        marks.seen[address] = sync.mark
-    marks.told[address] = sync.seen
-    return take_records(book, sync.records, now_s)
+    if _is_contiguous(marks.applied.get(address, NO_POSITION), sync):
+        marks.applied[address] = sync.position
+    marks.acked[address] = sync.acked
+    return merge_records(book, sync.records, now_s)
 
 
-def _follows(seen, sync):
+def _is_contiguous(seen, sync):
     """Tell whether nothing lies between what this process has and what came.
 
     A sender that hasn't heard yet that this process started again leaves out what the
@@ -51,11 +53,11 @@
     """
     if sync.since < 0:
         return True
-    return seen.boot == sync.mark.boot and seen.version >= sync.since
+    return seen.boot == sync.position.boot and seen.version >= sync.since
 
 
-def take_records(
-    book: CrashBook, records: tuple[ToldRecord, ...], now_s: float
+def merge_records(
+    book: CrashBook, records: tuple[ReportedRecord, ...], now_s: float
 ) -> list[str]:
     """Merge records; return the fingerprints they are news of."""
     return [
@@ -65,25 +67,27 @@
     ]
 
 
-def records_of(book: CrashBook, fingerprints, now_s: float) -> tuple[ToldRecord, ...]:
+def report_records(
+    book: CrashBook, fingerprints, now_s: float
+) -> tuple[ReportedRecord, ...]:
     """Return some records as they are told to others."""
     known = [one for one in fingerprints if one in book.records]
     return tuple(_write(one, book.records[one], now_s) for one in known)
 
 
-def forget(marks: Marks, present: set[str]) -> None:
+def forget(marks: PeerPositions, present: set[str]) -> None:
     """Drop what is kept of processes that are gone."""
-    for kept in (marks.seen, marks.told):
+    for kept in (marks.applied, marks.acked):
         for address in set(kept) - present:
             del kept[address]
 
 
 def _write(fingerprint, record, now_s):
     crashes = (
-        ToldCrash(*crash[:-1], age_s=now_s - crash.at_s) for crash in record.crashes
+        ReportedCrash(*crash[:-1], age_s=now_s - crash.at_s) for crash in record.crashes
     )
     is_lifted = record.lifted_s > float("-inf")
-    return ToldRecord(
+    return ReportedRecord(
         fingerprint,
         record.account,
         record.service,
--- a/libs/node/src/cherryrudder/node/gossip.py
+++ b/libs/node/src/cherryrudder/node/gossip.py
@@ -18,7 +18,7 @@
 log = logger.bind(part="gossip")
 
 
-class Heard(NamedTuple):
+class EndpointState(NamedTuple):
     """An endpoint as the sender knows it; `age_s` is since it was last heard."""
 
     announcement: Announcement
@@ -26,7 +26,7 @@
     is_gone: bool
 
 
-class Alive(NamedTuple):
+class Liveness(NamedTuple):
     """A sign of life that brings no other news."""
 
     engine_id: str
@@ -43,14 +43,14 @@
     firsts: int
 
 
-class TableMark(NamedTuple):
+class SyncPosition(NamedTuple):
     """How far a reader has followed the endpoints' table of one control process."""
 
     boot: str
     version: int
 
 
-class ToldCrash(NamedTuple):
+class ReportedCrash(NamedTuple):
     """An engine that ended after it had begun a request, `age_s` ago."""
 
     engine_id: str
@@ -60,13 +60,13 @@
     age_s: float
 
 
-class ToldRecord(NamedTuple):
+class ReportedRecord(NamedTuple):
     """What the sender knows of one request under which engines ended."""
 
     fingerprint: str
     account: str
     service: str
-    crashes: tuple[ToldCrash, ...]
+    crashes: tuple[ReportedCrash, ...]
     # Furthest event of a run whose engine lived on, -1 for none.
     passed: int
     # Since an operator said that it may run; None when none did.
@@ -76,14 +76,14 @@
 class CrashSync(NamedTuple):
     """The sender's book since what the reader has, and how far it has the reader's."""
 
-    mark: TableMark
+    position: SyncPosition
     # The version since which the records are, as the sender last heard; -1 for all.
     since: int
-    seen: TableMark
-    records: tuple[ToldRecord, ...]
+    acked: SyncPosition
+    records: tuple[ReportedRecord, ...]
 
 
-class ToldLimit(NamedTuple):
+class ReportedLimit(NamedTuple):
     """The requests a second that an engine takes, as it said `age_s` ago."""
 
     engine_id: str
@@ -92,7 +92,7 @@
     age_s: float
 
 
-class EntryBeat(NamedTuple):
+class EntryHeartbeat(NamedTuple):
     """An entry's regular message to each control VM."""
 
     vm: str
@@ -103,17 +103,17 @@
     sent_s: float
     # Version of the configuration that is in force at the entry, 0 for none.
     version: int
-    seen: TableMark
+    acked: SyncPosition
     # Both are sent only to the control VMs that tell the entries of their data centre.
     usage: tuple[Usage, ...]
     # Requests and retries of this entry within the operators' window.
     spent: tuple[Spent, ...]
     # One control VM is asked for what other entries have running and have spent, and
     # for the signs of life of all endpoints.
-    wants_all: bool
+    requests_all: bool
     # For the control VM that is asked for all, and at first for each.
     crashes: CrashSync | None = None
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
 
 
 class ControlAnswer(NamedTuple):
@@ -127,8 +127,8 @@
     version: int
     controls: tuple[str, ...]
     table_version: int
-    endpoints: tuple[Heard, ...]
-    alive: tuple[Alive, ...]
+    endpoints: tuple[EndpointState, ...]
+    alive: tuple[Liveness, ...]
     vm_zone: str
     # Of all other entries together; None when it wasn't asked for.
     usage: tuple[Usage, ...] | None
@@ -139,10 +139,10 @@
     entries: int
     # To a beat that brought some.
     crashes: CrashSync | None = None
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
 
 
-class ControlBeat(NamedTuple):
+class ControlHeartbeat(NamedTuple):
     """A control VM's regular message to each other."""
 
     boot: str
@@ -156,21 +156,21 @@
     vm_zone: str
     is_founding: bool
     controls: tuple[str, ...]
-    seen: TableMark
+    acked: SyncPosition
     table_version: int
-    endpoints: tuple[Heard, ...]
-    alive: tuple[Alive, ...]
+    endpoints: tuple[EndpointState, ...]
+    alive: tuple[Liveness, ...]
     crashes: CrashSync | None = None
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
 
 
-class EndpointNews(NamedTuple):
+class EndpointUpdate(NamedTuple):
     """Endpoints that changed just now."""
 
-    endpoints: tuple[Heard, ...]
+    endpoints: tuple[EndpointState, ...]
 
 
-class ConfigurationNews(NamedTuple):
+class ConfigurationUpdate(NamedTuple):
     """A configuration that was accepted, packed as it is in the log."""
 
     version: int
@@ -220,13 +220,13 @@
 class CrashNews(NamedTuple):
     """Requests under which an engine has ended just now, or that got further."""
 
-    records: tuple[ToldRecord, ...]
+    records: tuple[ReportedRecord, ...]
 
 
-class LimitNews(NamedTuple):
+class LimitUpdate(NamedTuple):
     """Engines that have just named a limit, changed it or ended it."""
 
-    limits: tuple[ToldLimit, ...]
+    limits: tuple[ReportedLimit, ...]
 
 
 class PermitRequest(NamedTuple):
@@ -234,7 +234,7 @@
 
     # Where the entry takes the answer.
     sender: str
-    limit: ToldLimit
+    limit: ReportedLimit
     count: int
 
 
@@ -259,11 +259,11 @@
 
 
 KINDS = (
-    EntryBeat,
+    EntryHeartbeat,
     ControlAnswer,
-    ControlBeat,
-    EndpointNews,
-    ConfigurationNews,
+    ControlHeartbeat,
+    EndpointUpdate,
+    ConfigurationUpdate,
     Accusation,
     Acquittal,
     Question,
@@ -273,7 +273,7 @@
     CrashNews,
     Complaint,
     PaceNews,
-    LimitNews,
+    LimitUpdate,
     PermitRequest,
     PermitGrant,
 )
@@ -296,7 +296,7 @@
     return Ports(first_port, first_port + 1, first_port + 2)
 
 
-def deliver(peer: str, messages: Iterable, take: Callable) -> None:
+def deliver(peer: str, messages: Iterable, handle: Callable) -> None:
     """Hand messages on one by one, and leave out any that the reader fails at.
 
     All processes read the same news: one that ended its reader would end the others,
@@ -304,7 +304,7 @@
     """
     for message in messages:
         try:
-            take(message)
+            handle(message)
         except Exception as error:
             kind = type(message).__name__
             log.opt(exception=error).error("{} from {} was left out.", kind, peer)
--- a/libs/node/src/cherryrudder/node/layerkeeper.py
+++ b/libs/node/src/cherryrudder/node/layercontroller.py
@@ -23,60 +23,60 @@
 from .controlstate import ControlState
 from .errors import EngineCallFailed
 
-REVIEW_S = 0.25
+REVIEW_INTERVAL_S = 0.25
 # At the first start the engines announce themselves one after the other; a plan made
 # from some of them gives each too many layers. They are planned once nobody new has
 # come for longer than one heartbeat (1.2 s).
-SETTLE_S = 1.5
+FIRST_PLAN_QUIET_S = 1.5
 # A death that an entry and a control VM found is acted upon after this time: engines
 # that were lost together, as those of a rack, are found within it, and one plan covers
 # all. Waiting for missed heartbeats instead leaves a hole in the layers for 3 s more.
-TOGETHER_S = 0.25
+DEATH_BATCH_S = 0.25
 # A process that has just started hears of the engines one by one, within two of their
 # heartbeats. What it doesn't know yet would look like holes.
-LISTEN_S = 3.0
+STARTUP_WAIT_S = 3.0
 # A load that takes this many times its nominal time is not waited for any longer.
-PATIENCE = 4.0
-PATIENCE_MORE_S = 3.0
+LOAD_TIMEOUT_FACTOR = 4.0
+LOAD_TIMEOUT_EXTRA_S = 3.0
 # Between looks at an engine that loads; a layer takes 0.2 s, and each look is a call.
-FOLLOW_S = 0.3
+LOAD_POLL_S = 0.3
 # An engine that has just come is not placed where nothing is missing: in a rolling
 # replacement the old one says within one heartbeat that it leaves.
-FRESH_S = 2.0
+NEW_ENGINE_S = 2.0
 # After a refused or failed order the engine is left alone for one of its heartbeats.
-RETRY_S = 1.2
+RETRY_DELAY_S = 1.2
 
 log = logger.bind(part="layers")
 
 
-class Ordered(NamedTuple):
+class PendingOrder(NamedTuple):
     """An order whose end was not seen yet."""
 
     holding: Holding
     until_s: float
 
 
-class LayerKeeper:
+class LayerController:
     """The orders of one control process while it leads."""
 
     def __init__(self, state: ControlState, beats: ControlBeats, group):
         self.state = state
-        self.beats = beats
+        self.gossip = beats
         self.group = group
-        self._ordered: dict[str, Ordered] = {}
+        self._pending: dict[str, PendingOrder] = {}
         self._not_before_s: dict[str, float] = {}
         self._known: frozenset[str] = frozenset()
-        self._came_s: dict[str, float] = {}
+        self._first_seen_s: dict[str, float] = {}
         self._changed_s = 0.0
         self._started_s = now_s()
 
     async def run(self) -> None:
         """Review the plan as long as this process runs."""
         while True:
-            await anyio.sleep(REVIEW_S)
+            await anyio.sleep(REVIEW_INTERVAL_S)
             if not self.state.is_leader():
                 # What another leader orders meanwhile is seen in the heartbeats.
-                self._ordered.clear()
+                self._pending.clear()
                 continue
             for service in self.state.services():
                 if service.model is not None and service.model.layers:
@@ -89,7 +89,7 @@
             for a in endpoints.live(self.state.endpoints.table, now)
             if a.service == service.name and not self._is_dead(a.engine_id, now)
         ]
-        self._settle(live, now)
+        self._update_known(live, now)
         if not self._is_settled(live, now):
             return
         holders = [self._holder(a, now) for a in live]
@@ -108,30 +108,30 @@
         if self.state.endpoints.table.entries[engine_id].heard_s > accused_s:
             del self.state.accused[engine_id]
             return False
-        return now - accused_s > TOGETHER_S
+        return now - accused_s > DEATH_BATCH_S
 
-    def _settle(self, live, now):
+    def _update_known(self, live, now):
         """Take note of who came, and of orders whose end the heartbeats show."""
         known = frozenset(a.engine_id for a in live)
         if known - self._known:
             self._changed_s = now
         self._known = known
-        self._came_s = {name: self._came_s.get(name, now) for name in known}
+        self._first_seen_s = {name: self._first_seen_s.get(name, now) for name in known}
         for announcement in live:
-            ordered = self._ordered.get(announcement.engine_id)
+            ordered = self._pending.get(announcement.engine_id)
             if ordered is None:
                 continue
             if announcement.holding == ordered.holding or now > ordered.until_s:
-                del self._ordered[announcement.engine_id]
+                del self._pending[announcement.engine_id]
 
     def _is_settled(self, live, now):
-        is_first = all(a.holding == NOTHING for a in live) and not self._ordered
+        is_first = all(a.holding == NOTHING for a in live) and not self._pending
         if is_first:
-            return bool(live) and now - self._changed_s > SETTLE_S
-        return now - self._started_s > LISTEN_S
+            return bool(live) and now - self._changed_s > FIRST_PLAN_QUIET_S
+        return now - self._started_s > STARTUP_WAIT_S
 
     def _holder(self, announcement: Announcement, now):
-        ordered = self._ordered.get(announcement.engine_id)
+        ordered = self._pending.get(announcement.engine_id)
         holding = ordered.holding if ordered else announcement.holding
         return Holder(
             address=announcement.address,
@@ -141,17 +141,17 @@
             holding=holding,
             is_busy=ordered is not None,
             is_leaving=endpoints.leaves(announcement),
-            is_fresh=now - self._came_s[announcement.engine_id] < FRESH_S,
+            is_fresh=now - self._first_seen_s[announcement.engine_id] < NEW_ENGINE_S,
         )
 
     async def _order(self, profile: ModelProfile, placement: Placement):
         holder, holding = placement
-        self._not_before_s[holder.engine_id] = now_s() + RETRY_S
+        self._not_before_s[holder.engine_id] = now_s() + RETRY_DELAY_S
         if not self.state.is_leader():
             return
         fence = self.state.voter.node.term
         try:
-            outcome = await _place(placement, fence)
+            outcome = await _send_order(placement, fence)
         except EngineCallFailed as error:
             outcome = f"failed: {error}"
         self.state.metrics.orders.labels(outcome.partition(":")[0]).inc()
@@ -169,18 +169,22 @@
         )
         if outcome in ("begun", "held"):
             share = (holding.end - holding.first) / profile.layers
-            patience_s = PATIENCE * profile.load_s * share + PATIENCE_MORE_S
-            ordered = Ordered(holding, now_s() + patience_s)
-            self._ordered[holder.engine_id] = ordered
-            self.group.start_soon(self._follow, holder, ordered)
+            patience_s = (
+                LOAD_TIMEOUT_FACTOR * profile.load_s * share + LOAD_TIMEOUT_EXTRA_S
+            )
+            ordered = PendingOrder(holding, now_s() + patience_s)
+            self._pending[holder.engine_id] = ordered
+            self.group.start_soon(self._watch_load, holder, ordered)
 
-    async def _follow(self, holder: Holder, ordered: Ordered):
+    async def _watch_load(self, holder: Holder, ordered: PendingOrder):
         """Tell everybody what an engine holds as soon as a load has changed it.
 
         Its own word comes with the next heartbeat, up to 1.2 s later; until then
         entries send requests to layers that it gave up, and none to the new ones.
         """
-        self._observe(holder.engine_id, _kept(holder.holding, ordered.holding))
+        self._record_holding(
+            holder.engine_id, _served_while_loading(holder.holding, ordered.holding)
+        )
         while now_s() < ordered.until_s:
             try:
                 report = await enginecalls.get_report(holder.address)
@@ -189,25 +193,25 @@
                 return
             # Anything else may be older than the engine's own last word.
             if report.holding == ordered.holding:
-                self._observe(holder.engine_id, report.holding)
+                self._record_holding(holder.engine_id, report.holding)
                 return
-            await anyio.sleep(FOLLOW_S)
+            await anyio.sleep(LOAD_POLL_S)
 
-    def _observe(self, engine_id, holding):
-        if tablesync.observe(self.state.endpoints, engine_id, holding, now_s()):
+    def _record_holding(self, engine_id, holding):
+        if tablesync.record_holding(self.state.endpoints, engine_id, holding, now_s()):
             self.state.sink.write(
                 "layers", "seen", True, engine_id=engine_id, layers=list(holding)
             )
-            self.beats.spread([engine_id])
+            self.gossip.spread([engine_id])
 
 
-def _kept(old: Holding, new: Holding) -> Holding:
+def _served_while_loading(old: Holding, new: Holding) -> Holding:
     """Return the layers that an engine goes on serving while it loads others."""
     first, end = max(old.first, new.first), min(old.end, new.end)
     return Holding(first, end) if first < end else NOTHING
 
 
-async def _place(placement: Placement, fence: int) -> str:
+async def _send_order(placement: Placement, fence: int) -> str:
     """Order one placement and return its outcome; raises EngineCallFailed."""
     holder, holding = placement
     report = await enginecalls.get_report(holder.address)
--- a/libs/node/src/cherryrudder/node/permitissuer.py
+++ b/libs/node/src/cherryrudder/node/permitissuer.py
@@ -13,7 +13,7 @@
 
 from . import ratekeeper, roster
 from .controlstate import ControlState
-from .gossip import LimitNews, PermitGrant, PermitRequest, ToldLimit
+from .gossip import LimitUpdate, PermitGrant, PermitRequest, ReportedLimit
 
 
 class PermitIssuer:
@@ -25,22 +25,22 @@
         self.book = LimitBook()
         self._issuers: dict[str, Issuer] = {}
 
-    def hear(self, told: Collection[ToldLimit], now_s: float) -> None:
+    def record_limits(self, told: Collection[ReportedLimit], now_s: float) -> None:
         """Take limits that others have heard, and pass on what is news."""
-        news = [one for one in told if self._is_news(one, now_s)]
+        news = [one for one in told if self._record_limit(one, now_s)]
         if not news:
             return
         for beat in roster.beats(self.state.entries, now_s):
-            if self._passes_on_to(beat.vm_zone, now_s):
-                self.links.send(beat.address, LimitNews(tuple(news)))
+            if self._forwards_to(beat.vm_zone, now_s):
+                self.links.send(beat.address, LimitUpdate(tuple(news)))
 
-    def answer(self, ask: PermitRequest, now_s: float) -> None:
+    def handle_request(self, ask: PermitRequest, now_s: float) -> None:
         """Hand out permits of an engine, or pass the ask on to who does.
 
         Entries that reach different control VMs would otherwise get the limit twice.
         """
-        self.hear((ask.limit,), now_s)
-        issuer_address = self._issuer_of(ask.limit.engine_id, now_s)
+        self.record_limits((ask.limit,), now_s)
+        issuer_address = self._find_issuer(ask.limit.engine_id, now_s)
         if issuer_address != self.state.address:
             self.links.send(issuer_address, ask)
             return
@@ -55,9 +55,9 @@
         self.state.metrics.permits.labels(outcome).inc()
         self.links.send(ask.sender, PermitGrant(engine_id, grant))
 
-    def told(self, now_s: float) -> tuple[ToldLimit, ...]:
+    def report_limits(self, now_s: float) -> tuple[ReportedLimit, ...]:
         """Return the limits as other processes are told them."""
-        return ratekeeper.told(self.book, now_s)
+        return ratekeeper.report_limits(self.book, now_s)
 
     def sweep(self, now_s: float) -> None:
         """Forget engines that are gone, and limits that ended long ago."""
@@ -66,7 +66,7 @@
         limited = self.book.limits
         self._issuers = {e: one for e, one in self._issuers.items() if e in limited}
 
-    def _is_news(self, one, now_s):
+    def _record_limit(self, one, now_s):
         said = Limit(one.per_s, now_s - one.age_s)
         if not ratelimits.hear(self.book, one.engine_id, said):
             return False
@@ -79,7 +79,7 @@
         )
         return True
 
-    def _issuer_of(self, engine_id, now_s):
+    def _find_issuer(self, engine_id, now_s):
         """Return the first control VM of an engine's data centre, or of all.
 
         Each passes on only to one before it, so that no ask goes round in circles.
@@ -92,7 +92,7 @@
         beside = [address for address, zone in zones.items() if zone == vm_zone]
         return min(beside or zones)
 
-    def _passes_on_to(self, vm_zone, now_s):
+    def _forwards_to(self, vm_zone, now_s):
         """Tell whether the entries of a data centre hear of news from here.
 
         Those without a control VM of their own hear it from all others.
--- a/libs/node/src/cherryrudder/node/ratekeeper.py
+++ b/libs/node/src/cherryrudder/node/ratekeeper.py
@@ -16,7 +16,7 @@
 from cherryrudder.routing import ratelimits
 from cherryrudder.routing.ratelimits import Limit, LimitBook
 
-from .gossip import LimitNews, PermitGrant, PermitRequest, ToldLimit
+from .gossip import LimitUpdate, PermitGrant, PermitRequest, ReportedLimit
 
 if TYPE_CHECKING:
     from .entrystate import EntryState
@@ -24,10 +24,10 @@
 
 # An issuer in the same data centre answers within some milliseconds, one in another
 # region within 50.
-ANSWER_S = 0.06
+PERMIT_TIMEOUT_S = 0.06
 
 
-class LimitShown(NamedTuple):
+class LimitView(NamedTuple):
     """A limit as the operators are shown it."""
 
     engine_id: str
@@ -45,8 +45,8 @@
         self.book = LimitBook()
         self.holders: dict[str, Holder] = {}
         # Replaced by the uplink: send an ask to an engine's issuer, and a limit to all.
-        self.send_ask: Callable[[PermitRequest], None] = lambda ask: None
-        self.spread: Callable[[LimitNews], None] = lambda news: None
+        self.send_request: Callable[[PermitRequest], None] = lambda ask: None
+        self.publish: Callable[[LimitUpdate], None] = lambda news: None
         # Set when an issuer has answered, and replaced by whoever waits for it.
         self.answered = anyio.Event()
 
@@ -65,10 +65,12 @@
     if ratelimits.hear(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
         job.note("engine-limit-named", True, engine_id=engine_id)
         _note_change(job.state, engine_id, known)
-        rates.spread(LimitNews((ToldLimit(engine_id, facts.limit_per_s, 0.0),)))
+        rates.publish(LimitUpdate((ReportedLimit(engine_id, facts.limit_per_s, 0.0),)))
 
 
-def hear(state: "EntryState", told: Collection[ToldLimit], now_s: float) -> None:
+def record_limits(
+    state: "EntryState", told: Collection[ReportedLimit], now_s: float
+) -> None:
     """Take limits that other processes have heard of."""
     book = state.rates.book
     for one in told:
@@ -90,10 +92,10 @@
     )
 
 
-def told(book: LimitBook, now_s: float) -> tuple[ToldLimit, ...]:
+def report_limits(book: LimitBook, now_s: float) -> tuple[ReportedLimit, ...]:
     """Return the limits as other processes are told them."""
     return tuple(
-        ToldLimit(engine_id, limit.per_s, now_s - limit.said_s)
+        ReportedLimit(engine_id, limit.per_s, now_s - limit.said_s)
         for engine_id, limit in book.limits.items()
     )
 
@@ -128,8 +130,8 @@
             continue
         permits.note_ask(holder, now_s)
         limit = rates.book.limits[engine_id]
-        named = ToldLimit(engine_id, limit.per_s, now_s - limit.said_s)
-        rates.send_ask(PermitRequest(state.address, named, 1))
+        named = ReportedLimit(engine_id, limit.per_s, now_s - limit.said_s)
+        rates.send_request(PermitRequest(state.address, named, 1))
 
 
 async def acquire(state: "EntryState", engine_ids: Collection[str]) -> None:
@@ -145,7 +147,7 @@
             return False
         return permits.is_pending(_holder(rates, engine_id), now_s())
 
-    with anyio.move_on_after(ANSWER_S) as scope:
+    with anyio.move_on_after(PERMIT_TIMEOUT_S) as scope:
         while any(is_open(engine_id) for engine_id in needed):
             await rates.answered.wait()
     if scope.cancelled_caught:
@@ -153,7 +155,7 @@
         state.sink.write("rates", "permit-unanswered", engine_ids=needed)
 
 
-def take(state: "EntryState", answer: PermitGrant, now_s: float) -> None:
+def record_grant(state: "EntryState", answer: PermitGrant, now_s: float) -> None:
     """Take an issuer's answer."""
     rates = state.rates
     holder = _holder(rates, answer.engine_id)
@@ -171,10 +173,10 @@
     return permits.wait_s(_holder(state.rates, engine_id), now_s)
 
 
-def dump(rates: RateKeeper, now_s: float) -> list[LimitShown]:
+def dump(rates: RateKeeper, now_s: float) -> list[LimitView]:
     """Return the limits for the operators."""
     return [
-        LimitShown(
+        LimitView(
             engine_id,
             limit.per_s,
             round(now_s - limit.said_s, 3),
--- a/libs/node/src/cherryrudder/node/roomdesk.py
+++ b/libs/node/src/cherryrudder/node/roomdesk.py
@@ -17,12 +17,12 @@
 
 # Room comes free when a stream ends, here or at another entry; the latter isn't told at
 # once. In a busy data centre one ends every 30 to 90 ms.
-TRY_S = 0.025
+TRY_INTERVAL_S = 0.025
 
 FindChain = Callable[[], Chain | None]
 
 
-class _Turn:
+class _Waiter:
     """One stream that waits for its turn."""
 
     def __init__(self, find_chain: FindChain, is_picky: bool):
@@ -37,7 +37,7 @@
 
     def __init__(self):
         self.queue = RoomQueue()
-        self._turns: dict[str, _Turn] = {}
+        self._waiters: dict[str, _Waiter] = {}
         self._wake = anyio.Event()
 
     def retry_after_s(self) -> float:
@@ -60,7 +60,7 @@
                 return chain
         if roomqueue.push(self.queue, request, now_s()) is not None:
             return None
-        turn = self._turns[request.request_id] = _Turn(find_chain, is_picky)
+        turn = self._waiters[request.request_id] = _Waiter(find_chain, is_picky)
         self._wake.set()
         try:
             await turn.is_over.wait()
@@ -68,7 +68,7 @@
             roomqueue.remove(self.queue, request.request_id)
             raise
         finally:
-            del self._turns[request.request_id]
+            del self._waiters[request.request_id]
         return turn.chain
 
     async def run(self) -> None:
@@ -77,16 +77,16 @@
             if not self.queue.waiting:
                 self._wake = anyio.Event()
                 await self._wake.wait()
-            self._give_turns()
-            await anyio.sleep(TRY_S)
+            self._serve_waiting()
+            await anyio.sleep(TRY_INTERVAL_S)
 
-    def _give_turns(self):
+    def _serve_waiting(self):
         now = now_s()
         for request in roomqueue.take_expired(self.queue, now):
-            self._turns[request.request_id].is_over.set()
+            self._waiters[request.request_id].is_over.set()
         skipped: set[str] = set()
         while (request := roomqueue.first(self.queue, now, skipped)) is not None:
-            turn = self._turns[request.request_id]
+            turn = self._waiters[request.request_id]
             turn.chain = turn.find_chain()
             if turn.chain is not None:
                 roomqueue.started(self.queue, request.request_id, now)
@@ -102,12 +102,12 @@
 
     def __init__(self, group: TaskGroup):
         self._group = group
-        self._desks: dict[str, RoomDesk] = {}
+        self._schedulers: dict[str, RoomDesk] = {}
 
     def of(self, service: str) -> RoomDesk:
         """Return a service's desk."""
-        desk = self._desks.get(service)
+        desk = self._schedulers.get(service)
         if desk is None:
-            desk = self._desks[service] = RoomDesk()
+            desk = self._schedulers[service] = RoomDesk()
             self._group.start_soon(desk.run)
         return desk
--- a/libs/node/src/cherryrudder/node/surface.py
+++ b/libs/node/src/cherryrudder/node/surface.py
@@ -32,8 +32,8 @@
     """What a process shows, and where it tells others that a block was lifted."""
 
     metrics: Metrics
-    desk: CrashDesk
-    tell: Callable[[CrashNews], None]
+    crashes: CrashDesk
+    publish_crashes: Callable[[CrashNews], None]
     # Returns the requests a second that engines ask for.
     limits: Callable[[float], list]
 
@@ -54,16 +54,16 @@
     if (method, path) == ("GET", METRICS_PATH):
         return 200, TEXT, shown.metrics.render()
     if (method, path) == ("GET", BLOCKS_PATH):
-        return 200, JSON, msgspec.json.encode(shown.desk.dump(now_s))
+        return 200, JSON, msgspec.json.encode(shown.crashes.dump(now_s))
     if (method, path) == ("GET", LIMITS_PATH):
         limits = [one._asdict() for one in shown.limits(now_s)]
         return 200, JSON, msgspec.json.encode({"limits": limits})
     if method == "POST" and path.startswith(LIFT_PATH):
         fingerprint = path.removeprefix(LIFT_PATH)
-        news = shown.desk.lift(fingerprint, now_s)
+        news = shown.crashes.lift(fingerprint, now_s)
         if not news.records:
             return 404, JSON, msgspec.json.encode(UNKNOWN)
-        shown.tell(news)
+        shown.publish_crashes(news)
         log.info("An operator lifted the block of {}.", fingerprint)
         return 200, JSON, b"{}"
     return 404, [], b""
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -8,11 +8,11 @@
 from cherryrudder.routing import endpoints
 from cherryrudder.routing.endpoints import Announcement, EndpointTable, Entry
 
-from .gossip import Alive, Heard, TableMark
+from .gossip import EndpointState, Liveness, SyncPosition
 
 # Signs of life are passed on for endpoints heard within this time; two beats and a
 # heartbeat's way. Older ones bring the reader nothing that it doesn't have.
-ALIVE_S = 2.0
+LIVENESS_MAX_AGE_S = 2.0
 
 
 class SharedTable:
@@ -25,63 +25,67 @@
         self.changed: dict[str, int] = {}
 
 
-def note(shared: SharedTable, engine_id: str) -> None:
+def mark_changed(shared: SharedTable, engine_id: str) -> None:
     """Take note that an endpoint has changed with the table's present version."""
     shared.changed[engine_id] = shared.table.version
 
 
-def _noted(shared, engine_id, is_news):
+def _mark_if_changed(shared, engine_id, is_news):
     """Take note of an endpoint if it has changed; tell whether it has."""
     if is_news:
-        note(shared, engine_id)
+        mark_changed(shared, engine_id)
     return is_news
 
 
 def hear(shared: SharedTable, heard: Announcement, now_s: float) -> bool:
     """Take a heartbeat; tell whether it is news."""
     is_news = endpoints.hear(shared.table, heard, now_s)
-    return _noted(shared, heard.engine_id, is_news)
+    return _mark_if_changed(shared, heard.engine_id, is_news)
 
 
-def observe(
+def record_holding(
     shared: SharedTable, engine_id: str, holding: Holding, now_s: float
 ) -> bool:
     """Take the layers that an endpoint was seen to hold; tell whether it is news."""
     is_news = endpoints.observe(shared.table, engine_id, holding, now_s)
-    return _noted(shared, engine_id, is_news)
+    return _mark_if_changed(shared, engine_id, is_news)
 
 
-def sign_off(shared: SharedTable, engine_id: str, now_s: float) -> bool:
+def record_sign_off(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Take an endpoint's word that it signs off; tell whether it is news."""
     is_news = endpoints.sign_off(shared.table, engine_id, now_s)
-    return _noted(shared, engine_id, is_news)
+    return _mark_if_changed(shared, engine_id, is_news)
 
 
 def tell_senders(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Take an endpoint's word in an answer that it leaves; tell whether it is news."""
     is_news = endpoints.tell_senders(shared.table, engine_id, now_s)
-    return _noted(shared, engine_id, is_news)
+    return _mark_if_changed(shared, engine_id, is_news)
 
 
 def depart(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Take a departure; tell whether it is news."""
     is_news = endpoints.depart(shared.table, engine_id, now_s)
-    return _noted(shared, engine_id, is_news)
+    return _mark_if_changed(shared, engine_id, is_news)
 
 
-def take(shared: SharedTable, heard: tuple[Heard, ...], now_s: float) -> list[str]:
+def merge(
+    shared: SharedTable, heard: tuple[EndpointState, ...], now_s: float
+) -> list[str]:
     """Merge what another process knows; return the incarnations it is news of."""
     news = []
     for one in heard:
         engine_id = one.announcement.engine_id
         entry = Entry(one.announcement, 0.0, one.is_gone)
         if endpoints.merge(shared.table, entry, one.age_s, now_s):
-            note(shared, engine_id)
+            mark_changed(shared, engine_id)
             news.append(engine_id)
     return news
 
 
-def take_alive(shared: SharedTable, alive: tuple[Alive, ...], now_s: float) -> None:
+def merge_liveness(
+    shared: SharedTable, alive: tuple[Liveness, ...], now_s: float
+) -> None:
     """Take signs of life."""
     for sign in alive:
         known = shared.table.entries.get(sign.engine_id)
@@ -95,34 +99,40 @@
         shared.table.entries[sign.engine_id] = known._replace(heard_s=heard_s)
 
 
-def news_since(shared: SharedTable, seen: TableMark, now_s: float) -> tuple[Heard, ...]:
+def changes_since(
+    shared: SharedTable, seen: SyncPosition, now_s: float
+) -> tuple[EndpointState, ...]:
     """Return what a reader lacks; all of it after a restart of either side."""
     since = seen.version if seen.boot == shared.boot else -1
     return tuple(
-        heard_of(entry, now_s)
+        report_endpoint(entry, now_s)
         for engine_id, entry in shared.table.entries.items()
         if shared.changed.get(engine_id, 0) > since
     )
 
 
-def signs(shared: SharedTable, now_s: float) -> tuple[Alive, ...]:
+def recent_liveness(shared: SharedTable, now_s: float) -> tuple[Liveness, ...]:
     """Return the recent signs of life."""
     return tuple(
-        Alive(engine_id, now_s - entry.heard_s)
+        Liveness(engine_id, now_s - entry.heard_s)
         for engine_id, entry in shared.table.entries.items()
-        if not entry.is_gone and now_s - entry.heard_s < ALIVE_S
+        if not entry.is_gone and now_s - entry.heard_s < LIVENESS_MAX_AGE_S
     )
 
 
-def heard_of(entry: Entry, now_s: float) -> Heard:
+def report_endpoint(entry: Entry, now_s: float) -> EndpointState:
     """Return an entry of the table as it is told to others."""
-    return Heard(entry.announcement, now_s - entry.heard_s, entry.is_gone)
+    return EndpointState(entry.announcement, now_s - entry.heard_s, entry.is_gone)
 
 
-def news_of(shared: SharedTable, engine_ids, now_s: float) -> tuple[Heard, ...]:
+def report_endpoints(
+    shared: SharedTable, engine_ids, now_s: float
+) -> tuple[EndpointState, ...]:
     """Return some entries of the table as they are told to others."""
     entries = (shared.table.entries.get(engine_id) for engine_id in engine_ids)
-    return tuple(heard_of(entry, now_s) for entry in entries if entry is not None)
+    return tuple(
+        report_endpoint(entry, now_s) for entry in entries if entry is not None
+    )
 
 
 def sweep(shared: SharedTable, now_s: float) -> list[str]:
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -38,30 +38,30 @@
     Accusation,
     Acquittal,
     Complaint,
-    ConfigurationNews,
+    ConfigurationUpdate,
     ControlAnswer,
     CrashNews,
     DeathNotice,
     EndNotice,
-    EndpointNews,
-    EntryBeat,
-    LimitNews,
+    EndpointUpdate,
+    EntryHeartbeat,
+    LimitUpdate,
     PaceNews,
     PermitGrant,
     PermitRequest,
-    TableMark,
+    SyncPosition,
 )
 
-BEAT_S = 0.5
+HEARTBEAT_S = 0.5
 # A control VM of another data centre hears an entry only so often while a near one has
 # confirmed what is in force lately: three such beats fit into the time after which a
 # process counts as lost. Beats and answers of some kilobytes, of every entry with every
 # control VM, are most of what crosses between data centres otherwise.
-FAR_BEAT_S = 1.0
+REMOTE_HEARTBEAT_S = 1.0
 # Two beats; a near control VM that is late once is no reason to ask the far ones.
-NEAR_FRESH_S = 1.0
+LOCAL_FRESH_S = 1.0
 # Before the first configuration every moment counts: callers may be waiting already.
-FIRST_BEAT_S = 0.1
+FIRST_HEARTBEAT_S = 0.1
 
 log = logger.bind(part="uplink")
 
@@ -74,14 +74,14 @@
         self.group = group
         self._codec = FrameCodec(gossip.KINDS)
         self.links = Links(group, self._codec, gossip.KEY, state.address, self._on_down)
-        self._seen: dict[str, TableMark] = {}
+        self._positions: dict[str, SyncPosition] = {}
         # When each control VM was last sent a beat, and when a near one last confirmed
         # what is in force.
-        self._beaten_s: dict[str, float] = {}
-        self._near_confirmed_s = float("-inf")
-        state.rates.send_ask = self._ask_issuer
-        state.rates.spread = self._tell_tellers
-        state.spread_endpoints = self._spread_endpoints
+        self._sent_s: dict[str, float] = {}
+        self._local_confirmed_s = float("-inf")
+        state.rates.send_request = self._send_permit_request
+        state.rates.publish = self._send_to_aggregators
+        state.spread_endpoints = self._publish_endpoints
 
     def start(self) -> None:
         """Start listening and beating."""
@@ -93,7 +93,7 @@
             self._on_frames,
             self.state.stopping,
         )
-        self.group.start_soon(self._beat)
+        self.group.start_soon(self._send_heartbeats)
 
     def accuse(self, engine_id: str, vm_zone: str) -> None:
         """Have the control VMs of an engine's data centre look for themselves.
@@ -110,7 +110,7 @@
         """Have a control VM beside each engine of a slow chain look at its pace."""
         by_teller: dict[str, list[str]] = {}
         for engine in engines:
-            address = self._teller_beside(engine)
+            address = self._aggregator_near(engine)
             by_teller.setdefault(address, []).append(engine.engine_id)
         for address, engine_ids in by_teller.items():
             if address:
@@ -120,51 +120,55 @@
         """Take the pace that an engine told this entry, and pass on that it is slow."""
         news = PaceNews(engine.engine_id, seen)
         if self._on_pace(news) and seen >= slowness.LEAST_SLOWNESS:
-            address = self._teller_beside(engine)
+            address = self._aggregator_near(engine)
             if address:
                 self.links.send(address, news)
 
     def tell_crashes(self, news: CrashNews | None) -> None:
         """Tell one control VM of each data centre of requests that end engines."""
         if news is not None and news.records:
-            self._tell_tellers(news)
+            self._send_to_aggregators(news)
 
-    def _ask_issuer(self, ask: PermitRequest):
+    def _send_permit_request(self, ask: PermitRequest):
         """Send an ask to the control VM that issues an engine's permits."""
         known = self.state.endpoints.table.entries.get(ask.limit.engine_id)
-        address = known and self._teller_beside(known.announcement)
+        address = known and self._aggregator_near(known.announcement)
         if address:
             self.links.send(address, ask)
 
-    def _spread_endpoints(self, engine_ids):
+    def _publish_endpoints(self, engine_ids):
         """Tell the control VMs of endpoints that this entry has news of."""
-        told = tablesync.news_of(self.state.endpoints, engine_ids, now_s())
-        self._tell_tellers(EndpointNews(told))
+        told = tablesync.report_endpoints(self.state.endpoints, engine_ids, now_s())
+        self._send_to_aggregators(EndpointUpdate(told))
 
-    def _tell_tellers(self, message):
+    def _send_to_aggregators(self, message):
         """Tell one control VM of each data centre."""
-        for address in tellers_of(roster.beats(self.state.controls, now_s())).values():
+        for address in choose_aggregators(
+            roster.beats(self.state.controls, now_s())
+        ).values():
             self.links.send(address, message)
 
-    def _teller_beside(self, engine):
-        tellers = tellers_of(roster.beats(self.state.controls, now_s()))
+    def _aggregator_near(self, engine):
+        tellers = choose_aggregators(roster.beats(self.state.controls, now_s()))
         return tellers.get(engine.vm_zone) or min(tellers.values(), default="")
 
     def _on_down(self, address):
         """Leave it to the beats, which tell what was lost and who was."""
 
-    async def _beat(self):
+    async def _send_heartbeats(self):
         state = self.state
         while True:
             now = now_s()
-            tellers = tellers_of(roster.beats(state.controls, now))
+            tellers = choose_aggregators(roster.beats(state.controls, now))
             entrystate.note_beat(state)
-            for address in roster.targets(state.controls, now):
+            for address in roster.heartbeat_targets(state.controls, now):
                 if self._is_due(address, now):
-                    self._beaten_s[address] = now
-                    self.links.send(address, self._own_beat(address, tellers, now))
+                    self._sent_s[address] = now
+                    self.links.send(
+                        address, self._make_heartbeat(address, tellers, now)
+                    )
             for address in roster.sweep(state.controls, now):
-                self._beaten_s.pop(address, None)
+                self._sent_s.pop(address, None)
                 state.sink.write("uplink", "control-lost", True, address=address)
             for engine_id in tablesync.sweep(state.endpoints, now):
                 state.sink.write("uplink", "endpoint-lost", True, engine_id=engine_id)
@@ -177,39 +181,41 @@
             for engine_id in set(state.leaving_s) - known:
                 del state.leaving_s[engine_id]
             brokenruns.sweep(state.broken, now)
-            state.crashes.review(set(roster.targets(state.controls, now)), now)
-            await anyio.sleep(BEAT_S if state.table else FIRST_BEAT_S)
+            state.crashes.sweep(set(roster.heartbeat_targets(state.controls, now)), now)
+            await anyio.sleep(HEARTBEAT_S if state.table else FIRST_HEARTBEAT_S)
 
     def _is_due(self, address, now):
         """Tell whether a control VM is to hear this entry now."""
-        known = self.state.controls.heard.get(address)
-        if known is None or known.beat.vm_zone == self.state.settings.vm_zone:
+        known = self.state.controls.peers.get(address)
+        if known is None or known.message.vm_zone == self.state.settings.vm_zone:
             return True
-        if now - self._near_confirmed_s > NEAR_FRESH_S:
+        if now - self._local_confirmed_s > LOCAL_FRESH_S:
             return True
-        return now - self._beaten_s.get(address, 0.0) > FAR_BEAT_S - BEAT_S / 2
+        return (
+            now - self._sent_s.get(address, 0.0) > REMOTE_HEARTBEAT_S - HEARTBEAT_S / 2
+        )
 
-    def _own_beat(self, address, tellers, now):
+    def _make_heartbeat(self, address, tellers, now):
         state = self.state
         is_teller = address in tellers.values()
-        wants_all = address == self._own_teller(tellers)
+        wants_all = address == self._own_aggregator(tellers)
         # Until this entry has a book, any control VM's is welcome.
-        wants_crashes = wants_all or not state.crashes.has_heard()
-        return EntryBeat(
+        wants_crashes = wants_all or not state.crashes.has_synced()
+        return EntryHeartbeat(
             vm=state.settings.vm,
             vm_zone=state.settings.vm_zone,
             address=state.address,
             sent_s=now,
             version=state.version,
-            seen=self._seen.get(address, TableMark("", 0)),
+            acked=self._positions.get(address, SyncPosition("", 0)),
             usage=entrystate.usage(state) if is_teller else (),
             spent=sharedbudget.spent(state.budget, now) if is_teller else (),
-            wants_all=wants_all,
-            crashes=state.crashes.message(address, now) if wants_crashes else None,
-            limits=ratekeeper.told(state.rates.book, now),
+            requests_all=wants_all,
+            crashes=state.crashes.make_sync(address, now) if wants_crashes else None,
+            limits=ratekeeper.report_limits(state.rates.book, now),
         )
 
-    def _own_teller(self, tellers):
+    def _own_aggregator(self, tellers):
         own = tellers.get(self.state.settings.vm_zone)
         return own or min(tellers.values(), default="")
 
@@ -220,12 +226,12 @@
         match message:
             case ControlAnswer():
                 self._on_answer(message)
-            case ConfigurationNews():
+            case ConfigurationUpdate():
                 self._on_configuration(message)
-            case EndpointNews():
-                self._take_endpoints(message.endpoints)
+            case EndpointUpdate():
+                self._merge_endpoints(message.endpoints)
             case CrashNews():
-                self.state.crashes.take_records(message.records, now_s())
+                self.state.crashes.merge_records(message.records, now_s())
             case DeathNotice():
                 self._on_death(message)
             case EndNotice():
@@ -234,34 +240,36 @@
                 self._on_acquittal(message)
             case PaceNews():
                 self._on_pace(message)
-            case LimitNews():
-                ratekeeper.hear(self.state, message.limits, now_s())
+            case LimitUpdate():
+                ratekeeper.record_limits(self.state, message.limits, now_s())
             case PermitGrant():
-                ratekeeper.take(self.state, message, now_s())
+                ratekeeper.record_grant(self.state, message, now_s())
 
     def _on_answer(self, answer):
         state, now = self.state, now_s()
         if roster.hear(state.controls, answer.address, answer, now):
             state.sink.write("uplink", "control-found", True, address=answer.address)
-        roster.tell(state.controls, answer.controls, now)
-        self._take_endpoints(answer.endpoints)
-        tablesync.take_alive(state.endpoints, answer.alive, now)
-        self._seen[answer.address] = TableMark(answer.boot, answer.table_version)
+        roster.add_reported(state.controls, answer.controls, now)
+        self._merge_endpoints(answer.endpoints)
+        tablesync.merge_liveness(state.endpoints, answer.alive, now)
+        self._positions[answer.address] = SyncPosition(
+            answer.boot, answer.table_version
+        )
         state.entries = answer.entries
         if answer.usage is not None:
-            data_centres = len(tellers_of(roster.beats(state.controls, now)))
+            data_centres = len(choose_aggregators(roster.beats(state.controls, now)))
             entrystate.hear_others(state, answer.usage, data_centres, now)
             sharedbudget.share(
                 state.budget, answer.spent, answer.entries, now, answer.spent_age_s
             )
         if answer.crashes is not None:
-            state.crashes.take(answer.address, answer.crashes, now)
-        ratekeeper.hear(state, answer.limits, now)
+            state.crashes.merge_sync(answer.address, answer.crashes, now)
+        ratekeeper.record_limits(state, answer.limits, now)
         # A version that is not here yet confirms nothing; the next answer will.
         if 0 < answer.version <= state.version:
             self._confirm(answer.sent_s, now)
             if answer.vm_zone == state.settings.vm_zone:
-                self._near_confirmed_s = now
+                self._local_confirmed_s = now
 
     def _confirm(self, sent_s, now):
         state = self.state
@@ -286,9 +294,9 @@
             "uplink", "configuration", True, old_version=old, version=news.version
         )
 
-    def _take_endpoints(self, heard):
+    def _merge_endpoints(self, heard):
         state, now = self.state, now_s()
-        for engine_id in tablesync.take(state.endpoints, heard, now):
+        for engine_id in tablesync.merge(state.endpoints, heard, now):
             entry = state.endpoints.table.entries.get(engine_id)
             if entry is not None:
                 self._log_endpoint(entry)
@@ -361,7 +369,7 @@
         return is_news
 
 
-def tellers_of(answers) -> dict[str, str]:
+def choose_aggregators(answers) -> dict[str, str]:
     """Return by data centre the control VM that tells its entries of all others.
 
     What the others have running and which endpoints were heard lately is the largest
--- a/libs/node/src/cherryrudder/node/voterdisk.py
+++ b/libs/node/src/cherryrudder/node/voterdisk.py
@@ -39,13 +39,15 @@
     return os.path.exists(f"{folder}/{IDENTITY}")
 
 
-def found(folder: str, vm: str, address: str, founders: tuple[Voter, ...]) -> None:
+def create_founder(
+    folder: str, vm: str, address: str, founders: tuple[Voter, ...]
+) -> None:
     """Create the disk of one of the first voters; raises DiskError."""
     _clear(folder)
     _raise_error(init_disk(folder, vm, address, founders))
 
 
-def join(folder: str, vm: str, address: str) -> None:
+def create_learner(folder: str, vm: str, address: str) -> None:
     """Create a disk that joins as a learner; raises DiskError."""
     _clear(folder)
     _raise_error(join_disk(folder, vm, address))
@@ -64,7 +66,7 @@
     if isinstance(result.error, DiskUnavailable):
         raise result.error
     sink.write("voter", "disk-damaged", True, error=str(result.error))
-    join(folder, vm, address)
+    create_learner(folder, vm, address)
     result = open_disk(folder, vm)
     _raise_error(result)
     return result.ok
--- a/libs/node/src/cherryrudder/node/council.py
+++ b/libs/node/src/cherryrudder/node/voterplanner.py
@@ -17,7 +17,7 @@
 # planned restart takes about a second and is over before.
 DEAD_AFTER_S = 2.5
 # A learner costs nothing but messages, so it is kept through longer cuts.
-FORGET_LEARNER_S = 20.0
+REMOVE_LEARNER_AFTER_S = 20.0
 
 
 class Member(NamedTuple):
@@ -61,7 +61,7 @@
 def _change_of_learners(voter_set, known, now_s):
     for learner in voter_set.learners:
         is_gone = _has_new_disk(learner, known)
-        if is_gone or _is_silent(learner, known, FORGET_LEARNER_S, now_s):
+        if is_gone or _is_silent(learner, known, REMOVE_LEARNER_AFTER_S, now_s):
             return Change(voters.REMOVE, learner)
     present = {member.disk_id for member in voters.members(voter_set)}
     for member in known.values():
--- a/libs/node/src/cherryrudder/node/seatkeeper.py
+++ b/libs/node/src/cherryrudder/node/voterrunner.py
@@ -18,7 +18,7 @@
 from cherryrudder.replica.voter import Voter
 from cherryrudder.routing import configlog
 
-from . import council, gossip, voterdisk
+from . import gossip, voterdisk, voterplanner
 from .controlstate import ControlState
 
 # Between data centres a message takes 0.25 ms and a sync 1 ms, 28 ms on a slow disk.
@@ -36,15 +36,15 @@
 # A configuration takes some 40 KB and all are of one kind: the log is cut short often,
 # so that 64 MB of disk hold twice this many of the largest that a call may carry.
 SNAPSHOT_ENTRIES = 6
-REVIEW_S = 0.3
-RETRY_S = 0.5
+REVIEW_INTERVAL_S = 0.3
+REOPEN_DELAY_S = 0.5
 # A change of the voter set is one commit; a lost one is tried at the next review.
-CHANGE_S = 1.0
+CHANGE_TIMEOUT_S = 1.0
 FOUNDING_POLL_S = 0.05
 
 log = logger.bind(part="voter")
 
-MACHINE = Machine(
+STATE_MACHINE = Machine(
     configlog.new_state, configlog.apply, configlog.snapshot, configlog.restore
 )
 
@@ -53,20 +53,20 @@
     """Hold this VM's seat in the log until the process ends."""
     while True:
         try:
-            await _sit(state, on_applied)
+            await _run_voter(state, on_applied)
         except* (DiskError, ReplicaError) as group:
             for error in group.exceptions:
                 state.sink.write("voter", "lost", True, error=str(error))
         state.voter = None
-        await anyio.sleep(RETRY_S)
+        await anyio.sleep(REOPEN_DELAY_S)
 
 
-async def _sit(state, on_applied):
+async def _run_voter(state, on_applied):
     disk = await _open_disk(state)
     state.disk_id = disk.saved.identity.disk_id
     try:
         async with anyio.create_task_group() as group:
-            voter = Voter(_seat(state), disk, MACHINE, group)
+            voter = Voter(_make_seat(state), disk, STATE_MACHINE, group)
             voter.start(state.stopping)
             state.voter = voter
             state.sink.write("voter", "open", True, disk_id=state.disk_id)
@@ -77,7 +77,7 @@
         disk.close()
 
 
-def _seat(state):
+def _make_seat(state):
     timing = Timing(
         HEARTBEAT_S,
         ELECTION_MIN_S,
@@ -96,15 +96,15 @@
     if not folder:
         return voterdisk.MemoryDisk(vm, address)
     if not voterdisk.is_created(folder):
-        founders = await _founders(state) if settings.is_founding else ()
+        founders = await _find_founders(state) if settings.is_founding else ()
         if any(founder.vm == vm for founder in founders):
-            voterdisk.found(folder, vm, address, founders)
+            voterdisk.create_founder(folder, vm, address, founders)
         else:
-            voterdisk.join(folder, vm, address)
+            voterdisk.create_learner(folder, vm, address)
     return voterdisk.open_or_replace(folder, vm, address, state.sink)
 
 
-async def _founders(state):
+async def _find_founders(state):
     """Return the first voters: the seeds' VMs with a disk, once all were heard.
 
     All founders have to name the same voters. Each waits until it knows all seeds, so
@@ -114,9 +114,9 @@
     is_seed = state.address in state.seed_addresses
     if not is_seed:
         return ()
-    while not seeds <= set(state.roster.heard):
+    while not seeds <= set(state.roster.peers):
         await anyio.sleep(FOUNDING_POLL_S)
-    beats = [state.roster.heard[seed].beat for seed in seeds]
+    beats = [state.roster.peers[seed].message for seed in seeds]
     founders = [
         events.Voter(beat.vm, f"{beat.vm}-founder", beat.log_address)
         for beat in beats
@@ -150,26 +150,28 @@
                 role=belief[1],
                 leader=belief[2],
             )
-        await anyio.sleep(REVIEW_S)
+        await anyio.sleep(REVIEW_INTERVAL_S)
 
 
 async def _review(state, voter):
     """As the leader, change the voter set where the council asks for it."""
-    target = council.target_voters(state.settings.tolerated_losses)
+    target = voterplanner.target_voters(state.settings.tolerated_losses)
     while True:
-        await anyio.sleep(REVIEW_S)
+        await anyio.sleep(REVIEW_INTERVAL_S)
         if voter.node.role != core.LEADER:
             continue
-        change = council.next_change(
+        change = voterplanner.next_change(
             voter.node.voter_set, state.members(now_s()), target, now_s()
         )
         if change is not None:
-            await _make(state, voter, change)
+            await _apply_change(state, voter, change)
 
 
-async def _make(state, voter, change):
+async def _apply_change(state, voter, change):
     try:
-        is_done = await voter.change_voters(change.action, change.voter, CHANGE_S)
+        is_done = await voter.change_voters(
+            change.action, change.voter, CHANGE_TIMEOUT_S
+        )
     except NoQuorum as error:
         log.info("A change of the voters was not confirmed: {}.", error)
         return
@@ -185,7 +187,7 @@
         )
 
 
-def hand_over(state: ControlState) -> None:
+def transfer_leadership(state: ControlState) -> None:
     """Let another voter lead before this process stops; saves an election."""
     if state.voter is None:
         return
--- a/libs/node/test/test_controlbeats.py
+++ b/libs/node/test/test_controlbeats.py
@@ -7,14 +7,14 @@
 
 from cherryrudder.node import controlbeats
 from cherryrudder.node.controlbeats import ControlBeats
-from cherryrudder.node.gossip import EntryBeat, TableMark
+from cherryrudder.node.gossip import EntryHeartbeat, SyncPosition
 
 
 def a_beat(number, version):
     """Return an entry's beat."""
     address = f"entry-{number}:1"
-    mark = TableMark("", 0)
-    return EntryBeat("vm", "a", address, 0.0, version, mark, (), (), False)
+    mark = SyncPosition("", 0)
+    return EntryHeartbeat("vm", "a", address, 0.0, version, mark, (), (), False)
 
 
 class FirstConfigurationTest(unittest.TestCase):
@@ -43,7 +43,7 @@
                     await anyio.sleep(0.1)
                 group.cancel_scope.cancel()
 
-        with mock.patch.object(controlbeats, "CONFIRM_EVERY_S", 30.0):
+        with mock.patch.object(controlbeats, "CONFIRM_INTERVAL_S", 30.0):
             anyio.run(play)
         return sent
 
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -24,7 +24,7 @@
     CrashNews,
     DeathNotice,
     EndNotice,
-    Heard,
+    EndpointState,
 )
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.node.stream import Stream
@@ -104,9 +104,13 @@
         self.assertEqual(self.known(), {FIRST})
 
     def test_news_of_the_one_before_says_nothing_of_the_next_one(self):
-        gone = Heard(an_announcement("boot-0", address=f"{FIRST}:80"), 0.0, True)
-        here = Heard(an_announcement(FIRST, number=4, layers=(0, 8)), 0.0, False)
-        self.uplink._take_endpoints((here, gone))
+        gone = EndpointState(
+            an_announcement("boot-0", address=f"{FIRST}:80"), 0.0, True
+        )
+        here = EndpointState(
+            an_announcement(FIRST, number=4, layers=(0, 8)), 0.0, False
+        )
+        self.uplink._merge_endpoints((here, gone))
         self.break_run()
         self.assertEqual(self.known(), set())
 
@@ -209,7 +213,7 @@
 class BlockTest(EntryCase):
     def block(self, **changes):
         record = a_record(*ENGINES, **changes)
-        return self.state.crashes.note({"bad": record}, now_s())
+        return self.state.crashes.record({"bad": record}, now_s())
 
     def is_blocked(self, fingerprint="bad"):
         return crashes.is_blocked(a_job(self.state, fingerprint), now_s())
@@ -241,7 +245,7 @@
     def test_it_ends_by_itself(self):
         self.block(at_s=now_s() - 599.0)
         self.assertTrue(self.is_blocked())
-        self.state.crashes.review(set(), now_s() + 2.0)
+        self.state.crashes.sweep(set(), now_s() + 2.0)
         self.assertFalse(self.is_blocked())
 
 
@@ -249,7 +253,7 @@
     """Guards against one message that ends each process which reads it."""
 
     def deliver(self, reader, desk):
-        with mock.patch.object(desk, "take_records", side_effect=TypeError("fault")):
+        with mock.patch.object(desk, "merge_records", side_effect=TypeError("fault")):
             reader._on_frames("peer:1", [CrashNews(()), DeathNotice(FIRST)])
 
     def test_an_entry_takes_the_next_one(self):
@@ -272,20 +276,20 @@
 
     def beat(self, sender, reader):
         """Let one process hear another's beat."""
-        sync = sender.message(reader.book.boot, now_s())
-        return reader.take(sender.book.boot, sync, now_s()), sync
+        sync = sender.make_sync(reader.book.boot, now_s())
+        return reader.merge_sync(sender.book.boot, sync, now_s()), sync
 
     def test_two_processes_come_to_know_the_same(self):
         one, other = self.a_desk("one"), self.a_desk("other")
-        one.note({"bad": a_record(FIRST, SECOND)}, now_s())
-        other.note({"bad": a_record(OTHER)}, now_s())
+        one.record({"bad": a_record(FIRST, SECOND)}, now_s())
+        other.record({"bad": a_record(OTHER)}, now_s())
         self.beat(one, other)
         self.beat(other, one)
         self.assertEqual((set(one.book.blocks), set(other.book.blocks)), ({"bad"},) * 2)
 
     def test_what_was_heard_is_not_told_again(self):
         one, other = self.a_desk("one"), self.a_desk("other")
-        one.note({"bad": a_record(FIRST)}, now_s())
+        one.record({"bad": a_record(FIRST)}, now_s())
         self.beat(one, other)
         self.beat(other, one)
         news, sync = self.beat(one, other)
@@ -293,14 +297,14 @@
 
     def test_one_that_starts_again_is_told_all(self):
         one, other = self.a_desk("one"), self.a_desk("other")
-        one.note({"bad": a_record(*ENGINES)}, now_s())
+        one.record({"bad": a_record(*ENGINES)}, now_s())
         self.beat(one, other)
         self.beat(other, one)
         again = self.a_desk("again")
         for _ in range(2):
             # It beats under the address that it had.
-            again.take("one", one.message("other", now_s()), now_s())
-            one.take("other", again.message("one", now_s()), now_s())
+            again.merge_sync("one", one.make_sync("other", now_s()), now_s())
+            one.merge_sync("other", again.make_sync("one", now_s()), now_s())
         self.assertEqual(set(again.book.blocks), {"bad"})
 
     def test_a_control_vm_tells_the_entries_nearby_at_once(self):
@@ -317,7 +321,7 @@
                     roster.hear(control.entries, address, beat, now_s())
                 source = self.a_desk("one")
                 for engine_ids in ((FIRST,), (FIRST, SECOND)):
-                    news = source.note({"bad": a_record(*engine_ids)}, now_s())
+                    news = source.record({"bad": a_record(*engine_ids)}, now_s())
                     beats._on_frames("", [news])
 
         anyio.run(play)
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -84,7 +84,7 @@
             roster.hear(state.entries, self.entry.address, None, now_s())
             for address, other in self.beats.items():
                 if address != state.address:
-                    beat = other._own_beat(state.address, now_s())
+                    beat = other._make_heartbeat(state.address, now_s())
                     roster.hear(state.roster, address, beat, now_s())
 
     async def _report(self, ip):
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -16,12 +16,12 @@
 )
 from cherryrudder.node.controlbeats import ControlBeats
 from cherryrudder.node.gossip import (
-    EndpointNews,
-    Heard,
-    LimitNews,
+    EndpointState,
+    EndpointUpdate,
+    LimitUpdate,
     PermitGrant,
     PermitRequest,
-    ToldLimit,
+    ReportedLimit,
 )
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import endpoints, ratelimits
@@ -36,12 +36,12 @@
     def test_one_control_vm_of_each_data_centre_is_told(self):
         self.hear(2.5)
         told = [(address, type(message)) for address, message in self.sent]
-        self.assertEqual(told, [("a:1", LimitNews), ("b:1", LimitNews)])
+        self.assertEqual(told, [("a:1", LimitUpdate), ("b:1", LimitUpdate)])
         self.hear(2.5)
         self.assertEqual(len(self.sent), 2)
 
     def test_an_entry_keeps_to_what_it_is_told(self):
-        self.uplink._take(LimitNews((ToldLimit(ENGINE, 2.5, 0.1),)))
+        self.uplink._take(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.1),)))
         self.assertFalse(self.may_begin())
         self.assertTrue(self.may_begin(OTHER))
 
@@ -175,47 +175,47 @@
         roster.hear(self.state.roster, beat.address, beat, now_s())
 
     def test_it_tells_the_entries_that_nobody_else_tells(self):
-        news = LimitNews((ToldLimit(ENGINE, 2.5, 0.0),))
-        self.beats._take(news)
+        news = LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),))
+        self.beats._handle(news)
         told = [address for address, _ in self.sent]
         self.assertEqual(told, ["entry-a", "entry-c"])
-        self.beats._take(news)
+        self.beats._handle(news)
         self.assertEqual(len(self.sent), 2)
 
     def test_beats_tell_it_to_those_that_missed_the_news(self):
-        self.beats._take(LimitNews((ToldLimit(ENGINE, 2.5, 0.0),)))
-        beat = self.beats._own_beat("control-c", now_s())
+        self.beats._handle(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),)))
+        beat = self.beats._make_heartbeat("control-c", now_s())
         self.assertEqual([one.per_s for one in beat.limits], [2.5])
 
     def test_asks_of_all_entries_together_keep_to_the_limit(self):
-        limit = ToldLimit(ENGINE, 2.5, 0.0)
+        limit = ReportedLimit(ENGINE, 2.5, 0.0)
         for _ in range(20):
             for sender in ("entry-a", "entry-b"):
-                self.beats._take(PermitRequest(sender, limit, 1))
+                self.beats._handle(PermitRequest(sender, limit, 1))
         answers = [m for _, m in self.sent if isinstance(m, PermitGrant)]
         self.assertEqual(len(answers), 40)
         self.assertLessEqual(sum(answer.grant.permits for answer in answers), 1)
 
     def test_of_two_control_vms_beside_an_engine_one_issues_its_permits(self):
-        ask = PermitRequest("entry-a", ToldLimit(ENGINE, 2.5, 0.0), 1)
+        ask = PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1)
         for address, issues in (("10.0.0.0:1", False), ("10.0.0.2:1", True)):
             with self.subTest(other=address):
                 self.setUp()
                 beat = ControlStub(address=address, vm_zone=HOME)
                 roster.hear(self.state.roster, address, beat, now_s())
-                self.beats._take(ask)
+                self.beats._handle(ask)
                 told = self.sent[-1]
                 self.assertEqual(told[0], "entry-a" if issues else address)
                 self.assertEqual(isinstance(told[1], PermitGrant), issues)
 
     def test_an_ask_tells_a_control_vm_of_the_limit(self):
-        self.beats._take(PermitRequest("entry-a", ToldLimit(ENGINE, 2.5, 0.0), 1))
+        self.beats._handle(PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1))
         self.assertEqual(ratelimits.limit_of(self.beats.rates.book, ENGINE), 2.5)
 
     def test_an_engine_whose_answers_call_it_leaving_gets_no_new_work_anywhere(self):
         known = self.state.endpoints.table.entries[ENGINE].announcement
         told = known._replace(has_told_senders=True)
-        self.beats._take(EndpointNews((Heard(told, 0.0, False),)))
+        self.beats._handle(EndpointUpdate((EndpointState(told, 0.0, False),)))
         self.assertEqual(
             [address for address, _ in self.sent], ["entry-a", "entry-b", "entry-c"]
         )
--- a/libs/node/test/test_roster.py
+++ b/libs/node/test/test_roster.py
@@ -9,14 +9,14 @@
 
     def test_seeds_are_tried_for_ever(self):
         known = Roster("own", ("own", "seed"))
-        self.assertEqual(roster.targets(known, 1e6), ["seed"])
+        self.assertEqual(roster.heartbeat_targets(known, 1e6), ["seed"])
 
     def test_what_others_tell_is_tried_while_they_tell_it(self):
         known = Roster("own")
-        roster.tell(known, ("own", "told"), 0.0)
-        self.assertEqual(roster.targets(known, 1.0), ["told"])
+        roster.add_reported(known, ("own", "told"), 0.0)
+        self.assertEqual(roster.heartbeat_targets(known, 1.0), ["told"])
         roster.sweep(known, 10.0)
-        self.assertEqual(roster.targets(known, 10.0), [])
+        self.assertEqual(roster.heartbeat_targets(known, 10.0), [])
 
     def test_only_who_was_heard_lately_is_told_of(self):
         known = Roster("own")
--- a/libs/node/test/test_surface.py
+++ b/libs/node/test/test_surface.py
@@ -5,7 +5,7 @@
 
 from cherryrudder.node import surface
 from cherryrudder.node.crashdesk import CrashDesk
-from cherryrudder.node.gossip import ToldLimit
+from cherryrudder.node.gossip import ReportedLimit
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.node.surface import Shown
 from cherryrudder.routing.crashbook import Crash, Record
@@ -20,11 +20,11 @@
         self.told = []
         metrics = Metrics()
         self.desk = CrashDesk("boot-1", piped.sink, metrics)
-        self.desk.note({"f1": Record("acme", "llm", ENDED)}, 11.0)
+        self.desk.record({"f1": Record("acme", "llm", ENDED)}, 11.0)
         self.shown = Shown(metrics, self.desk, self.told.append, self.limits)
 
     def limits(self, now_s):
-        return [ToldLimit("e0", 2.5, now_s - 11.0)]
+        return [ReportedLimit("e0", 2.5, now_s - 11.0)]
 
     def test_limits_are_listed(self):
         status, body = self.respond("GET", "/limits")
--- a/libs/node/test/test_tablesync.py
+++ b/libs/node/test/test_tablesync.py
@@ -6,7 +6,7 @@
 
 from cherryrudder.layers.profile import Holding
 from cherryrudder.node import tablesync
-from cherryrudder.node.gossip import Alive, TableMark
+from cherryrudder.node.gossip import Liveness, SyncPosition
 from cherryrudder.node.tablesync import SharedTable
 from cherryrudder.routing import endpoints
 
@@ -26,24 +26,26 @@
     def test_a_sign_of_life_does_not_hide_news(self):
         source, reader = SharedTable("source"), SharedTable("reader")
         tablesync.hear(source, an_announcement(number=2), 0.0)
-        tablesync.take(reader, tablesync.news_since(source, TableMark("", 0), 0.0), 0.0)
+        tablesync.merge(
+            reader, tablesync.changes_since(source, SyncPosition("", 0), 0.0), 0.0
+        )
         tablesync.hear(source, an_announcement(number=4, layers=(0, 8)), 0.1)
-        tablesync.take_alive(reader, (Alive("boot-1", 0.0),), 0.1)
-        news = tablesync.news_of(source, ["boot-1"], 0.1)
-        self.assertEqual(tablesync.take(reader, news, 0.1), ["boot-1"])
+        tablesync.merge_liveness(reader, (Liveness("boot-1", 0.0),), 0.1)
+        news = tablesync.report_endpoints(source, ["boot-1"], 0.1)
+        self.assertEqual(tablesync.merge(reader, news, 0.1), ["boot-1"])
         self.assertEqual(held(reader), {"boot-1": (0, 8)})
 
     def test_a_sign_of_life_keeps_an_endpoint(self):
         reader = SharedTable("reader")
         tablesync.hear(reader, an_announcement(), 0.0)
-        tablesync.take_alive(reader, (Alive("boot-1", 0.5),), 6.0)
+        tablesync.merge_liveness(reader, (Liveness("boot-1", 0.5),), 6.0)
         self.assertEqual(len(endpoints.live(reader.table, 6.0)), 1)
 
     def test_the_gone_stay_gone(self):
         reader = SharedTable("reader")
         tablesync.hear(reader, an_announcement(), 0.0)
         tablesync.depart(reader, "boot-1", 0.1)
-        tablesync.take_alive(reader, (Alive("boot-1", 0.0),), 0.2)
+        tablesync.merge_liveness(reader, (Liveness("boot-1", 0.0),), 0.2)
         self.assertEqual(endpoints.live(reader.table, 0.2), [])
 
 
@@ -52,10 +54,10 @@
         source = SharedTable("new")
         tablesync.hear(source, an_announcement(), 0.0)
         self.assertEqual(
-            len(tablesync.news_since(source, TableMark("old", 99), 0.0)), 1
+            len(tablesync.changes_since(source, SyncPosition("old", 99), 0.0)), 1
         )
-        mark = TableMark("new", source.table.version)
-        self.assertEqual(tablesync.news_since(source, mark, 0.0), ())
+        mark = SyncPosition("new", source.table.version)
+        self.assertEqual(tablesync.changes_since(source, mark, 0.0), ())
 
 
 class LostNewsTest(unittest.TestCase):
@@ -78,17 +80,19 @@
                 tablesync.depart(source, engine_id, 0.0)
             elif kind < 3:
                 layers = Holding(0, rng.randrange(1, 9))
-                tablesync.observe(source, engine_id, layers, 0.0)
+                tablesync.record_holding(source, engine_id, layers, 0.0)
             else:
                 layers = (0, rng.randrange(1, 9))
                 heard = an_announcement(engine_id, numbers[engine_id], layers)
                 tablesync.hear(source, heard, 0.0)
-            news = tablesync.news_of(source, [engine_id], 0.0)
+            news = tablesync.report_endpoints(source, [engine_id], 0.0)
             (late if rng.random() < 0.5 else []).append(news)
-            tablesync.take_alive(reader, tablesync.signs(source, 0.0), 0.0)
+            tablesync.merge_liveness(
+                reader, tablesync.recent_liveness(source, 0.0), 0.0
+            )
         rng.shuffle(late)
         for news in late:
-            tablesync.take(reader, news, 0.0)
-        answer = tablesync.news_since(source, TableMark("", 0), 0.0)
-        tablesync.take(reader, answer, 0.0)
+            tablesync.merge(reader, news, 0.0)
+        answer = tablesync.changes_since(source, SyncPosition("", 0), 0.0)
+        tablesync.merge(reader, answer, 0.0)
         self.assertEqual(held(reader), held(source))
--- a/libs/node/test/test_uplink.py
+++ b/libs/node/test/test_uplink.py
@@ -5,7 +5,12 @@
 from cherryrudder.node import roster
 from cherryrudder.node.ratekeeper import RateKeeper
 from cherryrudder.node.roster import Roster
-from cherryrudder.node.uplink import BEAT_S, NEAR_FRESH_S, Uplink, tellers_of
+from cherryrudder.node.uplink import (
+    HEARTBEAT_S,
+    LOCAL_FRESH_S,
+    Uplink,
+    choose_aggregators,
+)
 
 
 class AnswerStub(NamedTuple):
@@ -26,17 +31,17 @@
             AnswerStub("a1", "a"),
             AnswerStub("b2", "b"),
         ]
-        self.assertEqual(tellers_of(answers), {"a": "a1", "b": "b1"})
-        self.assertEqual(tellers_of(answers[::-1]), {"a": "a1", "b": "b1"})
+        self.assertEqual(choose_aggregators(answers), {"a": "a1", "b": "b1"})
+        self.assertEqual(choose_aggregators(answers[::-1]), {"a": "a1", "b": "b1"})
 
     def test_one_that_is_cut_off_from_the_rest_tells_nobody(self):
         """It answers, but has heard nothing of the other data centres for seconds."""
         answers = [AnswerStub("a1", "a", -1), AnswerStub("b1", "b")]
-        self.assertEqual(tellers_of(answers), {"b": "b1"})
+        self.assertEqual(choose_aggregators(answers), {"b": "b1"})
 
     def test_without_any_other_it_is_better_than_none(self):
-        self.assertEqual(tellers_of([AnswerStub("a1", "a", -1)]), {"a": "a1"})
-        self.assertEqual(tellers_of([]), {})
+        self.assertEqual(choose_aggregators([AnswerStub("a1", "a", -1)]), {"a": "a1"})
+        self.assertEqual(choose_aggregators([]), {})
 
 
 class FarBeatTest(unittest.TestCase):
@@ -57,19 +62,19 @@
             rates=RateKeeper(),
         )
         uplink = Uplink(state, None)
-        uplink._near_confirmed_s = 100.0 - near_age_s
-        uplink._beaten_s["c:1"] = 100.0 - far_age_s
+        uplink._local_confirmed_s = 100.0 - near_age_s
+        uplink._sent_s["c:1"] = 100.0 - far_age_s
         return uplink._is_due("c:1", 100.0)
 
     def test_a_far_one_hears_it_every_second_beat(self):
-        self.assertFalse(self.due(near_age_s=0.1, far_age_s=BEAT_S))
-        self.assertTrue(self.due(near_age_s=0.1, far_age_s=2 * BEAT_S))
+        self.assertFalse(self.due(near_age_s=0.1, far_age_s=HEARTBEAT_S))
+        self.assertTrue(self.due(near_age_s=0.1, far_age_s=2 * HEARTBEAT_S))
 
     def test_a_near_one_hears_each_beat(self):
         self.assertTrue(self.due(near_age_s=0.1, far_age_s=0.1, zone="a"))
 
     def test_without_a_near_one_the_far_ones_hear_each_beat(self):
-        self.assertTrue(self.due(near_age_s=NEAR_FRESH_S + 0.1, far_age_s=BEAT_S))
+        self.assertTrue(self.due(near_age_s=LOCAL_FRESH_S + 0.1, far_age_s=HEARTBEAT_S))
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_voterdisk.py
+++ b/libs/node/test/test_voterdisk.py
@@ -20,7 +20,7 @@
 
     def test_founders_name_the_same_voters(self):
         founders = tuple(a_voter(vm) for vm in "abc")
-        voterdisk.found(self.folder, "a", "a:7000", founders)
+        voterdisk.create_founder(self.folder, "a", "a:7000", founders)
         self.assertTrue(voterdisk.is_created(self.folder))
         disk = self.open()
         self.assertEqual(disk.saved.identity.voters, founders)
@@ -35,7 +35,7 @@
         os.makedirs(self.folder)
         with open(f"{self.folder}/log", "wb") as file:
             file.write(b"torn")
-        voterdisk.join(self.folder, "a", "a:7000")
+        voterdisk.create_learner(self.folder, "a", "a:7000")
         self.open().close()
 
     def test_a_damaged_disk_joins_as_a_new_one(self):
@@ -44,7 +44,7 @@
         Were it to vote on under its name, two majorities could disagree. It counts as
         lost, and the VM joins with another disk.
         """
-        voterdisk.join(self.folder, "a", "a:7000")
+        voterdisk.create_learner(self.folder, "a", "a:7000")
         disk = self.open()
         before = disk.saved.identity.disk_id
         disk.close()
--- a/libs/node/test/test_council.py
+++ b/libs/node/test/test_voterplanner.py
@@ -4,8 +4,8 @@
 from builders import a_voter
 from hypothesis import given, settings, strategies as st
 
-from cherryrudder.node import council
-from cherryrudder.node.council import Member
+from cherryrudder.node import voterplanner
+from cherryrudder.node.voterplanner import Member
 from cherryrudder.quorum import voters
 from cherryrudder.quorum.saved import VoterSet
 
@@ -21,7 +21,7 @@
 
 def decide(voter_set, known, now_s=100.0, target=3):
     """Return the next change as a pair, or None."""
-    change = council.next_change(voter_set, known, target, now_s)
+    change = voterplanner.next_change(voter_set, known, target, now_s)
     return change and (change.action, change.voter)
 
 
@@ -86,7 +86,7 @@
         target asks for or as there are.
         """
         rng = random.Random(seed)
-        target = council.target_voters(tolerated)
+        target = voterplanner.target_voters(tolerated)
         disks = [a_voter(vm, "d0") for vm in "abcdefg"[: target + rng.randrange(3)]]
         voter_set = VoterSet("x", tuple(disks[:3]))
         for number in range(rng.randrange(tolerated + 1)):
@@ -96,10 +96,10 @@
             Member(v, True, 0.0) for v in voter_set.voters if v not in disks
         ]
         for _ in range(40):
-            change = council.next_change(voter_set, known, target, 100.0)
+            change = voterplanner.next_change(voter_set, known, target, 100.0)
             if change is None:
                 break
             voter_set = voters.change(voter_set, change.action, change.voter).ok
-        self.assertIsNone(council.next_change(voter_set, known, target, 100.0))
+        self.assertIsNone(voterplanner.next_change(voter_set, known, target, 100.0))
         self.assertEqual(len(voter_set.voters), min(target, len(disks)))
         self.assertLessEqual(set(voter_set.voters), set(disks))
