--- a/libs/node/src/cherryrudder/node/controlbeats.py
+++ b/libs/node/src/cherryrudder/node/controlbeats.py
@@ -1,4 +1,4 @@
-"""The control VM's gossip: answers to entries, beats to other control VMs, news."""
+"""A control VM's gossip: answers to entries, heartbeats to its peers, and updates."""
 
 import anyio
 from loguru import logger
@@ -34,23 +34,23 @@
 from .verification import Verifier
 
 HEARTBEAT_S = 0.5
-# The leader answers a confirmation after one round of the log's heartbeats, some
-# milliseconds; an election takes a second.
+# A leader confirms after one round of the log's heartbeats, within some milliseconds;
+# an election takes a second.
 CONFIRM_TIMEOUT_S = 0.8
-# Beats that come within this time share one confirmation. Each takes a message to the
-# leader and one to every voter; at once for each beat they were half of this process's
-# work.
+# Heartbeats that arrive within this time share one confirmation. A confirmation takes a
+# message to the leader and one to every voter; one for each heartbeat took half of this
+# process's CPU time.
 CONFIRM_INTERVAL_S = 0.2
-# Entries without a configuration serve nobody, so they wait for less. They beat ten
-# times a second until they have one.
+# The interval while an entry without a configuration waits: it can't serve anybody, and
+# sends ten heartbeats a second until it has one.
 FIRST_CONFIRM_INTERVAL_S = 0.03
-# Another data centre's control VM sends a configuration only to entries that still
-# lack it after this long; their own has sent it at once. It keeps a large configuration
-# from crossing between data centres three times.
+# Entries get a new configuration from the control VM of their own data centre at once.
+# Control VMs elsewhere send it only to entries that still lack it after this time, so
+# that a large configuration doesn't cross between data centres three times.
 REMOTE_SEND_DELAY_S = 0.4
-# An entry without any configuration serves nobody, so it waits for less: where the
-# control VM of its data centre has lost its disk, all entries there served 0.6 s later
-# than the others. A near one sends within some milliseconds.
+# The same for entries without any configuration. With the delay above, entries whose
+# local control VM had lost its disk began to serve 0.6 s later than the others. A local
+# control VM sends within some milliseconds.
 FIRST_REMOTE_SEND_DELAY_S = 0.1
 
 log = logger.bind(part="control")
@@ -68,16 +68,16 @@
         self.pace = PaceWatch(state, self.links, group)
         self.rates = PermitIssuer(state, self.links)
         self._codec = codec
-        # Entries' beats that wait for the next confirmation.
+        # Entries' heartbeats that wait for the next confirmation, by address.
         self._waiting: dict[str, EntryHeartbeat] = {}
         self._wake = anyio.Event()
-        # Set when one of them has no configuration yet.
+        # Set when a waiting entry has no configuration yet.
         self._urgent = anyio.Event()
         self._changed_s = 0.0
         self._positions: dict[str, SyncPosition] = {}
 
     def start(self) -> None:
-        """Start listening, beating and answering."""
+        """Start to listen, to send heartbeats and to answer."""
         state = self.state
         self.group.start_soon(
             listen_frames,
@@ -91,29 +91,32 @@
         self.group.start_soon(self._confirm)
 
     def on_applied(self) -> None:
-        """Send a configuration that was accepted to the entries nearby, at once."""
+        """Send a newly applied configuration to the entries of this data centre."""
         version = self.state.version
         if not version:
             return
         self._changed_s = now_s()
-        news = ConfigurationUpdate(version, self.state.voter.state.packed)
-        for beat in roster.beats(self.state.entries, now_s()):
-            if beat.vm_zone == self.state.settings.vm_zone and beat.version < version:
-                self.links.send(beat.address, news)
+        update = ConfigurationUpdate(version, self.state.voter.state.packed)
+        for heartbeat in roster.beats(self.state.entries, now_s()):
+            if (
+                heartbeat.vm_zone == self.state.settings.vm_zone
+                and heartbeat.version < version
+            ):
+                self.links.send(heartbeat.address, update)
 
     def spread(self, engine_ids) -> None:
-        """Tell everybody of endpoints that changed just now."""
-        told = tablesync.report_endpoints(self.state.endpoints, engine_ids, now_s())
-        news = EndpointUpdate(told)
-        if not news.endpoints:
+        """Send changed endpoints to all live control VMs and entries."""
+        reported = tablesync.report_endpoints(self.state.endpoints, engine_ids, now_s())
+        update = EndpointUpdate(reported)
+        if not update.endpoints:
             return
         for address in self._live_peers():
-            self.links.send(address, news)
+            self.links.send(address, update)
 
-    def tell_crashes(self, news: CrashNews) -> None:
-        """Tell everybody of requests that end engines, or do so no more."""
+    def tell_crashes(self, update: CrashNews) -> None:
+        """Send changed crash records to all live control VMs and entries."""
         for address in self._live_peers():
-            self.links.send(address, news)
+            self.links.send(address, update)
 
     def _live_peers(self):
         state, now = self.state, now_s()
@@ -123,7 +126,7 @@
         ]
 
     def _on_down(self, address):
-        """Leave it to the beats, which tell what was lost and who was."""
+        """Do nothing: heartbeats resend what was lost and detect lost peers."""
 
     def _on_frames(self, peer, messages):
         gossip.deliver(peer, messages, self._handle)
@@ -157,58 +160,64 @@
             case PermitRequest():
                 self.rates.handle_request(message, now_s())
 
-    def _on_entry_heartbeat(self, beat):
+    def _on_entry_heartbeat(self, heartbeat):
         state, now = self.state, now_s()
-        if roster.hear(state.entries, beat.address, beat, now):
+        if roster.hear(state.entries, heartbeat.address, heartbeat, now):
             state.sink.write(
-                "control", "entry-found", peer=beat.vm, address=beat.address
+                "control", "entry-found", peer=heartbeat.vm, address=heartbeat.address
             )
-        if beat.crashes is not None:
+        if heartbeat.crashes is not None:
             self._forward_crashes(
-                state.crashes.merge_sync(beat.address, beat.crashes, now)
+                state.crashes.merge_sync(heartbeat.address, heartbeat.crashes, now)
             )
-        self.rates.record_limits(beat.limits, now)
-        self._waiting[beat.address] = beat
+        self.rates.record_limits(heartbeat.limits, now)
+        self._waiting[heartbeat.address] = heartbeat
         self._wake.set()
-        if not beat.version:
+        if not heartbeat.version:
             self._urgent.set()
 
-    def _on_control_heartbeat(self, beat):
+    def _on_control_heartbeat(self, heartbeat):
         state, now = self.state, now_s()
-        if roster.hear(state.roster, beat.address, beat, now):
+        if roster.hear(state.roster, heartbeat.address, heartbeat, now):
             state.sink.write(
-                "control", "control-found", True, peer=beat.vm, address=beat.address
+                "control",
+                "control-found",
+                True,
+                peer=heartbeat.vm,
+                address=heartbeat.address,
             )
-        roster.add_reported(state.roster, beat.controls, now)
-        self._positions[beat.address] = SyncPosition(beat.boot, beat.table_version)
-        # No news of it to others: they hear the same beats or news themselves.
-        tablesync.merge(state.endpoints, beat.endpoints, now)
-        tablesync.merge_liveness(state.endpoints, beat.alive, now)
-        if beat.crashes is not None:
+        roster.add_reported(state.roster, heartbeat.controls, now)
+        self._positions[heartbeat.address] = SyncPosition(
+            heartbeat.boot, heartbeat.table_version
+        )
+        # Not forwarded: the others receive the same heartbeats and updates.
+        tablesync.merge(state.endpoints, heartbeat.endpoints, now)
+        tablesync.merge_liveness(state.endpoints, heartbeat.alive, now)
+        if heartbeat.crashes is not None:
             self._forward_crashes(
-                state.crashes.merge_sync(beat.address, beat.crashes, now)
+                state.crashes.merge_sync(heartbeat.address, heartbeat.crashes, now)
             )
-        self.rates.record_limits(beat.limits, now)
+        self.rates.record_limits(heartbeat.limits, now)
 
     def _forward_crashes(self, fingerprints):
-        """Tell the entries nearby at once of what may change how they decide."""
+        """Send records that may lead to a block to the entries of this data centre."""
         state, now = self.state, now_s()
         records = state.crashes.book.records
         urgent = [one for one in fingerprints if len(records[one].crashes) > 1]
         if not urgent:
             return
-        news = state.crashes.make_update(urgent, now)
-        for beat in roster.beats(state.entries, now):
-            if beat.vm_zone == state.settings.vm_zone:
-                self.links.send(beat.address, news)
+        update = state.crashes.make_update(urgent, now)
+        for heartbeat in roster.beats(state.entries, now):
+            if heartbeat.vm_zone == state.settings.vm_zone:
+                self.links.send(heartbeat.address, update)
 
     def _merge_endpoints(self, endpoints):
         now = now_s()
-        news = tablesync.merge(self.state.endpoints, endpoints, now)
-        # An entry that the sender doesn't reach hears it from here.
-        for address in roster.present(self.state.entries, now) if news else ():
-            told = tablesync.report_endpoints(self.state.endpoints, news, now)
-            self.links.send(address, EndpointUpdate(told))
+        changed = tablesync.merge(self.state.endpoints, endpoints, now)
+        # Forwarded, as the sender may not reach every entry.
+        for address in roster.present(self.state.entries, now) if changed else ():
+            reported = tablesync.report_endpoints(self.state.endpoints, changed, now)
+            self.links.send(address, EndpointUpdate(reported))
 
     async def _send_heartbeats(self):
         state = self.state
@@ -232,8 +241,8 @@
 
     def _make_heartbeat(self, address, now):
         state = self.state
-        known = state.roster.peers.get(address)
-        seen = known.message.acked if known else SyncPosition("", 0)
+        peer = state.roster.peers.get(address)
+        acked = peer.message.acked if peer else SyncPosition("", 0)
         return ControlHeartbeat(
             boot=state.boot,
             vm=state.settings.vm,
@@ -246,14 +255,14 @@
             controls=tuple(roster.present(state.roster, now)),
             acked=self._positions.get(address, SyncPosition("", 0)),
             table_version=state.endpoints.table.version,
-            endpoints=tablesync.changes_since(state.endpoints, seen, now),
+            endpoints=tablesync.changes_since(state.endpoints, acked, now),
             alive=tablesync.recent_liveness(state.endpoints, now),
             crashes=state.crashes.make_sync(address, now),
             limits=self.rates.report_limits(now),
         )
 
     async def _confirm(self):
-        """Answer the beats that came before each confirmation, all together."""
+        """Answer all heartbeats that arrived before each confirmation."""
         while True:
             await self._wake.wait()
             self._wake, self._urgent = anyio.Event(), anyio.Event()
@@ -262,8 +271,8 @@
             version = await self._confirmed_version()
             if version >= 0:
                 self.state.confirmed_s = asked_s
-            for beat in waiting.values():
-                self._answer(beat, version)
+            for heartbeat in waiting.values():
+                self._answer(heartbeat, version)
             await anyio.sleep(FIRST_CONFIRM_INTERVAL_S)
             with anyio.move_on_after(CONFIRM_INTERVAL_S - FIRST_CONFIRM_INTERVAL_S):
                 await self._urgent.wait()
@@ -279,54 +288,56 @@
             return -1
         return self.state.version
 
-    def _answer(self, beat, version):
+    def _answer(self, heartbeat, version):
         state, now = self.state, now_s()
-        # The voter may have lost its disk since it confirmed.
+        # The voter may have lost its disk since the confirmation.
         voter = state.voter
-        if voter is not None and beat.version < version:
-            is_near = beat.vm_zone == state.settings.vm_zone
-            wait_s = REMOTE_SEND_DELAY_S if beat.version else FIRST_REMOTE_SEND_DELAY_S
-            if is_near or now - self._changed_s > wait_s:
-                news = ConfigurationUpdate(voter.state.version, voter.state.packed)
-                self.links.send(beat.address, news)
-        others = self._other_heartbeats(beat, now)
+        if voter is not None and heartbeat.version < version:
+            is_local = heartbeat.vm_zone == state.settings.vm_zone
+            delay_s = (
+                REMOTE_SEND_DELAY_S if heartbeat.version else FIRST_REMOTE_SEND_DELAY_S
+            )
+            if is_local or now - self._changed_s > delay_s:
+                update = ConfigurationUpdate(voter.state.version, voter.state.packed)
+                self.links.send(heartbeat.address, update)
+        others = self._other_heartbeats(heartbeat, now)
         answer = ControlAnswer(
             boot=state.boot,
             address=state.address,
-            sent_s=beat.sent_s,
+            sent_s=heartbeat.sent_s,
             version=version,
             controls=(state.address, *roster.present(state.roster, now)),
             table_version=state.endpoints.table.version,
-            endpoints=tablesync.changes_since(state.endpoints, beat.acked, now),
+            endpoints=tablesync.changes_since(state.endpoints, heartbeat.acked, now),
             alive=tablesync.recent_liveness(state.endpoints, now)
-            if beat.requests_all
+            if heartbeat.requests_all
             else (),
             vm_zone=state.settings.vm_zone,
             usage=None if others is None else _sum_usage(others),
             spent=None if others is None else _sum_spent(others),
-            spent_age_s=roster.mean_age_s(state.entries, beat.address, now),
+            spent_age_s=roster.mean_age_s(state.entries, heartbeat.address, now),
             entries=len(roster.present(state.entries, now)),
             crashes=(
-                state.crashes.make_sync(beat.address, now)
-                if beat.crashes is not None
+                state.crashes.make_sync(heartbeat.address, now)
+                if heartbeat.crashes is not None
                 else None
             ),
             limits=self.rates.report_limits(now),
         )
-        self.links.send(beat.address, answer)
+        self.links.send(heartbeat.address, answer)
 
-    def _other_heartbeats(self, beat, now):
-        """Return the beats of the other entries, None when they weren't asked for."""
-        if not beat.requests_all:
+    def _other_heartbeats(self, heartbeat, now):
+        """Return the heartbeats of the other entries, None if not requested."""
+        if not heartbeat.requests_all:
             return None
-        beats = roster.beats(self.state.entries, now)
-        return [other for other in beats if other.address != beat.address]
+        heartbeats = roster.beats(self.state.entries, now)
+        return [other for other in heartbeats if other.address != heartbeat.address]
 
 
-def _sum_usage(beats):
-    """Sum up what entries have running, by engine."""
+def _sum_usage(heartbeats):
+    """Return the usage summed over entries, by engine."""
     sums: dict[str, Usage] = {}
-    for one in (one for message in beats for one in message.usage):
+    for one in (one for heartbeat in heartbeats for one in heartbeat.usage):
         known = sums.get(one.address, Usage(one.address, 0, 0, 0))
         sums[one.address] = Usage(
             one.address,
@@ -337,10 +348,10 @@
     return tuple(sums.values())
 
 
-def _sum_spent(beats):
-    """Sum up what entries have spent, by service."""
+def _sum_spent(heartbeats):
+    """Return the requests and retries summed over entries, by service."""
     sums: dict[str, Spent] = {}
-    for one in (one for message in beats for one in message.spent):
+    for one in (one for heartbeat in heartbeats for one in heartbeat.spent):
         known = sums.get(one.service, Spent(one.service, 0, 0))
         requests, retries = known.requests + one.requests, known.retries + one.retries
         sums[one.service] = Spent(one.service, requests, retries)
--- a/libs/node/src/cherryrudder/node/gossip.py
+++ b/libs/node/src/cherryrudder/node/gossip.py
@@ -1,8 +1,10 @@
-"""What entries and control VMs tell one another, over frame links.
+"""Messages between entries and control VMs, sent over frame links.
 
-Each entry sends a beat to every control VM that it knows, and each control VM answers.
-News goes out at once besides; a beat only repairs what was lost on the way, so any of
-these messages may be lost, doubled or late.
+Each entry sends a heartbeat to every known control VM, and each control VM answers.
+Changes are also sent at once as updates. The next heartbeat repairs what was lost on
+the way, so any of these messages may be lost, duplicated or late.
+
+Messages travel as positional arrays: the order of fields and of `KINDS` is fixed.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,7 +21,7 @@
 
 
 class EndpointState(NamedTuple):
-    """An endpoint as the sender knows it; `age_s` is since it was last heard."""
+    """An endpoint in the sender's table; `age_s` is the time since its last sign."""
 
     announcement: Announcement
     age_s: float
@@ -27,31 +29,31 @@
 
 
 class Liveness(NamedTuple):
-    """A sign of life that brings no other news."""
+    """The age of an endpoint's last sign of life, for endpoints without changes."""
 
     engine_id: str
     age_s: float
 
 
 class Usage(NamedTuple):
-    """What runs through an engine, as those who sent it count."""
+    """The requests in flight at an engine, as counted by the entries that sent them."""
 
     address: str
     running: int
     tokens: int
-    # Streams whose chain begins there; engines bound how many they take.
+    # Streams whose chain begins at the engine; engines limit how many they accept.
     firsts: int
 
 
 class SyncPosition(NamedTuple):
-    """How far a reader has followed the endpoints' table of one control process."""
+    """How far a reader has followed one process's numbered changes."""
 
     boot: str
     version: int
 
 
 class ReportedCrash(NamedTuple):
-    """An engine that ended after it had begun a request, `age_s` ago."""
+    """The end of an engine that had begun a request, `age_s` ago."""
 
     engine_id: str
     vm_zone: str
@@ -61,97 +63,99 @@
 
 
 class ReportedRecord(NamedTuple):
-    """What the sender knows of one request under which engines ended."""
+    """The sender's record of one request that was running when engines ended."""
 
     fingerprint: str
     account: str
     service: str
     crashes: tuple[ReportedCrash, ...]
-    # Furthest event of a run whose engine lived on, -1 for none.
+    # Furthest event of a run whose engine survived, -1 for none.
     passed: int
-    # Since an operator said that it may run; None when none did.
+    # Time since an operator lifted the request's block; None if none did.
     lifted_age_s: float | None
 
 
 class CrashSync(NamedTuple):
-    """The sender's book since what the reader has, and how far it has the reader's."""
+    """The sender's crash records that the reader lacks, and an acknowledgement."""
 
     position: SyncPosition
-    # The version since which the records are, as the sender last heard; -1 for all.
+    # The records changed after this version, the last that the reader acknowledged;
+    # -1 if all records are sent.
     since: int
+    # How far the sender has followed the reader's records.
     acked: SyncPosition
     records: tuple[ReportedRecord, ...]
 
 
 class ReportedLimit(NamedTuple):
-    """The requests a second that an engine takes, as it said `age_s` ago."""
+    """The requests per second that an engine accepts, as it stated `age_s` ago."""
 
     engine_id: str
-    # None when it no longer names a limit.
+    # None when the engine no longer states a limit.
     per_s: float | None
     age_s: float
 
 
 class EntryHeartbeat(NamedTuple):
-    """An entry's regular message to each control VM."""
+    """The periodic message of an entry to each control VM."""
 
     vm: str
     vm_zone: str
-    # Frame address at which the entry takes answers and news.
+    # Frame address at which the entry receives answers and updates.
     address: str
-    # The sender's clock, echoed: a late answer then shows its age.
+    # The sender's clock, echoed in the answer so that the sender can tell its age.
     sent_s: float
-    # Version of the configuration that is in force at the entry, 0 for none.
+    # Version of the configuration in force at the entry, 0 for none.
     version: int
     acked: SyncPosition
-    # Both are sent only to the control VMs that tell the entries of their data centre.
+    # `usage` and `spent` are sent only to the aggregator of each data centre.
     usage: tuple[Usage, ...]
-    # Requests and retries of this entry within the operators' window.
+    # Requests and retries of this entry within the configured window.
     spent: tuple[Spent, ...]
-    # One control VM is asked for what other entries have running and have spent, and
-    # for the signs of life of all endpoints.
+    # Requests the sums of the other entries' usage and spending, and the liveness of
+    # all endpoints; one control VM is asked for them.
     requests_all: bool
-    # For the control VM that is asked for all, and at first for each.
+    # Sent with `requests_all`, and to every control VM until the first answer.
     crashes: CrashSync | None = None
     limits: tuple[ReportedLimit, ...] = ()
 
 
 class ControlAnswer(NamedTuple):
-    """A control VM's answer to an entry's beat."""
+    """A control VM's answer to an entry's heartbeat."""
 
     boot: str
     address: str
     sent_s: float
-    # Newest version as of the beat's arrival, confirmed by a majority of the voters;
-    # -1 when that couldn't be had.
+    # Newest configuration version when the heartbeat arrived, confirmed by a majority
+    # of the voters; -1 if no majority confirmed it in time.
     version: int
     controls: tuple[str, ...]
     table_version: int
     endpoints: tuple[EndpointState, ...]
     alive: tuple[Liveness, ...]
     vm_zone: str
-    # Of all other entries together; None when it wasn't asked for.
+    # Sums over all other entries; None if they weren't requested.
     usage: tuple[Usage, ...] | None
     spent: tuple[Spent, ...] | None
-    # How old what the others told is, on the average: it is summed up.
+    # Mean age of the reports in these sums.
     spent_age_s: float
-    # How many entries there are.
+    # Number of live entries.
     entries: int
-    # To a beat that brought some.
+    # Only in answers to heartbeats that carried crash records.
     crashes: CrashSync | None = None
     limits: tuple[ReportedLimit, ...] = ()
 
 
 class ControlHeartbeat(NamedTuple):
-    """A control VM's regular message to each other."""
+    """The periodic message of a control VM to each other control VM."""
 
     boot: str
     vm: str
-    # Frame address for this gossip, and the one for the log's messages.
+    # Frame addresses for these messages and for the replicated log's messages.
     address: str
     log_address: str
     disk_id: str
-    # False for a copy in memory, which can never become a voter.
+    # False if the log is only kept in memory; such a VM can't become a voter.
     has_disk: bool
     vm_zone: str
     is_founding: bool
@@ -165,40 +169,40 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """Endpoints that changed just now."""
+    """Endpoints that have just changed."""
 
     endpoints: tuple[EndpointState, ...]
 
 
 class ConfigurationUpdate(NamedTuple):
-    """A configuration that was accepted, packed as it is in the log."""
+    """A configuration that was committed, packed as in the replicated log."""
 
     version: int
     packed: str
 
 
 class Accusation(NamedTuple):
-    """An entry had no answer from an engine and takes it as dead."""
+    """An entry got no answer from an engine and considers it dead."""
 
     engine_id: str
     sender: str
 
 
 class Acquittal(NamedTuple):
-    """A control VM had the answer that the accuser missed; the engine lives."""
+    """A control VM got an answer from the suspected engine: it is alive."""
 
     engine_id: str
 
 
 class Question(NamedTuple):
-    """A control VM had no answer from an engine and asks another one to look."""
+    """A control VM got no answer from an engine and asks another one to probe it."""
 
     engine_id: str
     sender: str
 
 
 class Finding(NamedTuple):
-    """What a control VM that was asked saw of an engine; see `verification.Seen`."""
+    """The result of a requested probe of an engine; see `verification.Seen`."""
 
     engine_id: str
     sender: str
@@ -206,53 +210,53 @@
 
 
 class DeathNotice(NamedTuple):
-    """An entry and the control VMs had no answer; the others needn't try."""
+    """Neither an entry nor the control VMs got an answer from an engine."""
 
     engine_id: str
 
 
 class EndNotice(NamedTuple):
-    """An engine that was found dead has missed its heartbeats, too: its runs ended."""
+    """An engine that was found dead missed its heartbeats as well: its runs ended."""
 
     engine_id: str
 
 
 class CrashNews(NamedTuple):
-    """Requests under which an engine has ended just now, or that got further."""
+    """Crash records that changed: an engine ended, or a suspect request got further."""
 
     records: tuple[ReportedRecord, ...]
 
 
 class LimitUpdate(NamedTuple):
-    """Engines that have just named a limit, changed it or ended it."""
+    """Engines that have just set, changed or removed their limit."""
 
     limits: tuple[ReportedLimit, ...]
 
 
 class PermitRequest(NamedTuple):
-    """An entry has requests that could begin at a limited engine."""
+    """An entry's request for permits to start requests at a limited engine."""
 
-    # Where the entry takes the answer.
+    # Frame address of the entry, for the answer.
     sender: str
     limit: ReportedLimit
     count: int
 
 
 class PermitGrant(NamedTuple):
-    """How many requests an entry may send to a limited engine."""
+    """The number of requests that an entry may send to a limited engine."""
 
     engine_id: str
     grant: Grant
 
 
 class Complaint(NamedTuple):
-    """A stream goes slower than its chain should; one of these engines is slow."""
+    """A stream is slower than its chain should be: one of these engines is slow."""
 
     engine_ids: tuple[str, ...]
 
 
 class PaceNews(NamedTuple):
-    """How many times slower than its kind an engine says that it is."""
+    """How many times slower than its kind an engine reports itself to be."""
 
     engine_id: str
     slowness: float
@@ -278,13 +282,13 @@
     PermitGrant,
 )
 
-# Nobody but this system's processes knows the internal ports; the key only keeps a
-# stray connection of something else from being taken for one of them.
+# The internal ports are used by this system only. The key isn't a secret: it rejects
+# stray connections of other software.
 KEY = "cherryrudder"
 
 
 class Ports(NamedTuple):
-    """The ports of the machine that this system's processes use among themselves."""
+    """The internal ports that the processes of one machine listen at."""
 
     log: int
     control: int
@@ -292,15 +296,15 @@
 
 
 def ports(first_port: int) -> Ports:
-    """Return the ports, counted from the first that the platform leaves free."""
+    """Return the internal ports, counted from the first one that is left free."""
     return Ports(first_port, first_port + 1, first_port + 2)
 
 
 def deliver(peer: str, messages: Iterable, handle: Callable) -> None:
-    """Hand messages on one by one, and leave out any that the reader fails at.
+    """Pass messages to `handle` one by one, and skip any for which it raises.
 
-    All processes read the same news: one that ended its reader would end the others,
-    too. The beats make good what was left out.
+    All processes receive the same updates, so a message that crashed its reader would
+    crash every process. Heartbeats make up for what was skipped.
     """
     for message in messages:
         try:
@@ -311,11 +315,11 @@
 
 
 def seed_addresses(settings: NodeSettings) -> tuple[str, ...]:
-    """Return where the seeds' control processes take frames."""
+    """Return the frame addresses of the seeds' control processes."""
     port = ports(settings.first_port).control
     return tuple(at_port(seed, port) for seed in settings.seeds)
 
 
 def at_port(address: str, port: int) -> str:
-    """Return the address of another port on the same machine."""
+    """Return an address with its port replaced."""
     return f"{address.rpartition(':')[0]}:{port}"
