--- a/libs/node/src/cherryrudder/node/control.py
+++ b/libs/node/src/cherryrudder/node/control.py
@@ -1,4 +1,4 @@
-"""The control process: heartbeats, the configuration's log, and the layers."""
+"""The control process: gossip, the replicated configuration log, and the layers."""
 
 import anyio
 
@@ -14,8 +14,8 @@
 from .metrics import Metrics
 from .surface import Shown
 
-# How long a process that is to stop waits for its leadership to be taken over and for
-# the calls that it has begun; the platform gives eight seconds.
+# How long a stopping process waits for its leadership to be transferred, and for calls
+# in flight to end. The platform allows eight seconds.
 HANDOVER_WAIT_S = 0.3
 DRAIN_TIMEOUT_S = 2.0
 
@@ -26,18 +26,21 @@
     """Serve as a control VM until `leaving` is set."""
     state = ControlState(settings, sink, metrics)
     async with anyio.create_task_group() as group:
-        beats = ControlBeats(state, group)
-        beats.start()
+        control_gossip = ControlBeats(state, group)
+        control_gossip.start()
         group.start_soon(
             surface.serve,
             f"{settings.ip}:{surface.PORTS['control']}",
             Shown(
-                metrics, state.crashes, beats.tell_crashes, beats.rates.report_limits
+                metrics,
+                state.crashes,
+                control_gossip.tell_crashes,
+                control_gossip.rates.report_limits,
             ),
         )
-        group.start_soon(voterrunner.run, state, beats.on_applied)
-        group.start_soon(LayerController(state, beats, group).run)
-        server = HttpServer(ControlApi(state, beats).handle)
+        group.start_soon(voterrunner.run, state, control_gossip.on_applied)
+        group.start_soon(LayerController(state, control_gossip, group).run)
+        server = HttpServer(ControlApi(state, control_gossip).handle)
         group.start_soon(httpserver.serve, server, settings.control_address)
         await leaving.wait()
         await _stop(state, server)
--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -1,4 +1,4 @@
-"""The calls at the control address: heartbeats, departures and the configuration."""
+"""Handle calls at the control address: heartbeats, departures and configurations."""
 
 import msgspec
 from loguru import logger
@@ -14,11 +14,11 @@
 from .controlbeats import ControlBeats
 from .controlstate import ControlState
 
-# Callers turn to another VM after a second without an answer; this leaves them time
-# to hear the reason.
+# Callers switch to another VM after a second without an answer. This leaves time for
+# them to receive the reason.
 ANSWER_TIMEOUT_S = 0.85
 # Without a confirmation for this long, a VM may be cut off from the others. It then
-# sends engines to another one, so that every entry hears of them.
+# answers engines with 503, so that they switch to a VM whose updates reach every entry.
 CUT_OFF_S = 1.6
 JSON = [(b"content-type", b"application/json")]
 
@@ -26,14 +26,14 @@
 
 
 class ControlApi:
-    """Answers calls with what one control process knows."""
+    """Handles the calls to one control process."""
 
     def __init__(self, state: ControlState, beats: ControlBeats):
         self.state = state
         self.gossip = beats
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Handle one call."""
         request = exchange.request
         target = request.target.decode("latin-1")
         asked = calls.find_call(request.method.decode(), target)
@@ -56,18 +56,19 @@
         if result.is_error():
             await self._refuse_malformed(exchange, name, 400, result.error)
             return
-        heard = result.ok
-        if not self.state.has_service(heard.service):
-            # Believed, it would take an address away from the endpoint that is there.
-            # A service that is yet to be configured is heard with the next heartbeat.
+        announcement = result.ok
+        if not self.state.has_service(announcement.service):
+            # Accepted, it would replace the endpoint that is in the table at its
+            # address. If its service is configured later, the next heartbeat counts.
             await self._refuse_malformed(exchange, name, 503, "no such service")
             return
-        if tablesync.hear(self.state.endpoints, heard, now_s()):
-            self._log_endpoint("endpoint", heard)
-            self.gossip.spread([heard.engine_id])
+        if tablesync.hear(self.state.endpoints, announcement, now_s()):
+            self._log_endpoint("endpoint", announcement)
+            self.gossip.spread([announcement.engine_id])
         if self._is_cut_off():
-            # Heard all the same; but the others should hear it, too. Were it content
-            # here, they would take it for lost, and its layers for a hole.
+            # The heartbeat is recorded, but the other control VMs need it as well. If
+            # it succeeded here, they would consider the engine lost and its layers
+            # missing.
             await _fail(exchange, 503, "cut off from the other control VMs")
             return
         await exchange.answer(200, JSON, engines.HEARTBEAT_ANSWER)
@@ -83,7 +84,7 @@
         if result.is_error():
             await self._refuse_malformed(exchange, name, 400, result.error)
             return
-        # Without its start, the notice is of the incarnation known by that name.
+        # A notice without a start time is for the newest incarnation with that name.
         known = endpoints.newest_incarnation(self.state.endpoints.table, name)
         engine_id = result.ok or known or name
         if tablesync.record_sign_off(self.state.endpoints, engine_id, now_s()):
@@ -96,19 +97,19 @@
             return
         await exchange.answer(200, JSON, engines.HEARTBEAT_ANSWER)
 
-    def _log_endpoint(self, event, heard):
+    def _log_endpoint(self, event, announcement):
         self.state.sink.write(
             "control",
             event,
             True,
-            engine_id=heard.engine_id,
-            service=heard.service,
-            address=heard.address,
-            vm_zone=heard.vm_zone,
-            kind=heard.kind,
-            is_leaving=endpoints.leaves(heard),
-            layers=list(heard.holding),
-            number=heard.number,
+            engine_id=announcement.engine_id,
+            service=announcement.service,
+            address=announcement.address,
+            vm_zone=announcement.vm_zone,
+            kind=announcement.kind,
+            is_leaving=endpoints.leaves(announcement),
+            layers=list(announcement.holding),
+            number=announcement.number,
         )
 
     async def _replace(self, exchange):
@@ -129,20 +130,20 @@
             await _fail(exchange, status, outcome)
 
     async def _accept(self, version, text):
-        """Return the status for a checked configuration, and what became of it."""
+        """Return the status and the outcome for a valid configuration."""
         voter = self.state.voter
         if voter is None:
             return 503, "the log is not open"
         if version < voter.state.version:
-            # Applied here means committed: nothing lower can take effect any more.
+            # An applied version is committed, so no lower one can take effect any more.
             return 200, configlog.Taken.SUPERSEDED
         try:
             payload = configlog.encode(configlog.Put(version, configlog.pack(text)))
             outcome = await voter.propose(payload, ANSWER_TIMEOUT_S)
         except ReplicaError as error:
             return 503, str(error)
-        # The operators' rule is that a version that isn't higher is acknowledged and
-        # changes nothing; this holds for other content under the version held as well.
+        # The operators' rule: a version that isn't higher is acknowledged and changes
+        # nothing, even if its content differs from that of the same version in force.
         return 200, outcome
 
     async def _read(self, exchange):
--- a/libs/node/src/cherryrudder/node/controlstate.py
+++ b/libs/node/src/cherryrudder/node/controlstate.py
@@ -1,4 +1,4 @@
-"""What a control process knows, shared by its parts."""
+"""The state of a control process, shared by its parts."""
 
 from typing import TYPE_CHECKING
 
@@ -38,29 +38,29 @@
         self.address = f"{settings.ip}:{self.ports.control}"
         self.log_address = f"{settings.ip}:{self.ports.log}"
         self.seed_addresses = gossip.seed_addresses(settings)
-        # Other control processes, and entries.
+        # The other control processes, and the entries.
         self.roster = Roster(self.address, self.seed_addresses)
         self.entries = Roster()
         self.endpoints = SharedTable(self.boot)
         self.crashes = CrashDesk(self.boot, sink, metrics)
-        # When entries last found an engine dead, by its incarnation.
+        # When entries last reported an engine dead, by incarnation.
         self.accused: dict[str, float] = {}
         self.voter: Voter | None = None
         self.disk_id = ""
-        # Set once the process is to end.
+        # Set when the process has to end.
         self.stopping = anyio.Event()
-        # When a majority last confirmed what is in force; see `controlbeats`.
+        # When a majority last confirmed the configuration in force; see `controlbeats`.
         self.confirmed_s = float("-inf")
-        # Those of the configuration with this version.
+        # Cached services, with the version of their configuration.
         self._services: tuple[int, tuple[Service, ...]] = (0, ())
 
     @property
     def version(self) -> int:
-        """Return the version of the newest configuration that was applied here."""
+        """The version of the newest configuration that was applied here, 0 for none."""
         return self.voter.state.version if self.voter else 0
 
     def services(self) -> tuple[Service, ...]:
-        """Return the services of the configuration that was applied here."""
+        """Return the services of the newest configuration that was applied here."""
         version, services = self._services
         if version != self.version:
             text = self.voter.state.text if self.voter else ""
@@ -73,25 +73,25 @@
         return services
 
     def has_service(self, name: str) -> bool:
-        """Tell whether a service is configured, as far as is known here.
+        """Return whether a service is in the newest configuration applied here.
 
-        Without any service known, as before the first configuration, all count: else
-        no engine would be heard.
+        While no service is known, as before the first configuration, it returns True
+        for all names. Otherwise no engine's heartbeat would be accepted.
         """
         services = self.services() if self.version else ()
         return not services or any(s.name == name for s in services)
 
     def is_leader(self) -> bool:
-        """Tell whether this VM leads, as far as it knows."""
+        """Return whether this VM's voter considers itself the leader."""
         return self.voter is not None and self.voter.node.role == core.LEADER
 
     def members(self, now_s: float) -> list[Member]:
-        """Return the control processes that tell of themselves, this one included."""
+        """Return the known control processes with a disk ID, this one included."""
         own = VoterName(self.settings.vm, self.disk_id, self.log_address)
         found = [Member(own, bool(self.settings.data_folder), now_s)]
-        for present in self.roster.peers.values():
-            beat = present.message
-            if beat.disk_id:
-                name = VoterName(beat.vm, beat.disk_id, beat.log_address)
-                found.append(Member(name, beat.has_disk, present.heard_s))
+        for peer in self.roster.peers.values():
+            heartbeat = peer.message
+            if heartbeat.disk_id:
+                name = VoterName(heartbeat.vm, heartbeat.disk_id, heartbeat.log_address)
+                found.append(Member(name, heartbeat.has_disk, peer.heard_s))
         return found
--- a/libs/node/src/cherryrudder/node/crashdesk.py
+++ b/libs/node/src/cherryrudder/node/crashdesk.py
@@ -1,4 +1,4 @@
-"""One process's crash book: what it learns, what follows, and what it logs of it."""
+"""Track requests that crash engines: crash records, blocks and their log lines."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 
 
 class CrashDesk:
-    """The book of one process, and where its changes are told."""
+    """One process's crash records, kept in sync with those of other processes."""
 
     def __init__(self, boot: str, sink: LineSink, metrics: Metrics):
         self.book = CrashBook(boot)
@@ -22,55 +22,57 @@
         self._metrics = metrics
 
     def merge_sync(self, address: str, sync: CrashSync, now_s: float) -> list[str]:
-        """Take what came with a beat; return the fingerprints it is news of."""
-        news = crashsync.merge_sync(self.book, self.positions, address, sync, now_s)
-        self._refresh_if_relevant(news, now_s)
-        return news
+        """Merge the records of a heartbeat; return the changed fingerprints."""
+        changed = crashsync.merge_sync(self.book, self.positions, address, sync, now_s)
+        self._refresh_if_relevant(changed, now_s)
+        return changed
 
     def merge_records(
         self, records: tuple[ReportedRecord, ...], now_s: float
     ) -> list[str]:
-        """Take news; return the fingerprints it is news of."""
-        news = crashsync.merge_records(self.book, records, now_s)
-        self._refresh_if_relevant(news, now_s)
-        return news
+        """Merge the records of an update; return the changed fingerprints."""
+        changed = crashsync.merge_records(self.book, records, now_s)
+        self._refresh_if_relevant(changed, now_s)
+        return changed
 
     def record(self, records: dict[str, Record], now_s: float) -> CrashNews:
-        """Take what this process itself saw; return what others are to hear of it."""
-        news = [one for one in records if crashbook.merge(self.book, one, records[one])]
-        self._refresh_if_relevant(news, now_s)
-        return self.make_update(news, now_s)
+        """Record this process's own observations; return the update for others."""
+        changed = [
+            one for one in records if crashbook.merge(self.book, one, records[one])
+        ]
+        self._refresh_if_relevant(changed, now_s)
+        return self.make_update(changed, now_s)
 
     def make_update(self, fingerprints: Iterable[str], now_s: float) -> CrashNews:
-        """Return what others are to hear of some requests."""
+        """Return the update for others that holds some requests' records."""
         return CrashNews(crashsync.report_records(self.book, fingerprints, now_s))
 
     def make_sync(self, address: str, now_s: float) -> CrashSync:
-        """Return what the process at an address is to hear with the next beat."""
+        """Return the records for the next heartbeat to an address."""
         return crashsync.make_sync(self.book, self.positions, address, now_s)
 
     def has_synced(self) -> bool:
-        """Tell whether any other process has told its book."""
+        """Return whether the records of any other process have arrived."""
         return bool(self.positions.applied)
 
     def is_watched(self, fingerprint: str) -> bool:
-        """Tell whether it matters how far a request gets."""
+        """Return whether a request is suspect or blocked, so its progress matters."""
         return fingerprint in self.book.suspects or fingerprint in self.book.blocks
 
     def block_of(self, fingerprint: str, now_s: float) -> Block | None:
-        """Return the block of a request, if there is one."""
+        """Return the current block of a request, None if it isn't blocked."""
         block = self.book.blocks.get(fingerprint)
         return block if block is not None and now_s < block.until_s else None
 
     def lift(self, fingerprint: str, now_s: float) -> CrashNews:
-        """End a block by an operator's word; return what others are to hear."""
+        """Lift a block for an operator; return the update for others."""
         known = self.book.records.get(fingerprint)
         if known is None or fingerprint not in self.book.blocks:
             return CrashNews(())
         return self.record({fingerprint: known._replace(lifted_s=now_s)}, now_s)
 
     def dump(self, now_s: float) -> dict:
-        """Return all blocks and suspects, for operators."""
+        """Return all blocks and suspects, for the operators' API."""
         records = self.book.records
         blocks = [
             {
@@ -87,27 +89,27 @@
         return {"blocks": blocks, "suspects": suspects, "records": len(records)}
 
     def sweep(self, present: set[str], now_s: float) -> None:
-        """Forget what is old, and end the blocks that are over."""
+        """Drop old records, expired blocks and the positions of absent processes."""
         if self.book.records:
             crashbook.sweep(self.book, now_s)
             self._refresh(now_s)
         crashsync.forget(self.positions, present)
 
-    def _refresh_if_relevant(self, news, now_s):
-        """Draw conclusions, unless each request has one crash at the most."""
+    def _refresh_if_relevant(self, changed, now_s):
+        """Update the blocks if a changed request is suspect or has several crashes."""
         book = self.book
-        if any(len(book.records[one].crashes) > 1 for one in news) or any(
-            self.is_watched(one) for one in news
+        if any(len(book.records[one].crashes) > 1 for one in changed) or any(
+            self.is_watched(one) for one in changed
         ):
             self._refresh(now_s)
 
     def _refresh(self, now_s):
-        known = dict(self.book.blocks)
+        old_blocks = dict(self.book.blocks)
         begun, ended = blame.refresh(self.book, now_s)
         for fingerprint in begun:
             self._log("blocked", fingerprint, self.book.blocks[fingerprint], now_s)
         for fingerprint in ended:
-            self._log("unblocked", fingerprint, known[fingerprint], now_s)
+            self._log("unblocked", fingerprint, old_blocks[fingerprint], now_s)
 
     def _log(self, event, fingerprint, block, now_s):
         record = self.book.records.get(fingerprint, Record("", ""))
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -1,4 +1,4 @@
-"""An entry's part in finding requests that end the engines which begin them."""
+"""An entry's part in the detection of requests that crash the engines they run on."""
 
 import math
 from typing import TYPE_CHECKING
@@ -18,18 +18,19 @@
 if TYPE_CHECKING:
     from .job import Job
 
-# Final for every client: it names the request itself, and promises nothing of its runs.
+# Final for every client: the status blames the request itself. It doesn't say that the
+# request wasn't run.
 ENDS_ENGINES = Refused(400, "it ends the engines that run it")
-# How long a request that engines ended under before waits to hear whether this one has
-# ended, too: control VMs find it out in some milliseconds, and two ask for 0.4 s.
+# How long a request under which engines ended before waits for the verdict on the next
+# one. Control VMs reach it within some milliseconds; when two ask, it takes 0.4 s.
 VERDICT_WAIT_S = 0.5
 VERDICT_POLL_S = 0.02
 
 
 def is_blocked(job: "Job", now_s: float) -> bool:
-    """Tell whether a request is to be refused, since it ends its engines.
+    """Return whether to refuse a request because it crashes engines.
 
-    Those of other software than ended may run it.
+    It isn't refused while all engines run other versions than those that crashed.
     """
     state = job.state
     block = state.crashes.block_of(job.fingerprint, now_s)
@@ -40,7 +41,7 @@
 
 
 def note_refused(job: "Job", now_s: float) -> None:
-    """Log that a request is refused for its block."""
+    """Log that a request is refused because it is blocked."""
     state = job.state
     block = state.crashes.block_of(job.fingerprint, now_s)
     state.metrics.crashes.labels("refused").inc()
@@ -53,7 +54,7 @@
 
 
 def broke(job: "Job", engine_id: str, event: int, now_s: float) -> CrashNews:
-    """Keep a run that broke off; return what others are to hear of it."""
+    """Record that a run broke off; return the update for others."""
     _drop_refuted_end(job.state, engine_id)
     run = BrokenRun(
         fingerprint=job.fingerprint,
@@ -68,7 +69,7 @@
 
 
 def _drop_refuted_end(state, engine_id):
-    """Drop an end after which the engine was heard again."""
+    """Drop the recorded end of an engine that has sent a sign of life since."""
     entry = state.endpoints.table.entries.get(engine_id)
     ended_s = state.broken.ended_s.get(engine_id, math.inf)
     if entry is not None and entry.heard_s > ended_s:
@@ -76,7 +77,7 @@
 
 
 def engine_ended(state: EntryState, engine_id: str, now_s: float) -> CrashNews:
-    """Take note that an engine has ended; return what others are to hear."""
+    """Record that an engine has ended; return the update for others."""
     brokenruns.ended(state.broken, engine_id, now_s)
     return _record_crashes(state, engine_id, now_s)
 
@@ -105,7 +106,7 @@
 
 
 def reached(job: "Job", event: int, now_s: float) -> CrashNews | None:
-    """Take note how far a run got on an engine that lives; return what is news."""
+    """Record a run's progress on a live engine; return the update, None if none."""
     desk = job.state.crashes
     known = desk.book.records.get(job.fingerprint)
     if known is None or not desk.is_watched(job.fingerprint):
@@ -119,7 +120,8 @@
 async def wait_for_fate(job: "Job", engine_id: str) -> None:
     """Wait until it is known whether an engine has ended under a request.
 
-    Only where others have before; else each further attempt would end one more.
+    It only waits if engines have ended under the request before. Without the wait, each
+    further attempt could crash one more engine.
     """
     state, until_s = job.state, now_s() + VERDICT_WAIT_S
     if job.fingerprint not in state.crashes.book.records:
@@ -129,7 +131,7 @@
 
 
 async def wait_apart(job: "Job") -> None:
-    """Hold a suspect back for a moment of its own."""
+    """Delay a suspect request, so that suspects don't run at the same time."""
     delay_s = blame.send_delay_s(job.state.crashes.book, job.fingerprint)
     if delay_s:
         await anyio.sleep(min(delay_s, max(0.0, job.left_s())))
--- a/libs/node/src/cherryrudder/node/crashsync.py
+++ b/libs/node/src/cherryrudder/node/crashsync.py
@@ -1,7 +1,8 @@
-"""Keeping the crash books of several processes alike, by news and by beats.
+"""Synchronize the crash records of several processes, by updates and heartbeats.
 
-Each side of a beat tells how far it follows the other's book, and gets what it lacks. A
-process that starts again, or has turned to another control VM, thus gets all of it.
+Each side of a heartbeat acknowledges how far it follows the other's records, and gets
+what it lacks. A process that restarts, or that switches to another control VM, thus
+gets all records.
 """
 
 from cherryrudder.routing import crashbook
@@ -13,7 +14,7 @@
 
 
 class PeerPositions:
-    """How far this process follows the books of others, and they its own."""
+    """How far this process follows its peers' records, and they follow its own."""
 
     def __init__(self):
         self.applied: dict[str, SyncPosition] = {}
@@ -21,45 +22,49 @@
 
 
 def make_sync(
-    book: CrashBook, marks: PeerPositions, address: str, now_s: float
+    book: CrashBook, positions: PeerPositions, address: str, now_s: float
 ) -> CrashSync:
-    """Return what the process at an address is to hear with the next beat."""
-    told = marks.acked.get(address, NO_POSITION)
-    since = told.version if told.boot == book.boot else -1
-    news = [one for one, version in book.changed.items() if version > since]
+    """Return the records for the next heartbeat to an address."""
+    acked = positions.acked.get(address, NO_POSITION)
+    since = acked.version if acked.boot == book.boot else -1
+    changed = [one for one, version in book.changed.items() if version > since]
     return CrashSync(
         SyncPosition(book.boot, book.version),
         since,
-        marks.applied.get(address, NO_POSITION),
-        report_records(book, news, now_s),
+        positions.applied.get(address, NO_POSITION),
+        report_records(book, changed, now_s),
     )
 
 
 def merge_sync(
-    book: CrashBook, marks: PeerPositions, address: str, sync: CrashSync, now_s: float
+    book: CrashBook,
+    positions: PeerPositions,
+    address: str,
+    sync: CrashSync,
+    now_s: float,
 ) -> list[str]:
-    """Take what came with a beat; return the fingerprints it is news of."""
-    if _is_contiguous(marks.applied.get(address, NO_POSITION), sync):
-        marks.applied[address] = sync.position
-    marks.acked[address] = sync.acked
+    """Merge the records of a heartbeat; return the changed fingerprints."""
+    if _is_contiguous(positions.applied.get(address, NO_POSITION), sync):
+        positions.applied[address] = sync.position
+    positions.acked[address] = sync.acked
     return merge_records(book, sync.records, now_s)
 
 
-def _is_contiguous(seen, sync):
-    """Tell whether nothing lies between what this process has and what came.
+def _is_contiguous(applied, sync):
+    """Return whether no change is missing between the applied ones and `sync`.
 
-    A sender that hasn't heard yet that this process started again leaves out what the
-    one before had.
+    After a restart of this process, a sender that hasn't received its new position yet
+    leaves out what the previous process had acknowledged.
     """
     if sync.since < 0:
         return True
-    return seen.boot == sync.position.boot and seen.version >= sync.since
+    return applied.boot == sync.position.boot and applied.version >= sync.since
 
 
 def merge_records(
     book: CrashBook, records: tuple[ReportedRecord, ...], now_s: float
 ) -> list[str]:
-    """Merge records; return the fingerprints they are news of."""
+    """Merge records; return the changed fingerprints."""
     return [
         one.fingerprint
         for one in records
@@ -70,14 +75,14 @@
 def report_records(
     book: CrashBook, fingerprints, now_s: float
 ) -> tuple[ReportedRecord, ...]:
-    """Return some records as they are told to others."""
+    """Return some records in the form in which they are sent."""
     known = [one for one in fingerprints if one in book.records]
     return tuple(_write(one, book.records[one], now_s) for one in known)
 
 
-def forget(marks: PeerPositions, present: set[str]) -> None:
-    """Drop what is kept of processes that are gone."""
-    for kept in (marks.applied, marks.acked):
+def forget(positions: PeerPositions, present: set[str]) -> None:
+    """Drop the positions of processes that are gone."""
+    for kept in (positions.applied, positions.acked):
         for address in set(kept) - present:
             del kept[address]
 
@@ -97,8 +102,12 @@
     )
 
 
-def _read(told, now_s):
-    crashes = (Crash(*crash[:-1], at_s=now_s - crash.age_s) for crash in told.crashes)
-    age_s = told.lifted_age_s
+def _read(reported, now_s):
+    crashes = (
+        Crash(*crash[:-1], at_s=now_s - crash.age_s) for crash in reported.crashes
+    )
+    age_s = reported.lifted_age_s
     lifted_s = float("-inf") if age_s is None else now_s - age_s
-    return Record(told.account, told.service, tuple(crashes), told.passed, lifted_s)
+    return Record(
+        reported.account, reported.service, tuple(crashes), reported.passed, lifted_s
+    )
--- a/libs/node/src/cherryrudder/node/layercontroller.py
+++ b/libs/node/src/cherryrudder/node/layercontroller.py
@@ -1,8 +1,8 @@
-"""The leader's care for the layers: it plans ranges and orders engines to hold them.
+"""Plan which engine holds which layers, and order engines to load them.
 
-Only the log's leader gives orders, with its term as the fence, so that the orders of a
-leader that was replaced are refused. Each order names the count of orders that the
-engine has begun: one that is carried out seconds late, after others, is refused too.
+Only the log's leader sends orders. They carry its term as a fencing token, so that
+orders of a replaced leader are refused. Each order also names the number of orders that
+the engine has begun, so that an order that arrives late, after others, is refused too.
 """
 
 from typing import NamedTuple
@@ -24,40 +24,40 @@
 from .errors import EngineCallFailed
 
 REVIEW_INTERVAL_S = 0.25
-# At the first start the engines announce themselves one after the other; a plan made
-# from some of them gives each too many layers. They are planned once nobody new has
-# come for longer than one heartbeat (1.2 s).
+# At the first start the engines announce themselves one after the other, and a plan
+# made from some of them would give each too many layers. The first plan is made once no
+# new engine has announced itself for longer than one heartbeat (1.2 s).
 FIRST_PLAN_QUIET_S = 1.5
-# A death that an entry and a control VM found is acted upon after this time: engines
-# that were lost together, as those of a rack, are found within it, and one plan covers
-# all. Waiting for missed heartbeats instead leaves a hole in the layers for 3 s more.
+# Delay between an engine's death and the new plan. Engines that are lost together, as
+# those of a rack, are detected within it, so that one plan covers all. Waiting for
+# missed heartbeats instead would leave layers without an engine for 3 s more.
 DEATH_BATCH_S = 0.25
-# A process that has just started hears of the engines one by one, within two of their
-# heartbeats. What it doesn't know yet would look like holes.
+# A process that has just started receives the engines' heartbeats one by one, within
+# two of their intervals. Until then, layers of unknown engines would seem missing.
 STARTUP_WAIT_S = 3.0
-# A load that takes this many times its nominal time is not waited for any longer.
+# A load times out after this many times its nominal duration, plus the extra below.
 LOAD_TIMEOUT_FACTOR = 4.0
 LOAD_TIMEOUT_EXTRA_S = 3.0
-# Between looks at an engine that loads; a layer takes 0.2 s, and each look is a call.
+# Poll interval while an engine loads layers. A layer takes 0.2 s, each poll is a call.
 LOAD_POLL_S = 0.3
-# An engine that has just come is not placed where nothing is missing: in a rolling
-# replacement the old one says within one heartbeat that it leaves.
+# How long an engine counts as new. It gets no layers then unless some are missing: in a
+# rolling replacement, the old engine announces within one heartbeat that it is leaving.
 NEW_ENGINE_S = 2.0
-# After a refused or failed order the engine is left alone for one of its heartbeats.
+# After a refused or failed order, an engine gets no other for one of its heartbeats.
 RETRY_DELAY_S = 1.2
 
 log = logger.bind(part="layers")
 
 
 class PendingOrder(NamedTuple):
-    """An order whose end was not seen yet."""
+    """An order whose end has not been observed yet."""
 
     holding: Holding
     until_s: float
 
 
 class LayerController:
-    """The orders of one control process while it leads."""
+    """Plans layers and sends orders while this control process leads."""
 
     def __init__(self, state: ControlState, beats: ControlBeats, group):
         self.state = state
@@ -71,11 +71,11 @@
         self._started_s = now_s()
 
     async def run(self) -> None:
-        """Review the plan as long as this process runs."""
+        """Review the plan periodically until cancelled."""
         while True:
             await anyio.sleep(REVIEW_INTERVAL_S)
             if not self.state.is_leader():
-                # What another leader orders meanwhile is seen in the heartbeats.
+                # The results of another leader's orders arrive with the heartbeats.
                 self._pending.clear()
                 continue
             for service in self.state.services():
@@ -101,7 +101,7 @@
                     group.start_soon(self._order, service.model, placement)
 
     def _is_dead(self, engine_id, now):
-        """Tell whether an engine that entries found dead has not been heard since."""
+        """Return whether entries found an engine dead, with no sign of life since."""
         accused_s = self.state.accused.get(engine_id)
         if accused_s is None:
             return False
@@ -111,7 +111,7 @@
         return now - accused_s > DEATH_BATCH_S
 
     def _update_known(self, live, now):
-        """Take note of who came, and of orders whose end the heartbeats show."""
+        """Record new engines, and drop orders that heartbeats show as finished."""
         known = frozenset(a.engine_id for a in live)
         if known - self._known:
             self._changed_s = now
@@ -169,18 +169,19 @@
         )
         if outcome in ("begun", "held"):
             share = (holding.end - holding.first) / profile.layers
-            patience_s = (
+            timeout_s = (
                 LOAD_TIMEOUT_FACTOR * profile.load_s * share + LOAD_TIMEOUT_EXTRA_S
             )
-            ordered = PendingOrder(holding, now_s() + patience_s)
+            ordered = PendingOrder(holding, now_s() + timeout_s)
             self._pending[holder.engine_id] = ordered
             self.group.start_soon(self._watch_load, holder, ordered)
 
     async def _watch_load(self, holder: Holder, ordered: PendingOrder):
-        """Tell everybody what an engine holds as soon as a load has changed it.
+        """Publish an engine's layers as soon as a load has changed them.
 
-        Its own word comes with the next heartbeat, up to 1.2 s later; until then
-        entries send requests to layers that it gave up, and none to the new ones.
+        The engine itself reports them with its next heartbeat, up to 1.2 s later. Until
+        then entries would send requests to layers that it dropped, and none to its new
+        ones.
         """
         self._record_holding(
             holder.engine_id, _served_while_loading(holder.holding, ordered.holding)
@@ -189,9 +190,9 @@
             try:
                 report = await enginecalls.get_report(holder.address)
             except EngineCallFailed as error:
-                log.info("The end of a load was not seen: {}.", error)
+                log.info("Can't poll an engine that loads layers: {}.", error)
                 return
-            # Anything else may be older than the engine's own last word.
+            # Any other report may be older than the engine's last heartbeat.
             if report.holding == ordered.holding:
                 self._record_holding(holder.engine_id, report.holding)
                 return
@@ -206,13 +207,16 @@
 
 
 def _served_while_loading(old: Holding, new: Holding) -> Holding:
-    """Return the layers that an engine goes on serving while it loads others."""
+    """Return the layers that an engine keeps serving while it loads others."""
     first, end = max(old.first, new.first), min(old.end, new.end)
     return Holding(first, end) if first < end else NOTHING
 
 
 async def _send_order(placement: Placement, fence: int) -> str:
-    """Order one placement and return its outcome; raises EngineCallFailed."""
+    """Send the order for one placement and return its outcome.
+
+    Raises EngineCallFailed.
+    """
     holder, holding = placement
     report = await enginecalls.get_report(holder.address)
     if report.is_loading:
--- a/libs/node/src/cherryrudder/node/linesink.py
+++ b/libs/node/src/cherryrudder/node/linesink.py
@@ -1,7 +1,7 @@
-"""Structured log lines on standard output: bounded, and never waited for.
+"""Write structured log lines to standard output, bounded and without blocking.
 
-A reader of the output that stops would otherwise hold up every request, and a flood of
-refusals would cost more than serving them.
+Otherwise a reader that stops would block every request, and logging a flood of refusals
+would cost more than serving the requests.
 """
 
 import os
@@ -10,17 +10,18 @@
 import msgspec
 from loguru import logger
 
-# Lines a second that are written in full; past it only what is marked as kept, and
-# past twice as many nothing. A busy entry has some 30 requests a second with 4 lines.
+# Lines per second up to which all are written. Above it only lines marked as kept are
+# written, and above twice this number none. A busy entry has some 30 requests per
+# second with 4 lines each.
 LINES_PER_S = 200
-# Bytes that wait for a reader; then lines are dropped and counted.
+# Bytes that may wait for the reader. Further lines are dropped and counted.
 MAX_WAITING_BYTES = 256 * 1024
 
 encode = msgspec.json.Encoder().encode
 
 
 class LineSink:
-    """Lines that wait to be written, and the counts of the present second."""
+    """The lines that wait to be written, and the counts of the current second."""
 
     def __init__(self, descriptor: int = 1, vm: str = "", role: str = ""):
         self._descriptor = descriptor
@@ -32,23 +33,23 @@
         os.set_blocking(descriptor, False)
 
     def write(self, part: str, event: str, is_kept: bool = False, **fields) -> None:
-        """Write one line; `is_kept` lines go on when the second's budget is spent."""
-        # The time of day is only told, never compared.
+        """Write one line; `is_kept` lines have twice the budget per second."""
+        # The wall clock is only written out, never compared.
         wall_s = time.time()
         if not self._has_budget(int(wall_s), is_kept):
             self.dropped += 1
             return
         line = {"time": round(wall_s, 3), **self._head, "part": part, "event": event}
-        # The line's own head stands even if a field has one of its names.
+        # The common fields win over fields of the same name.
         self._put(encode(line | fields | line) + b"\n")
 
     def flush(self) -> None:
-        """Write what the reader takes without waiting for it."""
+        """Write as much as possible without blocking."""
         while self._waiting:
             try:
                 count = os.write(self._descriptor, self._waiting[:65536])
             except (BlockingIOError, OSError):
-                # A reader that stopped or went: the lines wait within their bound.
+                # The reader has stopped or is gone: the lines wait, up to the limit.
                 return
             del self._waiting[:count]
 
@@ -76,7 +77,7 @@
 
 
 def take_over_logs(sink: LineSink) -> None:
-    """Send the lines of the libraries' loggers through the sink."""
+    """Redirect loguru's messages to the sink."""
 
     def forward(message):
         record = message.record
--- a/libs/node/src/cherryrudder/node/metrics.py
+++ b/libs/node/src/cherryrudder/node/metrics.py
@@ -1,14 +1,14 @@
-"""Counters and latency histograms as text, for whoever asks at the metrics address."""
+"""Prometheus counters and latency histograms, served at the metrics address."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram, generate_latest
 
-# Upper bounds in seconds. They part the users' objectives (0.1 to 0.6 s) and limits
-# (0.6 to 20 s) finely enough to tell which was missed.
+# Upper bounds in seconds. They divide the users' objectives (0.1 to 0.6 s) and limits
+# (0.6 to 20 s) finely enough to show which one was missed.
 BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0)
 
 
 class Metrics:
-    """The counters and histograms of one process; labels are few and fixed."""
+    """The counters and histograms of one process, with few, fixed label values."""
 
     def __init__(self):
         self.registry = CollectorRegistry()
@@ -24,7 +24,7 @@
         self.total_s = self._histogram("total_seconds", "To the end of the answer")
 
     def render(self) -> bytes:
-        """Return all metrics in the text format that scrapers read."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _counter(self, name, text, *labels):
--- a/libs/node/src/cherryrudder/node/permitissuer.py
+++ b/libs/node/src/cherryrudder/node/permitissuer.py
@@ -1,7 +1,7 @@
-"""Handing out the permits of engines that limit their requests, at a control VM.
+"""Issue permits for engines that limit their request rate, at a control VM.
 
-Entries ask a control VM of the engine's data centre. Limits are passed on to the
-entries nearby as soon as they are heard; beats repair what was lost.
+Entries ask a control VM of the engine's data centre. Limits are forwarded to the
+entries of this data centre as soon as they arrive; heartbeats repair what was lost.
 """
 
 from collections.abc import Collection
@@ -17,7 +17,7 @@
 
 
 class PermitIssuer:
-    """The limits that one control process knows, and the permits that it gives."""
+    """The limits known to one control process, and the permits that it issues."""
 
     def __init__(self, state: ControlState, links):
         self.state = state
@@ -25,42 +25,43 @@
         self.book = LimitBook()
         self._issuers: dict[str, Issuer] = {}
 
-    def record_limits(self, told: Collection[ReportedLimit], now_s: float) -> None:
-        """Take limits that others have heard, and pass on what is news."""
-        news = [one for one in told if self._record_limit(one, now_s)]
-        if not news:
+    def record_limits(self, reported: Collection[ReportedLimit], now_s: float) -> None:
+        """Record reported limits, and forward those that are new."""
+        new_limits = [one for one in reported if self._record_limit(one, now_s)]
+        if not new_limits:
             return
-        for beat in roster.beats(self.state.entries, now_s):
-            if self._forwards_to(beat.vm_zone, now_s):
-                self.links.send(beat.address, LimitUpdate(tuple(news)))
+        for heartbeat in roster.beats(self.state.entries, now_s):
+            if self._forwards_to(heartbeat.vm_zone, now_s):
+                self.links.send(heartbeat.address, LimitUpdate(tuple(new_limits)))
 
-    def handle_request(self, ask: PermitRequest, now_s: float) -> None:
-        """Hand out permits of an engine, or pass the ask on to who does.
+    def handle_request(self, request: PermitRequest, now_s: float) -> None:
+        """Issue permits for an engine, or forward the request to its issuer.
 
-        Entries that reach different control VMs would otherwise get the limit twice.
+        Each engine has one issuer. With two, entries that reach different control VMs
+        would together send at twice the limit.
         """
-        self.record_limits((ask.limit,), now_s)
-        issuer_address = self._find_issuer(ask.limit.engine_id, now_s)
+        self.record_limits((request.limit,), now_s)
+        issuer_address = self._find_issuer(request.limit.engine_id, now_s)
         if issuer_address != self.state.address:
-            self.links.send(issuer_address, ask)
+            self.links.send(issuer_address, request)
             return
-        engine_id = ask.limit.engine_id
+        engine_id = request.limit.engine_id
         limit_per_s = ratelimits.limit_of(self.book, engine_id)
         if limit_per_s is None:
-            # It has ended; the news of that is on its way to the sender.
-            limit_per_s = ask.limit.per_s or 0.0
+            # The limit has ended; the update is on its way to the sender.
+            limit_per_s = request.limit.per_s or 0.0
         issuer = self._issuers.setdefault(engine_id, Issuer(now_s))
-        grant = permits.issue(issuer, ask.sender, ask.count, limit_per_s, now_s)
+        grant = permits.issue(issuer, request.sender, request.count, limit_per_s, now_s)
         outcome = "granted" if grant.permits else "denied"
         self.state.metrics.permits.labels(outcome).inc()
-        self.links.send(ask.sender, PermitGrant(engine_id, grant))
+        self.links.send(request.sender, PermitGrant(engine_id, grant))
 
     def report_limits(self, now_s: float) -> tuple[ReportedLimit, ...]:
-        """Return the limits as other processes are told them."""
+        """Return the limits in the form in which they are sent."""
         return ratekeeper.report_limits(self.book, now_s)
 
     def sweep(self, now_s: float) -> None:
-        """Forget engines that are gone, and limits that ended long ago."""
+        """Drop the limits of engines that are gone, and those that ended long ago."""
         known = self.state.endpoints.table.entries
         ratelimits.sweep(self.book, known, now_s)
         limited = self.book.limits
@@ -82,7 +83,7 @@
     def _find_issuer(self, engine_id, now_s):
         """Return the first control VM of an engine's data centre, or of all.
 
-        Each passes on only to one before it, so that no ask goes round in circles.
+        Requests are only forwarded to an earlier address, so they can't loop.
         """
         state = self.state
         zones = {b.address: b.vm_zone for b in roster.beats(state.roster, now_s)}
@@ -93,11 +94,11 @@
         return min(beside or zones)
 
     def _forwards_to(self, vm_zone, now_s):
-        """Tell whether the entries of a data centre hear of news from here.
+        """Return whether updates are forwarded to the entries of a data centre.
 
-        Those without a control VM of their own hear it from all others.
+        Entries without a control VM in their data centre get updates from all others.
         """
         if vm_zone == self.state.settings.vm_zone:
             return True
-        beats = roster.beats(self.state.roster, now_s)
-        return vm_zone not in {beat.vm_zone for beat in beats}
+        heartbeats = roster.beats(self.state.roster, now_s)
+        return vm_zone not in {heartbeat.vm_zone for heartbeat in heartbeats}
--- a/libs/node/src/cherryrudder/node/ratekeeper.py
+++ b/libs/node/src/cherryrudder/node/ratekeeper.py
@@ -1,7 +1,7 @@
-"""Keeping to the request rates that engines ask for, at an entry.
+"""Limit an entry's requests to the rates that engines ask for.
 
-An entry takes limits from engines' answers and from what other processes tell, and asks
-for a permit (`permitissuer`) before it sends a request to a limited one.
+An entry takes limits from engines' answers and from other processes' reports. Before it
+sends a request to a limited engine, it asks for a permit (see `permitissuer`).
 """
 
 from collections.abc import Callable, Collection
@@ -23,36 +23,37 @@
     from .job import Job
 
 # An issuer in the same data centre answers within some milliseconds, one in another
-# region within 50.
+# region within 50 ms.
 PERMIT_TIMEOUT_S = 0.06
 
 
 class LimitView(NamedTuple):
-    """A limit as the operators are shown it."""
+    """A limit as shown to operators."""
 
     engine_id: str
     limit_per_s: float | None
     age_s: float
-    # Turns that this entry may use now.
+    # Permits that this entry may use now.
     permits: int
     wait_s: float
 
 
 class RateKeeper:
-    """What one entry knows of engines' limits, and its permits."""
+    """The engines' limits known to one entry, and its permits."""
 
     def __init__(self):
         self.book = LimitBook()
         self.holders: dict[str, Holder] = {}
-        # Replaced by the uplink: send an ask to an engine's issuer, and a limit to all.
-        self.send_request: Callable[[PermitRequest], None] = lambda ask: None
-        self.publish: Callable[[LimitUpdate], None] = lambda news: None
-        # Set when an issuer has answered, and replaced by whoever waits for it.
+        # Replaced by the uplink: send requests to an engine's issuer, and limits to
+        # control VMs.
+        self.send_request: Callable[[PermitRequest], None] = lambda request: None
+        self.publish: Callable[[LimitUpdate], None] = lambda update: None
+        # Set when an issuer has answered, and replaced by a new event.
         self.answered = anyio.Event()
 
 
 def note_answer(job: "Job", engine_id: str, facts: AnswerFacts, now_s: float) -> None:
-    """Take what an engine's answer says of its limit, and tell the others."""
+    """Record the limit stated in an engine's answer, and publish a change."""
     rates = job.state.rates
     if facts.has_bad_limit:
         job.note("engine-limit-unreadable", engine_id=engine_id)
@@ -60,7 +61,7 @@
         return
     known = rates.book.limits.get(engine_id)
     if facts.limit_per_s is None and (known is None or job.sent_s <= known.said_s):
-        # The engine may have made this answer before it named the limit.
+        # The engine may have sent this answer before it set the limit.
         return
     if ratelimits.hear(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
         job.note("engine-limit-named", True, engine_id=engine_id)
@@ -69,11 +70,11 @@
 
 
 def record_limits(
-    state: "EntryState", told: Collection[ReportedLimit], now_s: float
+    state: "EntryState", reported: Collection[ReportedLimit], now_s: float
 ) -> None:
-    """Take limits that other processes have heard of."""
+    """Record limits reported by other processes."""
     book = state.rates.book
-    for one in told:
+    for one in reported:
         known = book.limits.get(one.engine_id)
         said = Limit(one.per_s, now_s - one.age_s)
         if ratelimits.hear(book, one.engine_id, said):
@@ -93,7 +94,7 @@
 
 
 def report_limits(book: LimitBook, now_s: float) -> tuple[ReportedLimit, ...]:
-    """Return the limits as other processes are told them."""
+    """Return the limits in the form in which they are sent."""
     return tuple(
         ReportedLimit(engine_id, limit.per_s, now_s - limit.said_s)
         for engine_id, limit in book.limits.items()
@@ -101,13 +102,13 @@
 
 
 def sweep(rates: RateKeeper, known: Collection[str], now_s: float) -> None:
-    """Forget engines that are gone, and limits that ended long ago."""
+    """Drop the limits of engines that are gone, and those that ended long ago."""
     ratelimits.sweep(rates.book, known, now_s)
     rates.holders = {e: h for e, h in rates.holders.items() if e in rates.book.limits}
 
 
 def may_begin(state: "EntryState", engine_id: str, now_s: float) -> bool:
-    """Tell whether a request may begin at an engine now."""
+    """Return whether a request may begin at an engine now."""
     limit_per_s = ratelimits.limit_of(state.rates.book, engine_id)
     if limit_per_s is None:
         return True
@@ -116,13 +117,13 @@
 
 
 def begin(state: "EntryState", engine_id: str, now_s: float) -> None:
-    """Take the permit of a request that is about to be sent."""
+    """Use a permit for a request that is about to be sent."""
     if ratelimits.limit_of(state.rates.book, engine_id) is not None:
         permits.use(_holder(state.rates, engine_id), now_s)
 
 
 def ask(state: "EntryState", engine_ids: Collection[str], now_s: float) -> None:
-    """Ask for a permit at each engine whose issuer may have one."""
+    """Request a permit for each engine whose issuer may have one."""
     rates = state.rates
     for engine_id in engine_ids:
         holder = _holder(rates, engine_id)
@@ -135,20 +136,20 @@
 
 
 async def acquire(state: "EntryState", engine_ids: Collection[str]) -> None:
-    """Ask for a permit at each engine, and wait for the answers for a short time."""
+    """Request a permit for each engine, and wait up to PERMIT_TIMEOUT_S for answers."""
     rates, asked_s = state.rates, now_s()
     needed = [e for e in engine_ids if not may_begin(state, e, asked_s)]
     if not needed:
         return
     ask(state, needed, asked_s)
 
-    def is_open(engine_id):
+    def is_pending(engine_id):
         if may_begin(state, engine_id, now_s()):
             return False
         return permits.is_pending(_holder(rates, engine_id), now_s())
 
     with anyio.move_on_after(PERMIT_TIMEOUT_S) as scope:
-        while any(is_open(engine_id) for engine_id in needed):
+        while any(is_pending(engine_id) for engine_id in needed):
             await rates.answered.wait()
     if scope.cancelled_caught:
         state.metrics.permits.labels("unanswered").inc()
@@ -156,7 +157,7 @@
 
 
 def record_grant(state: "EntryState", answer: PermitGrant, now_s: float) -> None:
-    """Take an issuer's answer."""
+    """Record an issuer's answer."""
     rates = state.rates
     holder = _holder(rates, answer.engine_id)
     permits.take(holder, answer.grant, now_s)
@@ -167,14 +168,14 @@
 
 
 def wait_s(state: "EntryState", engine_id: str, now_s: float) -> float:
-    """Return the time until an engine may take one request more, 0 without a limit."""
+    """Return the time until an engine may take another request, 0 without a limit."""
     if ratelimits.limit_of(state.rates.book, engine_id) is None:
         return 0.0
     return permits.wait_s(_holder(state.rates, engine_id), now_s)
 
 
 def dump(rates: RateKeeper, now_s: float) -> list[LimitView]:
-    """Return the limits for the operators."""
+    """Return the limits for operators."""
     return [
         LimitView(
             engine_id,
--- a/libs/node/src/cherryrudder/node/roster.py
+++ b/libs/node/src/cherryrudder/node/roster.py
@@ -1,22 +1,24 @@
-"""Which control VMs and entries there are, learned from seeds and from beats.
+"""Track live control VMs and entries, discovered from seeds and from heartbeats.
 
-Seeds are the only start; they grow old, so every beat passes on who else was heard. An
-address that nobody hears is forgotten, but a seed is tried for ever.
+Seeds are only the starting points and may become outdated, so every heartbeat also
+carries the addresses of other live processes. An address that no process receives
+anything from is dropped, but seeds are always tried.
 """
 
 from typing import Generic, NamedTuple, TypeVar
 
-# Beats come every half second; an address that was silent this long is told to nobody.
+# Heartbeats come every half second. An address that was silent for this long isn't
+# reported to other processes.
 LIVE_S = 3.0
-# Then it isn't sent to any more either: a replaced machine never comes back, and one
-# that does beats by itself.
+# After this time it isn't sent heartbeats any more: a replaced machine never comes
+# back, and one that does come back sends heartbeats itself.
 FORGET_S = 10.0
 
 Message = TypeVar("Beat")
 
 
 class Peer(NamedTuple):
-    """The newest beat of a process, and when it came."""
+    """The newest message of a process, and when it arrived."""
 
     message: tuple
     heard_s: float
@@ -29,26 +31,26 @@
         self.own_address = own_address
         self.seeds = tuple(seed for seed in seeds if seed != own_address)
         self.peers: dict[str, Peer] = {}
-        # Told of by others, and when they last did.
+        # Addresses reported by others, and when they were last reported.
         self.reported_s: dict[str, float] = {}
 
 
 def hear(roster: Roster, address: str, beat, now_s: float) -> bool:
-    """Take a beat; tell whether its sender was not there before."""
+    """Record a peer's message; return whether the peer is new or was lost before."""
     known = roster.peers.get(address)
     roster.peers[address] = Peer(beat, now_s)
     return known is None or now_s - known.heard_s > LIVE_S
 
 
 def add_reported(roster: Roster, addresses: tuple[str, ...], now_s: float) -> None:
-    """Take the addresses that another process has heard lately."""
+    """Record the live addresses that another process reported."""
     for address in addresses:
         if address != roster.own_address:
             roster.reported_s[address] = now_s
 
 
 def present(roster: Roster, now_s: float) -> list[str]:
-    """Return the addresses that were heard lately."""
+    """Return the addresses of the live peers."""
     return [
         address
         for address, known in roster.peers.items()
@@ -57,14 +59,16 @@
 
 
 def heartbeat_targets(roster: Roster, now_s: float) -> list[str]:
-    """Return all addresses that are worth a beat."""
-    heard = [a for a, k in roster.peers.items() if now_s - k.heard_s < FORGET_S]
-    told = [a for a, told_s in roster.reported_s.items() if now_s - told_s < LIVE_S]
-    return list(dict.fromkeys([*heard, *told, *roster.seeds]))
+    """Return the addresses to send heartbeats to: peers, reported ones and seeds."""
+    known = [a for a, k in roster.peers.items() if now_s - k.heard_s < FORGET_S]
+    reported = [
+        a for a, reported_s in roster.reported_s.items() if now_s - reported_s < LIVE_S
+    ]
+    return list(dict.fromkeys([*known, *reported, *roster.seeds]))
 
 
 def beats(roster: Roster, now_s: float) -> list:
-    """Return the newest beats of those that were heard lately."""
+    """Return the newest messages of the live peers."""
     return [
         known.message
         for known in roster.peers.values()
@@ -73,7 +77,7 @@
 
 
 def mean_age_s(roster: Roster, excluded: str, now_s: float) -> float:
-    """Return how old the newest beats of the others are on the average."""
+    """Return the mean age of the newest messages of the other live peers."""
     ages_s = [
         now_s - known.heard_s
         for address, known in roster.peers.items()
@@ -83,11 +87,11 @@
 
 
 def sweep(roster: Roster, now_s: float) -> list[str]:
-    """Forget who was silent for long, and return them."""
+    """Drop peers and reported addresses that timed out; return the lost peers."""
     gone = [a for a, k in roster.peers.items() if now_s - k.heard_s > FORGET_S]
     for address in gone:
         del roster.peers[address]
-    for address, told_s in list(roster.reported_s.items()):
-        if now_s - told_s > LIVE_S:
+    for address, reported_s in list(roster.reported_s.items()):
+        if now_s - reported_s > LIVE_S:
             del roster.reported_s[address]
     return gone
--- a/libs/node/src/cherryrudder/node/surface.py
+++ b/libs/node/src/cherryrudder/node/surface.py
@@ -1,4 +1,4 @@
-"""What a process shows to scrapers and operators at its metrics address."""
+"""Serve metrics, blocks and limits to scrapers and operators at the metrics address."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 from .httpserver import HttpServer
 from .metrics import Metrics
 
-# By role, on its own machine's address.
+# Port by role, at the machine's address.
 PORTS = {"entry": 9464, "control": 9465}
 METRICS_PATH = "/metrics"
 BLOCKS_PATH = "/blocks"
@@ -29,17 +29,17 @@
 
 
 class Shown(NamedTuple):
-    """What a process shows, and where it tells others that a block was lifted."""
+    """The data that a process serves, and the call that publishes lifted blocks."""
 
     metrics: Metrics
     crashes: CrashDesk
     publish_crashes: Callable[[CrashNews], None]
-    # Returns the requests a second that engines ask for.
+    # Returns the request rates that engines ask for.
     limits: Callable[[float], list]
 
 
 async def serve(address: str, shown: Shown) -> None:
-    """Answer until cancelled."""
+    """Serve at an address until cancelled."""
 
     async def answer(exchange: Exchange):
         method = exchange.request.method.decode()
@@ -50,7 +50,7 @@
 
 
 def respond(shown: Shown, method: str, path: str, now_s: float):
-    """Return status, headers and body of the answer to one call."""
+    """Return the status, headers and body for one call."""
     if (method, path) == ("GET", METRICS_PATH):
         return 200, TEXT, shown.metrics.render()
     if (method, path) == ("GET", BLOCKS_PATH):
@@ -60,10 +60,10 @@
         return 200, JSON, msgspec.json.encode({"limits": limits})
     if method == "POST" and path.startswith(LIFT_PATH):
         fingerprint = path.removeprefix(LIFT_PATH)
-        news = shown.crashes.lift(fingerprint, now_s)
-        if not news.records:
+        update = shown.crashes.lift(fingerprint, now_s)
+        if not update.records:
             return 404, JSON, msgspec.json.encode(UNKNOWN)
-        shown.publish_crashes(news)
+        shown.publish_crashes(update)
         log.info("An operator lifted the block of {}.", fingerprint)
         return 200, JSON, b"{}"
     return 404, [], b""
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -1,7 +1,8 @@
-"""Keeping the endpoints' tables of several processes alike, by news and by beats.
+"""Synchronize the endpoint tables of several processes, by updates and heartbeats.
 
-A reader tells how far it has followed a table; the answer has what changed since, and
-signs of life. The reader that missed some news thus gets them with the next beat.
+A reader acknowledges how far it has followed a table. The answer has the changes since
+then and the endpoints' liveness, so that a reader that missed an update gets its
+changes with the next heartbeat.
 """
 
 from cherryrudder.layers.profile import Holding
@@ -10,13 +11,13 @@
 
 from .gossip import EndpointState, Liveness, SyncPosition
 
-# Signs of life are passed on for endpoints heard within this time; two beats and a
-# heartbeat's way. Older ones bring the reader nothing that it doesn't have.
+# Signs of life are forwarded up to this age: two heartbeats of a control VM and the way
+# of an endpoint's heartbeat. Readers already have older ones.
 LIVENESS_MAX_AGE_S = 2.0
 
 
 class SharedTable:
-    """A table whose changes are numbered for its readers."""
+    """An endpoint table with numbered changes, so that readers can follow them."""
 
     def __init__(self, boot: str):
         self.boot = boot
@@ -26,67 +27,67 @@
 
 
 def mark_changed(shared: SharedTable, engine_id: str) -> None:
-    """Take note that an endpoint has changed with the table's present version."""
+    """Record that an endpoint changed in the table's current version."""
     shared.changed[engine_id] = shared.table.version
 
 
-def _mark_if_changed(shared, engine_id, is_news):
-    """Take note of an endpoint if it has changed; tell whether it has."""
-    if is_news:
+def _mark_if_changed(shared, engine_id, is_new):
+    """Record an endpoint's change if there is one; return whether there is."""
+    if is_new:
         mark_changed(shared, engine_id)
-    return is_news
+    return is_new
 
 
 def hear(shared: SharedTable, heard: Announcement, now_s: float) -> bool:
-    """Take a heartbeat; tell whether it is news."""
-    is_news = endpoints.hear(shared.table, heard, now_s)
-    return _mark_if_changed(shared, heard.engine_id, is_news)
+    """Record an endpoint's heartbeat; return whether it changes the table."""
+    is_new = endpoints.hear(shared.table, heard, now_s)
+    return _mark_if_changed(shared, heard.engine_id, is_new)
 
 
 def record_holding(
     shared: SharedTable, engine_id: str, holding: Holding, now_s: float
 ) -> bool:
-    """Take the layers that an endpoint was seen to hold; tell whether it is news."""
-    is_news = endpoints.observe(shared.table, engine_id, holding, now_s)
-    return _mark_if_changed(shared, engine_id, is_news)
+    """Record the layers that an endpoint holds; return whether they changed."""
+    is_new = endpoints.observe(shared.table, engine_id, holding, now_s)
+    return _mark_if_changed(shared, engine_id, is_new)
 
 
 def record_sign_off(shared: SharedTable, engine_id: str, now_s: float) -> bool:
-    """Take an endpoint's word that it signs off; tell whether it is news."""
-    is_news = endpoints.sign_off(shared.table, engine_id, now_s)
-    return _mark_if_changed(shared, engine_id, is_news)
+    """Record that an endpoint signs off; return whether it changes the table."""
+    is_new = endpoints.sign_off(shared.table, engine_id, now_s)
+    return _mark_if_changed(shared, engine_id, is_new)
 
 
 def tell_senders(shared: SharedTable, engine_id: str, now_s: float) -> bool:
-    """Take an endpoint's word in an answer that it leaves; tell whether it is news."""
-    is_news = endpoints.tell_senders(shared.table, engine_id, now_s)
-    return _mark_if_changed(shared, engine_id, is_news)
+    """Record that an endpoint's answer says it is leaving; return whether it is new."""
+    is_new = endpoints.tell_senders(shared.table, engine_id, now_s)
+    return _mark_if_changed(shared, engine_id, is_new)
 
 
 def depart(shared: SharedTable, engine_id: str, now_s: float) -> bool:
-    """Take a departure; tell whether it is news."""
-    is_news = endpoints.depart(shared.table, engine_id, now_s)
-    return _mark_if_changed(shared, engine_id, is_news)
+    """Record an endpoint's departure; return whether it changes the table."""
+    is_new = endpoints.depart(shared.table, engine_id, now_s)
+    return _mark_if_changed(shared, engine_id, is_new)
 
 
 def merge(
     shared: SharedTable, heard: tuple[EndpointState, ...], now_s: float
 ) -> list[str]:
-    """Merge what another process knows; return the incarnations it is news of."""
-    news = []
+    """Merge another process's endpoints; return the changed incarnations."""
+    changed = []
     for one in heard:
         engine_id = one.announcement.engine_id
         entry = Entry(one.announcement, 0.0, one.is_gone)
         if endpoints.merge(shared.table, entry, one.age_s, now_s):
             mark_changed(shared, engine_id)
-            news.append(engine_id)
-    return news
+            changed.append(engine_id)
+    return changed
 
 
 def merge_liveness(
     shared: SharedTable, alive: tuple[Liveness, ...], now_s: float
 ) -> None:
-    """Take signs of life."""
+    """Apply signs of life to endpoints that are in the table."""
     for sign in alive:
         known = shared.table.entries.get(sign.engine_id)
         if known is None or known.is_gone:
@@ -94,16 +95,16 @@
         heard_s = now_s - sign.age_s
         if heard_s <= known.heard_s:
             continue
-        # It brings no number: what it came with may differ from what is known here,
-        # and that news would then seem to be old when it comes.
+        # The heartbeat's number isn't taken over: the sender may hold a newer state,
+        # which would then seem old when it arrives.
         shared.table.entries[sign.engine_id] = known._replace(heard_s=heard_s)
 
 
 def changes_since(
-    shared: SharedTable, seen: SyncPosition, now_s: float
+    shared: SharedTable, acked: SyncPosition, now_s: float
 ) -> tuple[EndpointState, ...]:
-    """Return what a reader lacks; all of it after a restart of either side."""
-    since = seen.version if seen.boot == shared.boot else -1
+    """Return what a reader lacks: all endpoints after a restart of either side."""
+    since = acked.version if acked.boot == shared.boot else -1
     return tuple(
         report_endpoint(entry, now_s)
         for engine_id, entry in shared.table.entries.items()
@@ -121,14 +122,14 @@
 
 
 def report_endpoint(entry: Entry, now_s: float) -> EndpointState:
-    """Return an entry of the table as it is told to others."""
+    """Return an entry of the table in the form in which it is sent."""
     return EndpointState(entry.announcement, now_s - entry.heard_s, entry.is_gone)
 
 
 def report_endpoints(
     shared: SharedTable, engine_ids, now_s: float
 ) -> tuple[EndpointState, ...]:
-    """Return some entries of the table as they are told to others."""
+    """Return some entries of the table in the form in which they are sent."""
     entries = (shared.table.entries.get(engine_id) for engine_id in engine_ids)
     return tuple(
         report_endpoint(entry, now_s) for entry in entries if entry is not None
@@ -136,7 +137,7 @@
 
 
 def sweep(shared: SharedTable, now_s: float) -> list[str]:
-    """Forget what is long gone; return the incarnations that fell silent."""
+    """Drop endpoints that are long gone; return the incarnations that timed out."""
     lost = endpoints.sweep(shared.table, now_s)
     for engine_id in set(shared.changed) - set(shared.table.entries):
         del shared.changed[engine_id]
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -1,7 +1,8 @@
-"""An entry's line to the control VMs: beats out, configuration and endpoints in.
+"""An entry's link to the control VMs.
 
-Every control VM that is known gets each beat, so that one which is cut off, frozen or
-slow costs nothing but its answer. The newest confirmed answer counts.
+It sends heartbeats, and receives the configuration and the endpoints. Heartbeats go to
+all known control VMs, so that one that is cut off, frozen or slow costs nothing but its
+answer. The newest confirmed answer counts.
 """
 
 import anyio
@@ -53,14 +54,16 @@
 )
 
 HEARTBEAT_S = 0.5
-# A control VM of another data centre hears an entry only so often while a near one has
-# confirmed what is in force lately: three such beats fit into the time after which a
-# process counts as lost. Beats and answers of some kilobytes, of every entry with every
-# control VM, are most of what crosses between data centres otherwise.
+# Interval of heartbeats to control VMs of other data centres, while a local one has
+# recently confirmed the configuration in force. Three of them fit into the time after
+# which a process counts as lost. Heartbeats and answers take some kilobytes between
+# every entry and every control VM, and would be most of the traffic between data
+# centres.
 REMOTE_HEARTBEAT_S = 1.0
-# Two beats; a near control VM that is late once is no reason to ask the far ones.
+# How long a local confirmation counts as recent: two heartbeats, so that one late
+# answer doesn't cause heartbeats to the remote control VMs.
 LOCAL_FRESH_S = 1.0
-# Before the first configuration every moment counts: callers may be waiting already.
+# The interval before the first configuration, when callers may already be waiting.
 FIRST_HEARTBEAT_S = 0.1
 
 log = logger.bind(part="uplink")
@@ -75,8 +78,8 @@
         self._codec = FrameCodec(gossip.KINDS)
         self.links = Links(group, self._codec, gossip.KEY, state.address, self._on_down)
         self._positions: dict[str, SyncPosition] = {}
-        # When each control VM was last sent a beat, and when a near one last confirmed
-        # what is in force.
+        # When each control VM was last sent a heartbeat, and when a local one last
+        # confirmed the configuration in force.
         self._sent_s: dict[str, float] = {}
         self._local_confirmed_s = float("-inf")
         state.rates.send_request = self._send_permit_request
@@ -84,7 +87,7 @@
         state.spread_endpoints = self._publish_endpoints
 
     def start(self) -> None:
-        """Start listening and beating."""
+        """Start to listen and to send heartbeats."""
         self.group.start_soon(
             listen_frames,
             self.state.address,
@@ -96,76 +99,76 @@
         self.group.start_soon(self._send_heartbeats)
 
     def accuse(self, engine_id: str, vm_zone: str) -> None:
-        """Have the control VMs of an engine's data centre look for themselves.
+        """Ask the control VMs of an engine's data centre to probe it.
 
-        All control VMs are asked when none of those was heard lately.
+        All control VMs are asked if none of those has sent anything recently.
         """
         accusation = Accusation(engine_id, self.state.address)
         answers = roster.beats(self.state.controls, now_s())
-        near = [answer for answer in answers if answer.vm_zone == vm_zone]
-        for answer in near or answers:
+        local = [answer for answer in answers if answer.vm_zone == vm_zone]
+        for answer in local or answers:
             self.links.send(answer.address, accusation)
 
     def complain(self, engines: list[Announcement]) -> None:
-        """Have a control VM beside each engine of a slow chain look at its pace."""
-        by_teller: dict[str, list[str]] = {}
+        """Ask a control VM near each engine of a slow chain to check its pace."""
+        by_aggregator: dict[str, list[str]] = {}
         for engine in engines:
             address = self._aggregator_near(engine)
-            by_teller.setdefault(address, []).append(engine.engine_id)
-        for address, engine_ids in by_teller.items():
+            by_aggregator.setdefault(address, []).append(engine.engine_id)
+        for address, engine_ids in by_aggregator.items():
             if address:
                 self.links.send(address, Complaint(tuple(engine_ids)))
 
     def report_pace(self, engine: Announcement, seen: float) -> None:
-        """Take the pace that an engine told this entry, and pass on that it is slow."""
-        news = PaceNews(engine.engine_id, seen)
-        if self._on_pace(news) and seen >= slowness.LEAST_SLOWNESS:
+        """Record the pace that an engine reported, and forward it if it is slow."""
+        update = PaceNews(engine.engine_id, seen)
+        if self._on_pace(update) and seen >= slowness.LEAST_SLOWNESS:
             address = self._aggregator_near(engine)
             if address:
-                self.links.send(address, news)
+                self.links.send(address, update)
 
-    def tell_crashes(self, news: CrashNews | None) -> None:
-        """Tell one control VM of each data centre of requests that end engines."""
-        if news is not None and news.records:
-            self._send_to_aggregators(news)
+    def tell_crashes(self, update: CrashNews | None) -> None:
+        """Send changed crash records to one control VM of each data centre."""
+        if update is not None and update.records:
+            self._send_to_aggregators(update)
 
-    def _send_permit_request(self, ask: PermitRequest):
-        """Send an ask to the control VM that issues an engine's permits."""
-        known = self.state.endpoints.table.entries.get(ask.limit.engine_id)
+    def _send_permit_request(self, request: PermitRequest):
+        """Send a request to the control VM that issues an engine's permits."""
+        known = self.state.endpoints.table.entries.get(request.limit.engine_id)
         address = known and self._aggregator_near(known.announcement)
         if address:
-            self.links.send(address, ask)
+            self.links.send(address, request)
 
     def _publish_endpoints(self, engine_ids):
-        """Tell the control VMs of endpoints that this entry has news of."""
-        told = tablesync.report_endpoints(self.state.endpoints, engine_ids, now_s())
-        self._send_to_aggregators(EndpointUpdate(told))
+        """Send endpoints that changed at this entry to the control VMs."""
+        reported = tablesync.report_endpoints(self.state.endpoints, engine_ids, now_s())
+        self._send_to_aggregators(EndpointUpdate(reported))
 
     def _send_to_aggregators(self, message):
-        """Tell one control VM of each data centre."""
+        """Send a message to one control VM of each data centre."""
         for address in choose_aggregators(
             roster.beats(self.state.controls, now_s())
         ).values():
             self.links.send(address, message)
 
     def _aggregator_near(self, engine):
-        tellers = choose_aggregators(roster.beats(self.state.controls, now_s()))
-        return tellers.get(engine.vm_zone) or min(tellers.values(), default="")
+        aggregators = choose_aggregators(roster.beats(self.state.controls, now_s()))
+        return aggregators.get(engine.vm_zone) or min(aggregators.values(), default="")
 
     def _on_down(self, address):
-        """Leave it to the beats, which tell what was lost and who was."""
+        """Do nothing: heartbeats resend what was lost and detect lost peers."""
 
     async def _send_heartbeats(self):
         state = self.state
         while True:
             now = now_s()
-            tellers = choose_aggregators(roster.beats(state.controls, now))
+            aggregators = choose_aggregators(roster.beats(state.controls, now))
             entrystate.note_beat(state)
             for address in roster.heartbeat_targets(state.controls, now):
                 if self._is_due(address, now):
                     self._sent_s[address] = now
                     self.links.send(
-                        address, self._make_heartbeat(address, tellers, now)
+                        address, self._make_heartbeat(address, aggregators, now)
                     )
             for address in roster.sweep(state.controls, now):
                 self._sent_s.pop(address, None)
@@ -185,7 +188,7 @@
             await anyio.sleep(HEARTBEAT_S if state.table else FIRST_HEARTBEAT_S)
 
     def _is_due(self, address, now):
-        """Tell whether a control VM is to hear this entry now."""
+        """Return whether a heartbeat to a control VM is due."""
         known = self.state.controls.peers.get(address)
         if known is None or known.message.vm_zone == self.state.settings.vm_zone:
             return True
@@ -195,12 +198,12 @@
             now - self._sent_s.get(address, 0.0) > REMOTE_HEARTBEAT_S - HEARTBEAT_S / 2
         )
 
-    def _make_heartbeat(self, address, tellers, now):
+    def _make_heartbeat(self, address, aggregators, now):
         state = self.state
-        is_teller = address in tellers.values()
-        wants_all = address == self._own_aggregator(tellers)
-        # Until this entry has a book, any control VM's is welcome.
-        wants_crashes = wants_all or not state.crashes.has_synced()
+        is_aggregator = address in aggregators.values()
+        requests_all = address == self._own_aggregator(aggregators)
+        # Until the first records arrive, they are requested from all control VMs.
+        requests_crashes = requests_all or not state.crashes.has_synced()
         return EntryHeartbeat(
             vm=state.settings.vm,
             vm_zone=state.settings.vm_zone,
@@ -208,16 +211,16 @@
             sent_s=now,
             version=state.version,
             acked=self._positions.get(address, SyncPosition("", 0)),
-            usage=entrystate.usage(state) if is_teller else (),
-            spent=sharedbudget.spent(state.budget, now) if is_teller else (),
-            requests_all=wants_all,
-            crashes=state.crashes.make_sync(address, now) if wants_crashes else None,
+            usage=entrystate.usage(state) if is_aggregator else (),
+            spent=sharedbudget.spent(state.budget, now) if is_aggregator else (),
+            requests_all=requests_all,
+            crashes=state.crashes.make_sync(address, now) if requests_crashes else None,
             limits=ratekeeper.report_limits(state.rates.book, now),
         )
 
-    def _own_aggregator(self, tellers):
-        own = tellers.get(self.state.settings.vm_zone)
-        return own or min(tellers.values(), default="")
+    def _own_aggregator(self, aggregators):
+        own = aggregators.get(self.state.settings.vm_zone)
+        return own or min(aggregators.values(), default="")
 
     def _on_frames(self, peer, messages):
         gossip.deliver(peer, messages, self._take)
@@ -265,7 +268,7 @@
         if answer.crashes is not None:
             state.crashes.merge_sync(answer.address, answer.crashes, now)
         ratekeeper.record_limits(state, answer.limits, now)
-        # A version that is not here yet confirms nothing; the next answer will.
+        # A newer version than this entry's confirms nothing until it arrives.
         if 0 < answer.version <= state.version:
             self._confirm(answer.sent_s, now)
             if answer.vm_zone == state.settings.vm_zone:
@@ -273,17 +276,17 @@
 
     def _confirm(self, sent_s, now):
         state = self.state
-        was_age_s = now - state.confirmed_s
+        old_age_s = now - state.confirmed_s
         state.confirmed_s = max(state.confirmed_s, sent_s)
-        if was_age_s > state.settings.bounds.revoke_s:
+        if old_age_s > state.settings.bounds.revoke_s:
             state.sink.write("uplink", "confirmed", True, version=state.version)
 
-    def _on_configuration(self, news):
+    def _on_configuration(self, update):
         state = self.state
-        if news.version <= state.version:
-            # Never back within one run of the process, whatever comes late.
+        if update.version <= state.version:
+            # Late messages never take the process back to an older version.
             return
-        text = configlog.unpack(news.packed)
+        text = configlog.unpack(update.packed)
         result = configuration.read_configuration(text.encode())
         if result.is_error():
             log.error("An accepted configuration is unreadable: {}.", result.error)
@@ -291,12 +294,12 @@
         old = state.version
         state.table = RouteTable(result.ok)
         state.sink.write(
-            "uplink", "configuration", True, old_version=old, version=news.version
+            "uplink", "configuration", True, old_version=old, version=update.version
         )
 
-    def _merge_endpoints(self, heard):
+    def _merge_endpoints(self, reported):
         state, now = self.state, now_s()
-        for engine_id in tablesync.merge(state.endpoints, heard, now):
+        for engine_id in tablesync.merge(state.endpoints, reported, now):
             entry = state.endpoints.table.entries.get(engine_id)
             if entry is not None:
                 self._log_endpoint(entry)
@@ -306,10 +309,10 @@
                 state.leaving_s.setdefault(engine_id, now)
 
     def _note_incarnation(self, announcement):
-        """Drop the connections to what was at an address before this incarnation.
+        """Close the connections to an address whose engine was replaced.
 
-        The first request to an engine that has started again would go out on one of
-        them, and find it reset.
+        Otherwise the first request to an engine that restarted would be sent on an old
+        connection, which is reset.
         """
         state, address = self.state, announcement.address
         before = state.incarnations.get(address, announcement.engine_id)
@@ -340,9 +343,9 @@
 
     def _on_end(self, notice):
         state, engine_id = self.state, notice.engine_id
-        is_news = not entrystate.is_certainly_dead(state, engine_id)
+        is_new = not entrystate.is_certainly_dead(state, engine_id)
         suspicion.verified(state.suspicions, engine_id, now_s())
-        if is_news:
+        if is_new:
             state.sink.write("uplink", "engine-ended", True, engine_id=engine_id)
         self.tell_crashes(crashes.engine_ended(state, engine_id, now_s()))
 
@@ -354,31 +357,32 @@
                 "uplink", "engine-acquitted", True, engine_id=engine_id
             )
 
-    def _on_pace(self, news):
+    def _on_pace(self, update):
         book = self.state.slowness
-        is_news = slowness.believe(book, news.engine_id, news.slowness, now_s())
-        if is_news:
+        is_new = slowness.believe(book, update.engine_id, update.slowness, now_s())
+        if is_new:
             self.state.metrics.beliefs.labels("engine-pace").inc()
             self.state.sink.write(
                 "uplink",
                 "engine-pace",
                 True,
-                engine_id=news.engine_id,
-                slowness=round(news.slowness, 2),
+                engine_id=update.engine_id,
+                slowness=round(update.slowness, 2),
             )
-        return is_news
+        return is_new
 
 
 def choose_aggregators(answers) -> dict[str, str]:
-    """Return by data centre the control VM that tells its entries of all others.
+    """Return, by data centre, the control VM that sums up reports for its entries.
 
-    What the others have running and which endpoints were heard lately is the largest
-    part of all messages; told by each control VM to each entry, it grows with their
-    product and crosses between data centres. One that can't confirm what is in
-    force may be cut off from the rest, and is asked only for want of another.
+    The other entries' usage and the endpoints' liveness are the largest part of all
+    messages. If each control VM sent them to each entry, they would grow with the
+    product of both numbers and cross between data centres. A control VM that can't
+    confirm the configuration in force may be cut off, and is only chosen if there is
+    no other.
     """
-    sure = [answer for answer in answers if answer.version >= 0] or answers
-    tellers: dict[str, str] = {}
-    for answer in sorted(sure, key=lambda answer: answer.address):
-        tellers.setdefault(answer.vm_zone, answer.address)
-    return tellers
+    confirmed = [answer for answer in answers if answer.version >= 0] or answers
+    aggregators: dict[str, str] = {}
+    for answer in sorted(confirmed, key=lambda answer: answer.address):
+        aggregators.setdefault(answer.vm_zone, answer.address)
+    return aggregators
--- a/libs/node/src/cherryrudder/node/voterdisk.py
+++ b/libs/node/src/cherryrudder/node/voterdisk.py
@@ -1,4 +1,4 @@
-"""Opening, founding and joining with the disk of a control VM, without an operator."""
+"""Create, open or replace the disk of a control VM's voter, without an operator."""
 
 import os
 import shutil
@@ -19,46 +19,46 @@
 
 
 class MemoryDisk:
-    """Stands in for the disk of a control VM without one: its copy never votes."""
+    """Replaces the disk of a control VM that has none; it never becomes a voter."""
 
     def __init__(self, vm: str, address: str):
         self.saved = Saved(Identity("", vm, new_disk_id(), address, ()))
 
     def persist(self, effect: Persist) -> None:
-        """Keep nothing: a restart begins again as a new learner."""
+        """Do nothing: after a restart the VM joins again as a new learner."""
 
     def save_snapshot(self, effect: SaveSnapshot) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
 
 
 def is_created(folder: str) -> bool:
-    """Tell whether a folder holds a disk that was created in full."""
+    """Return whether a folder holds a disk that was created completely."""
     return os.path.exists(f"{folder}/{IDENTITY}")
 
 
 def create_founder(
     folder: str, vm: str, address: str, founders: tuple[Voter, ...]
 ) -> None:
-    """Create the disk of one of the first voters; raises DiskError."""
+    """Create the disk of one of the first voters. Raises DiskError."""
     _clear(folder)
     _raise_error(init_disk(folder, vm, address, founders))
 
 
 def create_learner(folder: str, vm: str, address: str) -> None:
-    """Create a disk that joins as a learner; raises DiskError."""
+    """Create a disk that joins as a learner. Raises DiskError."""
     _clear(folder)
     _raise_error(join_disk(folder, vm, address))
 
 
 def open_or_replace(folder: str, vm: str, address: str, sink: LineSink) -> Disk:
-    """Open the disk; one whose content is damaged is emptied and joins as a new one.
+    """Open the disk; replace a damaged one by an empty disk that joins as a learner.
 
-    A damaged disk has forgotten accepted entries, the same as one that was lost, and
-    no repair could tell which. A disk that the system refuses to read is kept for a
-    later try. Raises DiskError.
+    A damaged disk has lost committed entries, like one that is gone, and no repair can
+    tell which ones. A disk that the system refuses to read is kept for a later try.
+    Raises DiskError.
     """
     result = open_disk(folder, vm)
     if result.is_ok():
@@ -73,7 +73,7 @@
 
 
 def _clear(folder):
-    """Empty a folder whose disk was never created in full, or is damaged."""
+    """Empty a folder whose disk is incomplete or damaged."""
     try:
         os.makedirs(folder, exist_ok=True)
         for name in os.listdir(folder):
--- a/libs/node/src/cherryrudder/node/voterplanner.py
+++ b/libs/node/src/cherryrudder/node/voterplanner.py
@@ -1,9 +1,10 @@
-"""Which change the voter set of the replicated log needs next, with no operator.
+"""Decide on the next change of the replicated log's voter set, without an operator.
 
 Failure: a control VM comes back with an empty disk, or another one takes its place. The
-voter that is gone still counts; with three voters the next loss stops every change, and
-a second lost disk loses what was accepted. So a new disk follows the log as a learner,
-is promoted once it has the log, and the disk that is gone leaves the set.
+lost voter still counts for the majority. With three voters, the next loss would stop
+all commits, and a second lost disk would lose committed entries. Therefore a new disk
+follows the log as a learner and is promoted once it has the log, and the lost disk is
+removed from the set.
 """
 
 from collections.abc import Iterable
@@ -13,15 +14,15 @@
 from cherryrudder.quorum.events import Voter
 from cherryrudder.quorum.saved import VoterSet
 
-# A voter that was not heard for this long makes room for a standby. Five beats; a
-# planned restart takes about a second and is over before.
+# A voter that was silent for this long is replaced by a standby. It is five heartbeats;
+# a planned restart takes about a second.
 DEAD_AFTER_S = 2.5
-# A learner costs nothing but messages, so it is kept through longer cuts.
+# A learner costs only messages, so it is kept through longer network failures.
 REMOVE_LEARNER_AFTER_S = 20.0
 
 
 class Member(NamedTuple):
-    """A control process that tells of itself."""
+    """A control process, and when its last heartbeat arrived."""
 
     voter: Voter
     has_disk: bool
@@ -36,14 +37,17 @@
 
 
 def target_voters(tolerated_losses: int) -> int:
-    """Return how many voters keep a majority after so many losses."""
+    """Return the number of voters that keep a majority after this many losses."""
     return 2 * tolerated_losses + 1
 
 
 def next_change(
     voter_set: VoterSet, members: Iterable[Member], target: int, now_s: float
 ) -> Change | None:
-    """Return the change to make now; the log's core refuses it where it isn't safe."""
+    """Return the change to make now, None if none; unsafe ones are refused later.
+
+    The log's core refuses a change that isn't safe at the moment.
+    """
     known = {member.voter.disk_id: member for member in members}
     lost = [v for v in voter_set.voters if _has_new_disk(v, known)]
     dead = [v for v in voter_set.voters if _is_silent(v, known, DEAD_AFTER_S, now_s)]
@@ -72,7 +76,7 @@
 
 
 def _has_new_disk(voter, known):
-    """Tell whether the VM has told of another disk since this one was last heard."""
+    """Return whether the VM has reported another disk since this one's last report."""
     old = known.get(voter.disk_id)
     heard_s = old.heard_s if old else 0.0
     return any(
--- a/libs/node/src/cherryrudder/node/voterrunner.py
+++ b/libs/node/src/cherryrudder/node/voterrunner.py
@@ -1,7 +1,7 @@
-"""The voter of a control VM, from finding or creating its disk to replacing it.
+"""Run the voter of a control VM: open or create its disk, and replace a damaged one.
 
-The log's part runs by itself inside the process: a disk that stops working takes the
-voter down, not the answers to heartbeats, and is tried again.
+The voter runs independently inside the process. A disk that fails stops the voter, but
+not the answers to heartbeats, and is opened again after a delay.
 """
 
 from collections.abc import Callable
@@ -21,24 +21,25 @@
 from . import gossip, voterdisk, voterplanner
 from .controlstate import ControlState
 
-# Between data centres a message takes 0.25 ms and a sync 1 ms, 28 ms on a slow disk.
-# An election begins after five silent heartbeats, and the leader is back within the
-# three seconds that the users give the core to become stable again.
+# Between data centres a message takes 0.25 ms; a disk sync takes 1 ms, or 28 ms on a
+# slow disk. An election begins after five missed heartbeats, so that there is a leader
+# again within the three seconds in which users expect the core to recover.
 HEARTBEAT_S = 0.12
 ELECTION_MIN_S = 0.6
 ELECTION_MAX_S = 1.2
-# A process that has just started campaigns sooner. After a loss of power there is no
-# leader, and every request waits for the election; where there is one, the others
-# refuse the pre-vote, which changes nothing. The spread outweighs a vote's way and its
-# sync.
+# A process that has just started campaigns sooner. After a power loss there is no
+# leader, and every request waits for the election. If there is a leader, the others
+# refuse the pre-vote, which has no effect. The range is longer than the round trip and
+# the sync of a vote.
 FIRST_ELECTION_MIN_S = 0.05
 FIRST_ELECTION_MAX_S = 0.15
-# A configuration takes some 40 KB and all are of one kind: the log is cut short often,
-# so that 64 MB of disk hold twice this many of the largest that a call may carry.
+# Entries between snapshots. Each entry is a whole configuration of some 40 KB, so the
+# log is compacted often: 64 MB of disk hold twice this many of the largest
+# configurations that a call may carry.
 SNAPSHOT_ENTRIES = 6
 REVIEW_INTERVAL_S = 0.3
 REOPEN_DELAY_S = 0.5
-# A change of the voter set is one commit; a lost one is tried at the next review.
+# A change of the voter set is one commit. One that fails is retried at the next review.
 CHANGE_TIMEOUT_S = 1.0
 FOUNDING_POLL_S = 0.05
 
@@ -50,7 +51,7 @@
 
 
 async def run(state: ControlState, on_applied: Callable[[], None]) -> None:
-    """Hold this VM's seat in the log until the process ends."""
+    """Run this VM's voter until the process ends, and reopen it after failures."""
     while True:
         try:
             await _run_voter(state, on_applied)
@@ -105,10 +106,10 @@
 
 
 async def _find_founders(state):
-    """Return the first voters: the seeds' VMs with a disk, once all were heard.
+    """Return the first voters: the seeds' VMs with a disk.
 
-    All founders have to name the same voters. Each waits until it knows all seeds, so
-    what it finds is the same whatever the order of starts.
+    All founders have to name the same voters. Each waits for the heartbeats of all
+    seeds, so the result is the same whatever the order of starts.
     """
     seeds = set(state.roster.seeds)
     is_seed = state.address in state.seed_addresses
@@ -116,11 +117,11 @@
         return ()
     while not seeds <= set(state.roster.peers):
         await anyio.sleep(FOUNDING_POLL_S)
-    beats = [state.roster.peers[seed].message for seed in seeds]
+    heartbeats = [state.roster.peers[seed].message for seed in seeds]
     founders = [
-        events.Voter(beat.vm, f"{beat.vm}-founder", beat.log_address)
-        for beat in beats
-        if beat.has_disk and beat.is_founding
+        events.Voter(heartbeat.vm, f"{heartbeat.vm}-founder", heartbeat.log_address)
+        for heartbeat in heartbeats
+        if heartbeat.has_disk and heartbeat.is_founding
     ]
     own = events.Voter(
         state.settings.vm, f"{state.settings.vm}-founder", state.log_address
@@ -135,26 +136,26 @@
 
 
 async def _watch_leader(state, voter):
-    """Log each change of what this VM believes about the leader."""
-    believed = None
+    """Log each change of the term, the role or the known leader."""
+    logged = None
     while True:
         node = voter.node
-        belief = (node.term, node.role, node.leader.vm if node.leader else "")
-        if belief != believed:
-            believed = belief
+        current = (node.term, node.role, node.leader.vm if node.leader else "")
+        if current != logged:
+            logged = current
             state.sink.write(
                 "voter",
                 "leader",
                 True,
-                term=belief[0],
-                role=belief[1],
-                leader=belief[2],
+                term=current[0],
+                role=current[1],
+                leader=current[2],
             )
         await anyio.sleep(REVIEW_INTERVAL_S)
 
 
 async def _review(state, voter):
-    """As the leader, change the voter set where the council asks for it."""
+    """While leading, make the changes of the voter set that `voterplanner` returns."""
     target = voterplanner.target_voters(state.settings.tolerated_losses)
     while True:
         await anyio.sleep(REVIEW_INTERVAL_S)
@@ -173,7 +174,7 @@
             change.action, change.voter, CHANGE_TIMEOUT_S
         )
     except NoQuorum as error:
-        log.info("A change of the voters was not confirmed: {}.", error)
+        log.info("The change of the voter set was not confirmed: {}.", error)
         return
     if is_done or change.action != voters.PROMOTE:
         state.sink.write(
@@ -188,10 +189,10 @@
 
 
 def transfer_leadership(state: ControlState) -> None:
-    """Let another voter lead before this process stops; saves an election."""
+    """Transfer the leadership to another voter, which saves an election at a stop."""
     if state.voter is None:
         return
     try:
         state.voter.feed(events.HandOver())
     except VoterFailed as error:
-        log.warning("The leadership was not handed over: {}.", error)
+        log.warning("The leadership was not transferred: {}.", error)
