--- a/libs/node/test/builders.py
+++ b/libs/node/test/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the tests of the platform's processes."""
+"""Test data for the tests of entries and control VMs."""
 
 import os
 
@@ -13,7 +13,7 @@
 
 
 def an_announcement(engine_id="boot-1", number=2, layers=None, **changes):
-    """Return what an engine announces."""
+    """Return an engine's announcement."""
     announcement = Announcement(
         engine_id=engine_id,
         service="llm",
@@ -55,7 +55,7 @@
 
 
 def some_settings(**changes):
-    """Return the settings of a process on a VM of its own."""
+    """Return the settings of a process on its own VM."""
     settings = NodeSettings(
         vm="vm-1",
         role="entry",
@@ -90,7 +90,7 @@
 
 
 class PipedSink:
-    """A line sink into a pipe, and what was written so far."""
+    """A line sink that writes into a pipe, and a reader of the pipe."""
 
     def __init__(self):
         self.reader, writer = os.pipe()
@@ -99,7 +99,7 @@
         self._writer = writer
 
     def text(self):
-        """Return what the pipe holds."""
+        """Return what was written since the last call."""
         self.sink.flush()
         try:
             return os.read(self.reader, 16 * 1024 * 1024).decode()
@@ -107,6 +107,6 @@
             return ""
 
     def close(self):
-        """Close both ends."""
+        """Close both ends of the pipe."""
         os.close(self.reader)
         os.close(self._writer)
--- a/libs/node/test/test_controlbeats.py
+++ b/libs/node/test/test_controlbeats.py
@@ -10,18 +10,18 @@
 from cherryrudder.node.gossip import EntryHeartbeat, SyncPosition
 
 
-def a_beat(number, version):
-    """Return an entry's beat."""
+def a_heartbeat(number, version):
+    """Return an entry's heartbeat."""
     address = f"entry-{number}:1"
-    mark = SyncPosition("", 0)
-    return EntryHeartbeat("vm", "a", address, 0.0, version, mark, (), (), False)
+    position = SyncPosition("", 0)
+    return EntryHeartbeat("vm", "a", address, 0.0, version, position, (), (), False)
 
 
 class FirstConfigurationTest(unittest.TestCase):
-    """Guards against entries that wait for a round of confirmations after a start."""
+    """Guards against entries that wait for the next confirmation when they start."""
 
     def answered(self, *versions):
-        """Return who is answered within a second, if all rounds but the first wait."""
+        """Return the entries that are answered while only the first round is due."""
         piped = PipedSink()
         self.addCleanup(piped.close)
         state = a_control(piped.sink, "127.0.0.1")
@@ -39,7 +39,7 @@
                 beats.links.send = lambda address, _: sent.add(address)
                 group.start_soon(beats._confirm)
                 for number, version in enumerate(versions):
-                    beats._on_frames("", [a_beat(number, version)])
+                    beats._on_frames("", [a_heartbeat(number, version)])
                     await anyio.sleep(0.1)
                 group.cancel_scope.cancel()
 
@@ -47,10 +47,10 @@
             anyio.run(play)
         return sent
 
-    def test_one_without_any_is_answered_at_once(self):
+    def test_an_entry_without_a_configuration_is_answered_at_once(self):
         self.assertEqual(self.answered(5, 0), {"entry-0:1", "entry-1:1"})
 
-    def test_the_others_share_the_next_round(self):
+    def test_other_entries_wait_for_the_next_confirmation(self):
         self.assertEqual(self.answered(5, 5), {"entry-0:1"})
 
 
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -1,4 +1,4 @@
-"""Entries and control VMs that hear of requests under which engines ended."""
+"""Tests of how entries and control VMs detect requests that crash engines."""
 
 import unittest
 from types import SimpleNamespace
@@ -49,7 +49,7 @@
 
 
 def a_record(*engine_ids, at_s=None, **changes):
-    """Return a record of engines that ended."""
+    """Return the record of a request under which engines ended."""
     at_s = now_s() if at_s is None else at_s
     ended = tuple(Crash(engine_id, "a", "v1", 2, at_s) for engine_id in engine_ids)
     return Record("acme", "llm", ended)._replace(**changes)
@@ -66,44 +66,44 @@
             tablesync.hear(self.state.endpoints, told, now_s() - 0.1)
 
     def known(self, fingerprint="bad"):
-        """Return the engines that ended under a request, as far as is known."""
+        """Return the engines recorded as ended under a request."""
         record = self.state.crashes.book.records.get(fingerprint, Record("", ""))
         return {crash.engine_id for crash in record.crashes}
 
 
-class WitnessTest(EntryCase):
-    """Guards against taking a broken answer for the end of its engine."""
+class BrokenRunTest(EntryCase):
+    """Guards against counting a broken answer as the end of its engine."""
 
     def break_run(self, engine_id=FIRST, fingerprint="bad"):
         return crashes.broke(a_job(self.state, fingerprint), engine_id, 2, now_s())
 
-    def test_a_broken_answer_alone_counts_for_nothing(self):
+    def test_a_broken_answer_alone_is_not_counted(self):
         self.assertEqual(self.break_run().records, ())
         self.assertEqual(self.known(), set())
 
-    def test_it_counts_once_the_engine_is_found_dead(self):
+    def test_it_is_counted_once_the_engine_is_found_dead(self):
         self.break_run()
         self.break_run(SECOND)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
-    def test_it_counts_when_the_engine_was_found_dead_before(self):
+    def test_it_is_counted_if_the_engine_was_found_dead_before(self):
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(len(self.break_run().records), 1)
 
-    def test_it_counts_when_another_incarnation_is_at_the_address(self):
+    def test_it_is_counted_when_another_incarnation_is_at_the_address(self):
         address = f"{FIRST}:80"
         self.uplink._note_incarnation(an_announcement(FIRST))
         self.break_run()
         self.uplink._note_incarnation(an_announcement("boot-9", address=address))
         self.assertEqual(self.known(), {FIRST})
 
-    def test_it_counts_when_only_its_end_was_heard_of(self):
+    def test_it_is_counted_when_only_the_end_notice_arrives(self):
         self.break_run()
         self.uplink._on_frames("", [EndNotice(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
-    def test_news_of_the_one_before_says_nothing_of_the_next_one(self):
+    def test_an_old_incarnations_end_does_not_count_for_the_new_one(self):
         gone = EndpointState(
             an_announcement("boot-0", address=f"{FIRST}:80"), 0.0, True
         )
@@ -114,50 +114,50 @@
         self.break_run()
         self.assertEqual(self.known(), set())
 
-    def test_not_when_the_engine_has_answered_another_request_since(self):
+    def test_it_is_not_counted_after_answers_to_other_requests(self):
         self.break_run()
         brokenruns.answered(self.state.broken, FIRST, now_s() + 0.1)
         brokenruns.answered(self.state.broken, FIRST, now_s() + 0.5)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
 
-    def test_it_counts_although_an_answer_was_still_in_flight(self):
+    def test_it_is_counted_although_an_answer_was_still_in_flight(self):
         self.break_run()
         brokenruns.answered(self.state.broken, FIRST, now_s() + 0.1)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
-    def test_old_ones_are_forgotten(self):
+    def test_old_broken_runs_are_dropped(self):
         self.break_run()
         brokenruns.sweep(self.state.broken, now_s() + brokenruns.PENDING_S + 0.1)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual((self.known(), self.state.broken.runs), (set(), {}))
 
-    def test_not_when_the_engine_lives(self):
+    def test_it_is_not_counted_if_the_engine_is_alive(self):
         self.break_run()
         self.uplink._on_frames("", [Acquittal(FIRST), DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
 
-    def test_not_when_the_engine_was_heard_since(self):
+    def test_it_is_not_counted_if_a_heartbeat_arrived_since(self):
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         told = an_announcement(FIRST, number=4, layers=(0, 8))
         tablesync.hear(self.state.endpoints, told, now_s() + 1.0)
         self.break_run()
         self.assertEqual(self.known(), set())
 
-    def test_not_when_the_engine_had_said_that_it_leaves(self):
+    def test_it_is_not_counted_if_the_engine_was_leaving(self):
         self.state.leaving_s[FIRST] = now_s() - 2.0
         self.break_run()
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
 
-    def test_all_that_ran_there_are_noted(self):
+    def test_all_requests_on_the_engine_are_recorded(self):
         for fingerprint in ("bad", "good"):
             self.break_run(fingerprint=fingerprint)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual((self.known("bad"), self.known("good")), ({FIRST}, {FIRST}))
 
-    def test_the_log_says_which_engine_ended_under_what(self):
+    def test_the_log_names_the_engine_and_the_request(self):
         self.break_run()
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         text = self.piped.text()
@@ -165,11 +165,11 @@
         self.assertIn('"fingerprint":"bad"', text)
 
 
-class LostFirstTest(EntryCase):
-    """Guards against ends that go uncounted when the entry finds them out first."""
+class EntryDetectsDeathTest(EntryCase):
+    """Guards against uncounted ends when the entry is the first to detect them."""
 
     def cut(self, lost):
-        """Let a run's watch take one of its engines as dead, and cut the run off."""
+        """Cut a run off because the entry considers one of its engines dead."""
         chain = (Part(f"{FIRST}:80", FIRST, 0, 8), Part(f"{SECOND}:80", SECOND, 8, 16))
         job = a_job(self.state)
         job.service.model = SimpleNamespace(usual_answer_tokens=100)
@@ -199,12 +199,12 @@
         ):
             return anyio.run(streamrelay._exchange, stream)
 
-    def test_a_run_counts_that_was_cut_off_with_its_dead_engine(self):
+    def test_a_run_that_was_cut_off_for_its_dead_engine_is_counted(self):
         self.assertTrue(self.cut(f"{FIRST}:80").is_broken)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
-    def test_not_when_another_part_of_the_chain_was_lost(self):
+    def test_it_is_not_counted_if_another_engine_of_the_chain_was_lost(self):
         self.assertFalse(self.cut(f"{SECOND}:80").is_broken)
         self.uplink._on_frames("", [DeathNotice(FIRST), DeathNotice(SECOND)])
         self.assertEqual(self.known(), set())
@@ -218,12 +218,12 @@
     def is_blocked(self, fingerprint="bad"):
         return crashes.is_blocked(a_job(self.state, fingerprint), now_s())
 
-    def test_it_is_refused_and_nothing_else_is(self):
+    def test_only_the_blocked_request_is_refused(self):
         self.block()
         self.assertEqual((self.is_blocked(), self.is_blocked("good")), (True, False))
         self.assertIn('"event":"blocked"', self.piped.text())
 
-    def test_engines_of_other_software_may_run_it(self):
+    def test_engines_of_another_version_may_run_it(self):
         """Guards against a block that outlives the fault in the engines."""
         self.block()
         for engine_id in ENGINES:
@@ -231,18 +231,18 @@
             tablesync.hear(self.state.endpoints, told, now_s())
         self.assertFalse(self.is_blocked())
 
-    def test_one_that_gets_further_is_free_again(self):
+    def test_progress_past_the_crash_unblocks_it(self):
         self.block()
         news = crashes.reached(a_job(self.state), FINISHED, now_s())
         self.assertEqual(len(news.records), 1)
         self.assertFalse(self.is_blocked())
         self.assertIn('"event":"unblocked"', self.piped.text())
 
-    def test_how_far_others_get_is_no_news(self):
+    def test_progress_of_other_requests_is_not_published(self):
         self.block()
         self.assertIsNone(crashes.reached(a_job(self.state, "good"), 80, now_s()))
 
-    def test_it_ends_by_itself(self):
+    def test_the_block_expires(self):
         self.block(at_s=now_s() - 599.0)
         self.assertTrue(self.is_blocked())
         self.state.crashes.sweep(set(), now_s() + 2.0)
@@ -250,24 +250,24 @@
 
 
 class FaultyMessageTest(EntryCase):
-    """Guards against one message that ends each process which reads it."""
+    """Guards against a faulty message that crashes every process that receives it."""
 
     def deliver(self, reader, desk):
         with mock.patch.object(desk, "merge_records", side_effect=TypeError("fault")):
             reader._on_frames("peer:1", [CrashNews(()), DeathNotice(FIRST)])
 
-    def test_an_entry_takes_the_next_one(self):
+    def test_an_entry_handles_the_next_message(self):
         self.deliver(self.uplink, self.state.crashes)
         self.assertTrue(entrystate.is_suspect(self.state, FIRST, now_s()))
 
-    def test_a_control_vm_takes_the_next_one(self):
+    def test_a_control_vm_handles_the_next_message(self):
         control = a_control(self.piped.sink, "10.0.0.1")
         self.deliver(ControlBeats(control, None), control.crashes)
         self.assertIn(FIRST, control.accused)
 
 
-class SpreadTest(unittest.TestCase):
-    """Guards against entries that still send what others know to end engines."""
+class SyncTest(unittest.TestCase):
+    """Guards against entries that still send requests known to crash engines."""
 
     def a_desk(self, boot):
         piped = PipedSink()
@@ -275,11 +275,11 @@
         return CrashDesk(boot, piped.sink, Metrics())
 
     def beat(self, sender, reader):
-        """Let one process hear another's beat."""
+        """Deliver a heartbeat of one process to another."""
         sync = sender.make_sync(reader.book.boot, now_s())
         return reader.merge_sync(sender.book.boot, sync, now_s()), sync
 
-    def test_two_processes_come_to_know_the_same(self):
+    def test_two_processes_get_the_same_blocks(self):
         one, other = self.a_desk("one"), self.a_desk("other")
         one.record({"bad": a_record(FIRST, SECOND)}, now_s())
         other.record({"bad": a_record(OTHER)}, now_s())
@@ -287,7 +287,7 @@
         self.beat(other, one)
         self.assertEqual((set(one.book.blocks), set(other.book.blocks)), ({"bad"},) * 2)
 
-    def test_what_was_heard_is_not_told_again(self):
+    def test_acknowledged_records_are_not_sent_again(self):
         one, other = self.a_desk("one"), self.a_desk("other")
         one.record({"bad": a_record(FIRST)}, now_s())
         self.beat(one, other)
@@ -295,19 +295,19 @@
         news, sync = self.beat(one, other)
         self.assertEqual((news, sync.records), ([], ()))
 
-    def test_one_that_starts_again_is_told_all(self):
+    def test_a_restarted_process_is_sent_all_records(self):
         one, other = self.a_desk("one"), self.a_desk("other")
         one.record({"bad": a_record(*ENGINES)}, now_s())
         self.beat(one, other)
         self.beat(other, one)
         again = self.a_desk("again")
         for _ in range(2):
-            # It beats under the address that it had.
+            # It sends heartbeats from its old address.
             again.merge_sync("one", one.make_sync("other", now_s()), now_s())
             one.merge_sync("other", again.make_sync("one", now_s()), now_s())
         self.assertEqual(set(again.book.blocks), {"bad"})
 
-    def test_a_control_vm_tells_the_entries_nearby_at_once(self):
+    def test_a_control_vm_forwards_records_to_local_entries_at_once(self):
         piped = PipedSink()
         self.addCleanup(piped.close)
         control, sent = a_control(piped.sink, "10.0.0.1"), []
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -1,7 +1,7 @@
-"""Control VMs that see different things of one engine, and the entry that waits.
+"""Tests of control VMs whose probes of the same engine differ.
 
-Control VMs, an entry and their messages are real; what each of them sees of an engine
-is set by the test, and links between them deliver at once or not at all.
+Control VMs, an entry and their messages are real. The test sets the result of each
+probe, and links deliver at once or not at all.
 """
 
 import time
@@ -23,7 +23,7 @@
 
 REPORT = Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
 ENGINE = "boot-1"
-# Past the heartbeats that one which has ended misses.
+# The time after which an ended engine has missed enough heartbeats.
 UNHEARD_S = verification.MISSED_BEATS * some_settings().heartbeat_s
 # Control VMs by the last number of their address, and their data centres.
 NEAR, ALSO_NEAR, FAR = "10.0.0.1", "10.0.0.2", "10.0.1.1"
@@ -31,10 +31,10 @@
 
 
 class Play:
-    """Some control VMs and an entry that accuses an engine of their data centre."""
+    """Some control VMs, and an entry that suspects an engine of their data centre."""
 
     def __init__(self, case, sees, unreached=()):
-        """`sees`: by control VM, whether the engine answers it."""
+        """Set up the processes; `sees`: whether the engine answers, by control VM."""
         piped = PipedSink()
         case.addCleanup(piped.close)
         self.sees = sees
@@ -51,7 +51,7 @@
                 tablesync.hear(state.endpoints, told, now)
 
     def run(self, accused_by=(NEAR,), rounds=1, after=lambda: None):
-        """Accuse the engine at some control VMs and see it through."""
+        """Report the engine to some control VMs; return the messages to the entry."""
 
         async def play():
             async with anyio.create_task_group() as group:
@@ -100,7 +100,7 @@
             self.beats[address]._on_frames("", [message])
 
     def counts(self):
-        """Return whether a stream that ran at the engine may use another in place."""
+        """Return whether the engine counts as one that may still run a stream."""
         stream = SimpleNamespace(
             ran_at=[ENGINE, "boot-2"],
             job=SimpleNamespace(
@@ -111,14 +111,13 @@
 
 
 class DisagreementTest(unittest.TestCase):
-    """An entry accuses an engine that lives; one control VM beside it misses it, too.
+    """Guards against a live engine that is found dead by a single control VM.
 
-    Its link is full, and another control VM there has the engine's answer. With one
-    word enough, the engine was dead for everybody: a stream that had run there went to
-    a third engine where two are allowed, and the two worked on it for nothing.
-
-    The lines that showed it: `accusation` of one engine with `dead` by one control VM
-    0.4 s after `lives` by another one of the same data centre.
+    An entry and one control VM get no answer over a full link, while another control VM
+    of the data centre gets one. If one probe were enough, a stream that had run at the
+    engine would go to a third engine, where two are allowed. In the log, `accusation`
+    lines for the engine then show `dead` by one control VM 0.4 s after `lives` by
+    another one of the same data centre.
     """
 
     def test_an_answer_outweighs_silence(self):
@@ -130,41 +129,41 @@
                 self.assertTrue(play.counts())
                 self.assertEqual(play.controls[NEAR].accused, {})
 
-    def test_far_away_somebody_may_have_the_answer(self):
+    def test_an_answer_to_a_remote_control_vm_counts(self):
         play = Play(self, {NEAR: False, FAR: True})
         self.assertEqual(play.run(), [Acquittal(ENGINE)])
         self.assertTrue(play.counts())
 
-    def test_those_near_the_engine_are_asked_first(self):
+    def test_control_vms_near_the_engine_are_asked_first(self):
         play = Play(self, {NEAR: False, FAR: True, ALSO_NEAR: False})
         with mock.patch.object(verification, "MOST_WITNESSES", 1):
             play.run()
         self.assertNotIn(FAR, play.asked)
 
-    def test_who_is_answered_by_nobody_tells_nobody(self):
-        """It may be the one that is cut off."""
+    def test_a_control_vm_without_any_answer_sends_nothing(self):
+        """It may be cut off itself."""
         play = Play(self, {NEAR: False, ALSO_NEAR: False}, unreached=[ALSO_NEAR])
         self.assertEqual(play.run(), [])
         self.assertTrue(play.counts())
 
-    def test_one_that_has_just_started_has_no_opinion(self):
+    def test_a_control_vm_that_has_just_started_gives_no_verdict(self):
         play = Play(self, {NEAR: False, ALSO_NEAR: True})
         play.controls[NEAR].endpoints = tablesync.SharedTable("new")
         self.assertEqual(play.run(), [])
         self.assertTrue(play.counts())
 
-    def test_a_question_is_not_passed_on(self):
+    def test_a_probe_request_is_not_forwarded(self):
         play = Play(self, {NEAR: False, ALSO_NEAR: False, FAR: False})
         play.run([NEAR], rounds=5)
         self.assertEqual(len(play.asked), 6)
 
 
 class DeathTest(unittest.TestCase):
-    """An engine is dead, and all who look meet silence.
+    """No control VM gets an answer from an engine.
 
-    Everybody leaves it alone at once, so that no request waits there. A run at it ends
-    to count only when its heartbeats are missed as well: all who looked may have been
-    behind the same full links.
+    It gets no more requests at once, so that none waits there. Its runs count as ended
+    only after it has missed its heartbeats as well: the probes may all have been sent
+    over the same full links.
     """
 
     def play(self, unheard_s, is_leading=True, sees_later=False):
@@ -178,28 +177,28 @@
 
         return play, play.run(after=after)
 
-    def test_it_is_left_alone_at_once_and_counts_until_it_is_unheard(self):
+    def test_it_is_avoided_at_once_and_counts_until_heartbeats_are_missed(self):
         play, told = self.play(unheard_s=0.0)
         self.assertEqual(told, [DeathNotice(ENGINE)])
         self.assertTrue(play.counts())
 
-    def test_unheard_it_has_ended(self):
+    def test_it_has_ended_after_missed_heartbeats(self):
         play, told = self.play(UNHEARD_S + 0.1)
         self.assertEqual(told, [DeathNotice(ENGINE), EndNotice(ENGINE)])
         self.assertFalse(play.counts())
 
-    def test_only_the_leader_says_so(self):
+    def test_only_the_leader_confirms_a_death(self):
         play, told = self.play(UNHEARD_S + 0.1, is_leading=False)
         self.assertEqual(told, [DeathNotice(ENGINE)])
         self.assertTrue(play.counts())
 
-    def test_one_that_answers_after_all_has_not_ended(self):
+    def test_an_engine_that_answers_later_has_not_ended(self):
         play, told = self.play(UNHEARD_S + 0.1, sees_later=True)
         self.assertEqual(told, [DeathNotice(ENGINE), Acquittal(ENGINE)])
         self.assertTrue(play.counts())
         self.assertEqual(play.controls[NEAR].accused, {})
 
-    def test_one_that_is_heard_again_is_not_accused_any_more(self):
+    def test_a_new_heartbeat_ends_the_suspicion(self):
         play = Play(self, {NEAR: False, ALSO_NEAR: False})
 
         def after():
@@ -213,24 +212,24 @@
         self.assertEqual([s.accused for s in play.controls.values()], [{}, {}])
 
 
-def stand_still(wait_s):
-    """Hold the loop up, as a long computation does."""
+def block_event_loop(wait_s):
+    """Block the event loop, as a long computation does."""
     time.sleep(wait_s)
 
 
-class StandstillTest(unittest.TestCase):
-    """A control VM decodes a large configuration while it waits for a report.
+class BlockedLoopTest(unittest.TestCase):
+    """Guards against a timeout while the answer has arrived but wasn't read.
 
-    Its time limit passes although the answer is there, unread.
+    A control VM decodes a large configuration while it waits for an engine's report.
     """
 
-    def test_a_report_is_asked_for_again(self):
+    def test_the_report_is_requested_again(self):
         calls = []
 
         async def get_report(address, timeout_s):
             calls.append(address)
             if len(calls) == 1:
-                stand_still(timeout_s + 2 * stalls.OWN_DELAY_S)
+                block_event_loop(timeout_s + 2 * stalls.OWN_DELAY_S)
                 raise EngineCallFailed(address)
             return REPORT
 
@@ -241,7 +240,7 @@
 
 
 class JudgeTest(unittest.TestCase):
-    def test_every_pair_of_looks(self):
+    def test_every_combination_of_probe_results(self):
         dead, lives, unclear = Verdict.DEAD, Verdict.LIVES, Verdict.UNCLEAR
         cases = {
             (Seen.SILENT, ()): unclear,
@@ -258,7 +257,7 @@
             with self.subTest(own=own, others=others):
                 self.assertIs(judge(own, others, asked=2), verdict)
 
-    def test_without_anybody_to_ask_the_own_look_counts(self):
+    def test_without_other_control_vms_the_own_probe_decides(self):
         self.assertIs(judge(Seen.SILENT, (), asked=0), Verdict.DEAD)
 
 
--- a/libs/node/test/test_linesink.py
+++ b/libs/node/test/test_linesink.py
@@ -17,11 +17,11 @@
         self.assertEqual((line["vm"], line["part"]), ("vm-1", "request"))
         self.assertEqual((line["event"], line["request_id"]), ("sent", "q"))
 
-    def test_past_the_budget_failures_are_kept(self):
-        """A flood of refusals comes while one filing fails.
+    def test_kept_lines_are_written_past_the_budget(self):
+        """A request fails during a flood of refusals.
 
-        The operators look for the filing; its line must be there, and the flood must
-        not cost more than serving does.
+        Operators need the line of the failed request, and the flood must not cost more
+        than serving does.
         """
         for _ in range(linesink.LINES_PER_S + 100):
             self.pipe.sink.write("request", "refused")
@@ -31,10 +31,10 @@
         self.assertIn("refused 502", lines[-1])
         self.assertGreater(self.pipe.sink.dropped, 0)
 
-    def test_a_reader_that_stops_holds_nothing_up(self):
+    def test_a_stopped_reader_blocks_nothing(self):
         text = "x" * 1000
         for number in range(2000):
-            # Each in a second of its own, so that the bytes are the only bound.
+            # Each line in a second of its own, so that only the bytes are limited.
             self.pipe.sink._second = -number
             self.pipe.sink.write("request", "sent", True, text=text)
         waiting = len(self.pipe.sink._waiting)
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -1,4 +1,4 @@
-"""Entries and control VMs that hear of engines which limit their requests."""
+"""Tests of how entries and control VMs handle engines' request limits."""
 
 import unittest
 
@@ -27,42 +27,42 @@
 from cherryrudder.routing import endpoints, ratelimits
 
 
-class HearingTest(EntryCase):
-    """Guards against limits that only the entry knows that got the answer."""
+class LimitTest(EntryCase):
+    """Guards against limits that stay unknown to all but one entry."""
 
     def limit(self):
         return ratelimits.limit_of(self.state.rates.book, ENGINE)
 
-    def test_one_control_vm_of_each_data_centre_is_told(self):
+    def test_one_control_vm_of_each_data_centre_gets_the_limit(self):
         self.hear(2.5)
         told = [(address, type(message)) for address, message in self.sent]
         self.assertEqual(told, [("a:1", LimitUpdate), ("b:1", LimitUpdate)])
         self.hear(2.5)
         self.assertEqual(len(self.sent), 2)
 
-    def test_an_entry_keeps_to_what_it_is_told(self):
+    def test_an_entry_keeps_a_reported_limit(self):
         self.uplink._take(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.1),)))
         self.assertFalse(self.may_begin())
         self.assertTrue(self.may_begin(OTHER))
 
-    def test_the_next_answer_without_a_limit_ends_it(self):
+    def test_a_later_answer_without_a_limit_removes_it(self):
         self.hear(2.5)
         self.hear()
         self.assertTrue(self.may_begin())
         self.assertIsNone(self.sent[-1][1].limits[0].per_s)
 
-    def test_an_answer_to_an_older_request_ends_nothing(self):
+    def test_an_answer_to_an_older_request_removes_nothing(self):
         sent_s = now_s()
         self.hear(2.5)
         self.hear(sent_s=sent_s)
         self.assertEqual(self.limit(), 2.5)
 
-    def test_what_is_no_rate_changes_nothing(self):
+    def test_an_unreadable_limit_changes_nothing(self):
         self.hear(2.5)
         self.hear(has_bad_limit=True)
         self.assertEqual(self.limit(), 2.5)
 
-    def test_it_goes_with_the_incarnation(self):
+    def test_it_ends_with_the_incarnation(self):
         self.hear(2.5)
         ratekeeper.sweep(self.state.rates, {OTHER}, now_s())
         self.assertTrue(self.may_begin())
@@ -79,7 +79,7 @@
         found = entrystate.candidates(self.state, "llm", now_s())
         return {engine.engine_id for engine in found if engine.firsts < 1e9}
 
-    def test_no_stream_begins_at_it_without_a_permit(self):
+    def test_no_stream_begins_without_a_permit(self):
         self.assertEqual(self.firsts(), {OTHER})
         self.grant()
         self.assertEqual(self.firsts(), {ENGINE, OTHER})
@@ -89,12 +89,12 @@
         backpressure.begin(self.state, ENGINE, now_s())
         self.assertFalse(self.may_begin())
 
-    def test_the_control_vm_beside_it_is_asked(self):
+    def test_the_control_vm_of_its_data_centre_is_asked(self):
         ratekeeper.ask(self.state, [ENGINE], now_s())
         ((address, ask),) = self.sent
         self.assertEqual((address, ask.limit.engine_id), ("a:1", ENGINE))
 
-    def test_it_isnt_asked_again_before_it_has_a_permit(self):
+    def test_the_issuer_is_not_asked_again_before_it_has_a_permit(self):
         self.grant(permits=0, next_s=30.0)
         ratekeeper.ask(self.state, [ENGINE], now_s())
         self.assertEqual(self.sent, [])
@@ -109,7 +109,7 @@
 
         self.assertTrue(anyio.run(play))
 
-    def test_it_doesnt_wait_for_an_issuer_that_is_gone(self):
+    def test_it_does_not_wait_for_a_lost_issuer(self):
         async def play():
             with anyio.fail_after(1.0):
                 await ratekeeper.acquire(self.state, [ENGINE])
@@ -119,17 +119,17 @@
         self.assertIn('"event":"permit-unanswered"', self.piped.text())
 
 
-class PlainTest(EntryCase):
+class PlainRequestTest(EntryCase):
     """Guards against refusals while another endpoint is free, and against late ones."""
 
     def choose(self, **changes):
         return anyio.run(plainrelay._choose, self.a_job(**changes), set())
 
-    def test_the_other_endpoint_is_taken(self):
+    def test_the_other_endpoint_is_chosen(self):
         self.hear(2.5)
         self.assertEqual(self.choose().engine_id, OTHER)
 
-    def test_without_any_permit_it_is_refused_with_the_time_until_the_next(self):
+    def test_without_a_permit_the_refusal_has_the_time_until_the_next(self):
         for engine_id in (ENGINE, OTHER):
             self.hear(0.1, engine_id=engine_id)
             self.grant(permits=0, next_s=9.0, wait_s=9.0, engine_id=engine_id)
@@ -137,7 +137,7 @@
         self.assertTrue(failed.is_not_run)
         self.assertGreater(failed.retry_after_s, 8.0)
 
-    def test_a_permit_that_comes_in_time_is_waited_for(self):
+    def test_it_waits_for_a_permit_that_comes_in_time(self):
         for engine_id in (ENGINE, OTHER):
             self.hear(5, engine_id=engine_id)
             self.grant(permits=0, next_s=0.1, wait_s=0.1, engine_id=engine_id)
@@ -155,7 +155,7 @@
 
 
 class ControlTest(unittest.TestCase):
-    """Guards against entries that hear of a limit late, or never."""
+    """Guards against entries that get a limit late, or never."""
 
     def setUp(self):
         self.piped = PipedSink()
@@ -174,7 +174,7 @@
         beat = ControlStub(address="control-b", vm_zone=FAR)
         roster.hear(self.state.roster, beat.address, beat, now_s())
 
-    def test_it_tells_the_entries_that_nobody_else_tells(self):
+    def test_it_forwards_limits_to_entries_that_get_them_from_no_other(self):
         news = LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),))
         self.beats._handle(news)
         told = [address for address, _ in self.sent]
@@ -182,12 +182,12 @@
         self.beats._handle(news)
         self.assertEqual(len(self.sent), 2)
 
-    def test_beats_tell_it_to_those_that_missed_the_news(self):
+    def test_heartbeats_carry_limits_to_those_that_missed_the_update(self):
         self.beats._handle(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),)))
         beat = self.beats._make_heartbeat("control-c", now_s())
         self.assertEqual([one.per_s for one in beat.limits], [2.5])
 
-    def test_asks_of_all_entries_together_keep_to_the_limit(self):
+    def test_permits_for_all_entries_together_keep_to_the_limit(self):
         limit = ReportedLimit(ENGINE, 2.5, 0.0)
         for _ in range(20):
             for sender in ("entry-a", "entry-b"):
@@ -196,7 +196,7 @@
         self.assertEqual(len(answers), 40)
         self.assertLessEqual(sum(answer.grant.permits for answer in answers), 1)
 
-    def test_of_two_control_vms_beside_an_engine_one_issues_its_permits(self):
+    def test_only_one_of_two_local_control_vms_issues_permits(self):
         ask = PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1)
         for address, issues in (("10.0.0.0:1", False), ("10.0.0.2:1", True)):
             with self.subTest(other=address):
@@ -208,11 +208,11 @@
                 self.assertEqual(told[0], "entry-a" if issues else address)
                 self.assertEqual(isinstance(told[1], PermitGrant), issues)
 
-    def test_an_ask_tells_a_control_vm_of_the_limit(self):
+    def test_a_permit_request_carries_the_limit(self):
         self.beats._handle(PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1))
         self.assertEqual(ratelimits.limit_of(self.beats.rates.book, ENGINE), 2.5)
 
-    def test_an_engine_whose_answers_call_it_leaving_gets_no_new_work_anywhere(self):
+    def test_an_engine_that_says_it_is_leaving_gets_no_new_work_from_any_entry(self):
         known = self.state.endpoints.table.entries[ENGINE].announcement
         told = known._replace(has_told_senders=True)
         self.beats._handle(EndpointUpdate((EndpointState(told, 0.0, False),)))
--- a/libs/node/test/test_roomdesk.py
+++ b/libs/node/test/test_roomdesk.py
@@ -16,7 +16,7 @@
 
 
 class Room:
-    """So many chains with room."""
+    """A number of chains with room."""
 
     def __init__(self, count):
         self.count = count
@@ -30,50 +30,50 @@
         return CHAIN
 
 
-async def until_waiting(desk, *names):
-    """Return once all of these wait at a desk.
+async def until_waiting(scheduler, *names):
+    """Return once all of these wait in the scheduler's queue.
 
-    By the desk's own queue: a desk wakes four times in the 0.1 s after which
-    `wait_all_tasks_blocked` looks again, and in step with it is never seen asleep.
+    It polls the queue because `wait_all_tasks_blocked` may never return: the scheduler
+    wakes four times in the 0.1 s after which that function checks again.
     """
-    while not set(names) <= set(desk.queue.waiting):
+    while not set(names) <= set(scheduler.queue.waiting):
         await anyio.sleep(0.001)
 
 
-class DeskTest(unittest.TestCase):
-    """All engines are full. Streams wait, and room comes free for some of them."""
+class SchedulerTest(unittest.TestCase):
+    """All engines are full. Streams wait, and room becomes free for some of them."""
 
     def play(self, scenario):
         async def run():
-            desk = RoomDesk()
+            scheduler = RoomDesk()
             with anyio.fail_after(20.0):
                 async with anyio.create_task_group() as group:
-                    group.start_soon(desk.run)
-                    await scenario(desk, group)
+                    group.start_soon(scheduler.run)
+                    await scenario(scheduler, group)
                     group.cancel_scope.cancel()
 
         anyio.run(run)
 
-    def test_room_that_is_there_is_taken_at_once(self):
-        async def scenario(desk, group):
-            found = await desk.find(a_request("1"), Room(1).find, False)
+    def test_free_room_is_used_at_once(self):
+        async def scenario(scheduler, group):
+            found = await scheduler.find(a_request("1"), Room(1).find, False)
             self.assertEqual(found, CHAIN)
 
         self.play(scenario)
 
-    def test_who_waits_gets_the_room_that_comes_free_in_order(self):
+    def test_waiting_streams_get_free_room_in_order(self):
         order = []
 
-        async def scenario(desk, group):
+        async def scenario(scheduler, group):
             room = Room(0)
 
             async def wait(name):
-                if await desk.find(a_request(name), room.find, False) is not None:
+                if await scheduler.find(a_request(name), room.find, False) is not None:
                     order.append(name)
 
             for name in ("1", "2", "3"):
                 group.start_soon(wait, name)
-                await until_waiting(desk, name)
+                await until_waiting(scheduler, name)
             for count in (1, 2, 3):
                 room.count = 1
                 while len(order) < count:
@@ -82,44 +82,46 @@
         self.play(scenario)
         self.assertEqual(order, ["1", "2", "3"])
 
-    def test_who_waits_too_long_is_told_so(self):
-        async def scenario(desk, group):
-            found = await desk.find(a_request("1", 0.1), Room(0).find, False)
+    def test_a_stream_that_waits_too_long_gets_no_chain(self):
+        async def scenario(scheduler, group):
+            found = await scheduler.find(a_request("1", 0.1), Room(0).find, False)
             self.assertIsNone(found)
-            self.assertEqual(desk.queue.waiting, {})
+            self.assertEqual(scheduler.queue.waiting, {})
 
         self.play(scenario)
 
-    def test_a_client_that_leaves_waits_no_longer(self):
-        async def scenario(desk, group):
+    def test_a_cancelled_stream_is_removed_from_the_queue(self):
+        async def scenario(scheduler, group):
             with anyio.move_on_after(0.05):
-                await desk.find(a_request("1"), Room(0).find, False)
-            self.assertEqual(desk.queue.waiting, {})
+                await scheduler.find(a_request("1"), Room(0).find, False)
+            self.assertEqual(scheduler.queue.waiting, {})
 
         self.play(scenario)
 
-    def test_one_that_cannot_use_all_engines_holds_nobody_up(self):
+    def test_a_stream_that_cannot_use_all_engines_blocks_no_other(self):
         """A stream whose engine died may not use it again, and finds no chain.
 
-        The others, who may use all engines, must not wait behind it.
+        Streams that may use all engines must not wait behind it.
         """
 
-        async def scenario(desk, group):
-            group.start_soon(desk.find, a_request("picky"), Room(0).find, True)
-            await until_waiting(desk, "picky")
+        async def scenario(scheduler, group):
+            group.start_soon(scheduler.find, a_request("picky"), Room(0).find, True)
+            await until_waiting(scheduler, "picky")
             room = Room(1)
-            self.assertEqual(await desk.find(a_request("2"), room.find, False), CHAIN)
+            self.assertEqual(
+                await scheduler.find(a_request("2"), room.find, False), CHAIN
+            )
 
         self.play(scenario)
 
-    def test_many_that_wait_cost_one_try_a_turn(self):
-        """Each search takes 0.6 ms; with fifty at once an entry did nothing else."""
+    def test_many_waiting_streams_cost_one_search_per_interval(self):
+        """Each search takes 0.6 ms; fifty at once would use up an entry's CPU time."""
 
-        async def scenario(desk, group):
+        async def scenario(scheduler, group):
             room = Room(0)
             for n in range(50):
-                group.start_soon(desk.find, a_request(str(n)), room.find, False)
-            await until_waiting(desk, *(str(n) for n in range(50)))
+                group.start_soon(scheduler.find, a_request(str(n)), room.find, False)
+            await until_waiting(scheduler, *(str(n) for n in range(50)))
             first = room.tries
             await anyio.sleep(0.2)
             self.assertLess(room.tries - first, 20)
--- a/libs/node/test/test_surface.py
+++ b/libs/node/test/test_surface.py
@@ -41,17 +41,17 @@
         self.assertEqual((status, listed[0]["fingerprint"]), (200, "f1"))
         self.assertEqual(listed[0]["engine_ids"], ["e0", "e1", "e2"])
 
-    def test_a_block_is_lifted_and_others_are_told(self):
+    def test_a_lifted_block_is_published(self):
         self.assertEqual(self.respond("POST", "/blocks/lift/f1")[0], 200)
         self.assertEqual(json.loads(self.respond("GET", "/blocks")[1])["blocks"], [])
         self.assertEqual(len(self.told), 1)
         self.assertEqual(self.respond("POST", "/blocks/lift/f1")[0], 404)
 
-    def test_metrics_count_it(self):
+    def test_metrics_count_blocks(self):
         _, text = self.respond("GET", "/metrics")
         self.assertIn(b'cherryrudder_crashes_total{event="blocked"} 1.0', text)
 
-    def test_there_is_nothing_else(self):
+    def test_other_calls_are_not_found(self):
         self.assertEqual(self.respond("GET", "/blocks/lift/f1")[0], 404)
         self.assertEqual(self.respond("POST", "/metrics")[0], 404)
 
--- a/libs/node/test/test_tablesync.py
+++ b/libs/node/test/test_tablesync.py
@@ -16,14 +16,15 @@
     return {a.engine_id: a.holding for a in endpoints.live(shared.table, 0.0)}
 
 
-class AliveTest(unittest.TestCase):
-    """An engine's layers load; the sign of its life overtakes the news of its layers.
+class LivenessTest(unittest.TestCase):
+    """Guards against a sign of life that hides the layers an engine has loaded.
 
-    Had the sign raised the number of what the reader knows, the news would seem old
-    when it comes, and the engine would never get a request: a data centre stood idle.
+    The sign of life overtakes the update with the layers. If it raised the reader's
+    number, the update would seem old, and the engine would never get a request: a whole
+    data centre would stay idle.
     """
 
-    def test_a_sign_of_life_does_not_hide_news(self):
+    def test_a_sign_of_life_does_not_hide_an_update(self):
         source, reader = SharedTable("source"), SharedTable("reader")
         tablesync.hear(source, an_announcement(number=2), 0.0)
         tablesync.merge(
@@ -31,17 +32,17 @@
         )
         tablesync.hear(source, an_announcement(number=4, layers=(0, 8)), 0.1)
         tablesync.merge_liveness(reader, (Liveness("boot-1", 0.0),), 0.1)
-        news = tablesync.report_endpoints(source, ["boot-1"], 0.1)
-        self.assertEqual(tablesync.merge(reader, news, 0.1), ["boot-1"])
+        update = tablesync.report_endpoints(source, ["boot-1"], 0.1)
+        self.assertEqual(tablesync.merge(reader, update, 0.1), ["boot-1"])
         self.assertEqual(held(reader), {"boot-1": (0, 8)})
 
-    def test_a_sign_of_life_keeps_an_endpoint(self):
+    def test_a_sign_of_life_keeps_an_endpoint_live(self):
         reader = SharedTable("reader")
         tablesync.hear(reader, an_announcement(), 0.0)
         tablesync.merge_liveness(reader, (Liveness("boot-1", 0.5),), 6.0)
         self.assertEqual(len(endpoints.live(reader.table, 6.0)), 1)
 
-    def test_the_gone_stay_gone(self):
+    def test_departed_endpoints_stay_gone(self):
         reader = SharedTable("reader")
         tablesync.hear(reader, an_announcement(), 0.0)
         tablesync.depart(reader, "boot-1", 0.1)
@@ -50,23 +51,23 @@
 
 
 class RestartTest(unittest.TestCase):
-    def test_a_reader_of_another_boot_gets_everything(self):
+    def test_a_reader_with_another_boots_position_gets_everything(self):
         source = SharedTable("new")
         tablesync.hear(source, an_announcement(), 0.0)
         self.assertEqual(
             len(tablesync.changes_since(source, SyncPosition("old", 99), 0.0)), 1
         )
-        mark = SyncPosition("new", source.table.version)
-        self.assertEqual(tablesync.changes_since(source, mark, 0.0), ())
+        position = SyncPosition("new", source.table.version)
+        self.assertEqual(tablesync.changes_since(source, position, 0.0), ())
 
 
-class LostNewsTest(unittest.TestCase):
+class LostUpdateTest(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32))
-    def test_beats_make_good_whatever_news_was_lost(self, seed):
-        """Half of the news is lost or late; then one beat is answered.
+    def test_heartbeats_make_up_for_lost_updates(self, seed):
+        """Half of the updates are lost or late; then one heartbeat is answered.
 
-        After it the reader knows what the source knows.
+        After it, the reader has the same endpoints as the source.
         """
         rng = random.Random(seed)
         source, reader = SharedTable("source"), SharedTable("reader")
@@ -85,14 +86,14 @@
                 layers = (0, rng.randrange(1, 9))
                 heard = an_announcement(engine_id, numbers[engine_id], layers)
                 tablesync.hear(source, heard, 0.0)
-            news = tablesync.report_endpoints(source, [engine_id], 0.0)
-            (late if rng.random() < 0.5 else []).append(news)
+            update = tablesync.report_endpoints(source, [engine_id], 0.0)
+            (late if rng.random() < 0.5 else []).append(update)
             tablesync.merge_liveness(
                 reader, tablesync.recent_liveness(source, 0.0), 0.0
             )
         rng.shuffle(late)
-        for news in late:
-            tablesync.merge(reader, news, 0.0)
+        for update in late:
+            tablesync.merge(reader, update, 0.0)
         answer = tablesync.changes_since(source, SyncPosition("", 0), 0.0)
         tablesync.merge(reader, answer, 0.0)
         self.assertEqual(held(reader), held(source))
--- a/libs/node/test/test_uplink.py
+++ b/libs/node/test/test_uplink.py
@@ -14,15 +14,15 @@
 
 
 class AnswerStub(NamedTuple):
-    """What the choice looks at in a control VM's answer."""
+    """The fields of a control VM's answer that the choice depends on."""
 
     address: str
     vm_zone: str
     version: int = 7
 
 
-class TellersTest(unittest.TestCase):
-    """Two control VMs a data centre; one of them tells its entries of all others."""
+class AggregatorsTest(unittest.TestCase):
+    """One of two control VMs in each data centre sums up reports for the entries."""
 
     def test_all_entries_choose_the_same_one_in_each_data_centre(self):
         answers = [
@@ -34,22 +34,22 @@
         self.assertEqual(choose_aggregators(answers), {"a": "a1", "b": "b1"})
         self.assertEqual(choose_aggregators(answers[::-1]), {"a": "a1", "b": "b1"})
 
-    def test_one_that_is_cut_off_from_the_rest_tells_nobody(self):
-        """It answers, but has heard nothing of the other data centres for seconds."""
+    def test_a_control_vm_that_is_cut_off_is_not_chosen(self):
+        """It answers, but has received nothing from other data centres for seconds."""
         answers = [AnswerStub("a1", "a", -1), AnswerStub("b1", "b")]
         self.assertEqual(choose_aggregators(answers), {"b": "b1"})
 
-    def test_without_any_other_it_is_better_than_none(self):
+    def test_it_is_chosen_if_there_is_no_other(self):
         self.assertEqual(choose_aggregators([AnswerStub("a1", "a", -1)]), {"a": "a1"})
         self.assertEqual(choose_aggregators([]), {})
 
 
-class FarBeatTest(unittest.TestCase):
-    """An entry tells each control VM what it knows, also those of other data centres.
+class RemoteHeartbeatTest(unittest.TestCase):
+    """Guards against too many heartbeats to other data centres, and against too few.
 
-    Bytes between data centres are dear, so that far ones hear it less often; but once
-    no near one confirms what is in force, the far ones have to be asked at full rate,
-    or the entry refuses callers after four seconds.
+    Traffic between data centres is expensive, so remote control VMs get heartbeats less
+    often. Once no local one confirms the configuration in force, the remote ones have
+    to be asked at the full rate, or the entry refuses callers after four seconds.
     """
 
     def due(self, near_age_s, far_age_s, zone="b"):
@@ -66,14 +66,14 @@
         uplink._sent_s["c:1"] = 100.0 - far_age_s
         return uplink._is_due("c:1", 100.0)
 
-    def test_a_far_one_hears_it_every_second_beat(self):
+    def test_a_remote_control_vm_gets_every_second_heartbeat(self):
         self.assertFalse(self.due(near_age_s=0.1, far_age_s=HEARTBEAT_S))
         self.assertTrue(self.due(near_age_s=0.1, far_age_s=2 * HEARTBEAT_S))
 
-    def test_a_near_one_hears_each_beat(self):
+    def test_a_local_control_vm_gets_each_heartbeat(self):
         self.assertTrue(self.due(near_age_s=0.1, far_age_s=0.1, zone="a"))
 
-    def test_without_a_near_one_the_far_ones_hear_each_beat(self):
+    def test_without_a_local_one_remote_control_vms_get_each_heartbeat(self):
         self.assertTrue(self.due(near_age_s=LOCAL_FRESH_S + 0.1, far_age_s=HEARTBEAT_S))
 
 
--- a/libs/node/test/test_voterdisk.py
+++ b/libs/node/test/test_voterdisk.py
@@ -26,11 +26,11 @@
         self.assertEqual(disk.saved.identity.voters, founders)
         disk.close()
 
-    def test_a_creation_that_was_cut_short_begins_again(self):
-        """The power goes while a disk is created; the folder holds parts of it.
+    def test_an_interrupted_creation_begins_again(self):
+        """The power fails while a disk is created, and the folder holds parts of it.
 
-        Without its identity it never voted, so it may be created anew; left as it was,
-        the VM would refuse to start for ever.
+        Without its identity it never voted, so it may be created again. Otherwise the
+        VM could never start.
         """
         os.makedirs(self.folder)
         with open(f"{self.folder}/log", "wb") as file:
@@ -39,10 +39,10 @@
         self.open().close()
 
     def test_a_damaged_disk_joins_as_a_new_one(self):
-        """A disk comes back with damage before its end: accepted entries are gone.
+        """A disk is damaged before its end: committed entries are lost.
 
-        Were it to vote on under its name, two majorities could disagree. It counts as
-        lost, and the VM joins with another disk.
+        If it kept voting under its name, two majorities could disagree. It counts as
+        lost, and the VM joins with a new disk.
         """
         voterdisk.create_learner(self.folder, "a", "a:7000")
         disk = self.open()
--- a/libs/node/test/test_voterplanner.py
+++ b/libs/node/test/test_voterplanner.py
@@ -15,7 +15,7 @@
 
 
 def members(*names, heard_s=100.0, has_disk=True):
-    """Return processes that were heard at a time."""
+    """Return processes whose last heartbeats arrived at a time."""
     return [Member(voter, has_disk, heard_s) for voter in names]
 
 
@@ -26,16 +26,17 @@
 
 
 class RepairTest(unittest.TestCase):
-    """A control VM loses its disk, or another machine takes its place.
+    """Guards against a lost voter that isn't replaced.
 
-    Operators see that changes still go through, and so would not notice; the next loss
-    would then stop all changes, or lose what was accepted. Nobody repairs it by hand.
+    A control VM loses its disk, or another machine takes its place. Commits still
+    succeed, so operators wouldn't notice and repair the voter set by hand. The next
+    loss would then stop all commits, or lose committed entries.
     """
 
-    def test_all_well_needs_nothing(self):
+    def test_live_voters_need_no_change(self):
         self.assertIsNone(decide(VoterSet("x", (A, B, C)), members(A, B, C)))
 
-    def test_a_wiped_disk_leaves_before_its_successor_comes(self):
+    def test_a_wiped_disk_is_removed_before_its_successor_joins(self):
         voter_set = VoterSet("x", (A, B, C))
         old = members(C, heard_s=90.0)
         known = [*members(A, B, NEW_C), *old]
@@ -45,7 +46,7 @@
         voter_set = VoterSet("x", (A, B), (NEW_C,))
         self.assertEqual(decide(voter_set, known), (voters.PROMOTE, NEW_C))
 
-    def test_a_standby_takes_the_place_of_a_silent_voter(self):
+    def test_a_standby_replaces_a_silent_voter(self):
         known = [*members(A, B, D), *members(C, heard_s=97.0)]
         voter_set = VoterSet("x", (A, B, C), (D,))
         self.assertEqual(decide(voter_set, known), (voters.PROMOTE, D))
@@ -56,7 +57,7 @@
         known = [*members(A, B, D), *members(C, heard_s=98.0)]
         self.assertIsNone(decide(VoterSet("x", (A, B, C), (D,)), known))
 
-    def test_a_copy_in_memory_never_votes(self):
+    def test_a_learner_without_a_disk_is_never_promoted(self):
         known = [*members(A, B), *members(D, has_disk=False)]
         voter_set = VoterSet("x", (A, B), (D,))
         self.assertIsNone(decide(voter_set, known))
@@ -65,12 +66,12 @@
         known = [*members(A, B), *members(C, heard_s=50.0)]
         self.assertIsNone(decide(VoterSet("x", (A, B, C)), known))
 
-    def test_founders_grow_to_the_target(self):
+    def test_learners_are_promoted_up_to_the_target(self):
         known = members(A, B, C, D)
         voter_set = VoterSet("x", (A, B, C), (D,))
         self.assertEqual(decide(voter_set, known, target=5), (voters.PROMOTE, D))
 
-    def test_a_learner_that_is_gone_is_forgotten(self):
+    def test_a_lost_learner_is_removed(self):
         known = [*members(A, B, C), *members(D, heard_s=70.0)]
         voter_set = VoterSet("x", (A, B, C), (D,))
         self.assertEqual(decide(voter_set, known), (voters.REMOVE, D))
@@ -80,10 +81,10 @@
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32), st.integers(1, 2))
     def test_the_set_settles_on_live_disks(self, seed, tolerated):
-        """Machines come, lose disks and go; then nothing more happens.
+        """Machines join, lose their disks and leave; then nothing more happens.
 
-        Within a bounded number of changes the voters are live disks, as many as the
-        target asks for or as there are.
+        Within a bounded number of changes, all voters have live disks, and there are as
+        many as the target asks for, or as there are disks.
         """
         rng = random.Random(seed)
         target = voterplanner.target_voters(tolerated)
