--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -28,9 +28,9 @@
 class ControlApi:
     """Handles the calls to one control process."""
 
-    def __init__(self, state: ControlState, beats: ControlBeats):
+    def __init__(self, state: ControlState, gossip: ControlBeats):
         self.state = state
-        self.gossip = beats
+        self.gossip = gossip
 
     async def handle(self, exchange: Exchange) -> None:
         """Handle one call."""
--- a/libs/node/src/cherryrudder/node/layercontroller.py
+++ b/libs/node/src/cherryrudder/node/layercontroller.py
@@ -59,9 +59,9 @@
 class LayerController:
     """Plans layers and sends orders while this control process leads."""
 
-    def __init__(self, state: ControlState, beats: ControlBeats, group):
+    def __init__(self, state: ControlState, gossip: ControlBeats, group):
         self.state = state
-        self.gossip = beats
+        self.gossip = gossip
         self.group = group
         self._pending: dict[str, PendingOrder] = {}
         self._not_before_s: dict[str, float] = {}
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -38,10 +38,10 @@
     return is_new
 
 
-def hear(shared: SharedTable, heard: Announcement, now_s: float) -> bool:
+def hear(shared: SharedTable, announcement: Announcement, now_s: float) -> bool:
     """Record an endpoint's heartbeat; return whether it changes the table."""
-    is_new = endpoints.hear(shared.table, heard, now_s)
-    return _mark_if_changed(shared, heard.engine_id, is_new)
+    is_new = endpoints.hear(shared.table, announcement, now_s)
+    return _mark_if_changed(shared, announcement.engine_id, is_new)
 
 
 def record_holding(
@@ -71,11 +71,11 @@
 
 
 def merge(
-    shared: SharedTable, heard: tuple[EndpointState, ...], now_s: float
+    shared: SharedTable, reported: tuple[EndpointState, ...], now_s: float
 ) -> list[str]:
     """Merge another process's endpoints; return the changed incarnations."""
     changed = []
-    for one in heard:
+    for one in reported:
         engine_id = one.announcement.engine_id
         entry = Entry(one.announcement, 0.0, one.is_gone)
         if endpoints.merge(shared.table, entry, one.age_s, now_s):
--- a/libs/node/test/test_controlbeats.py
+++ b/libs/node/test/test_controlbeats.py
@@ -33,18 +33,18 @@
         voted = SimpleNamespace(version=5, packed=b"")
         state.voter = SimpleNamespace(confirm=confirm, state=voted)
 
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
-                beats = ControlBeats(state, group)
-                beats.links.send = lambda address, _: sent.add(address)
-                group.start_soon(beats._confirm)
+                gossip = ControlBeats(state, group)
+                gossip.links.send = lambda address, _: sent.add(address)
+                group.start_soon(gossip._confirm)
                 for number, version in enumerate(versions):
-                    beats._on_frames("", [a_heartbeat(number, version)])
+                    gossip._on_frames("", [a_heartbeat(number, version)])
                     await anyio.sleep(0.1)
                 group.cancel_scope.cancel()
 
         with mock.patch.object(controlbeats, "CONFIRM_INTERVAL_S", 30.0):
-            anyio.run(play)
+            anyio.run(scenario)
         return sent
 
     def test_an_entry_without_a_configuration_is_answered_at_once(self):
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -62,8 +62,8 @@
         self.state = a_state(self.piped.sink)
         self.uplink = Uplink(self.state, None)
         for engine_id in ENGINES:
-            told = an_announcement(engine_id, layers=(0, 8))
-            tablesync.hear(self.state.endpoints, told, now_s() - 0.1)
+            announcement = an_announcement(engine_id, layers=(0, 8))
+            tablesync.hear(self.state.endpoints, announcement, now_s() - 0.1)
 
     def known(self, fingerprint="bad"):
         """Return the engines recorded as ended under a request."""
@@ -140,8 +140,8 @@
 
     def test_it_is_not_counted_if_a_heartbeat_arrived_since(self):
         self.uplink._on_frames("", [DeathNotice(FIRST)])
-        told = an_announcement(FIRST, number=4, layers=(0, 8))
-        tablesync.hear(self.state.endpoints, told, now_s() + 1.0)
+        announcement = an_announcement(FIRST, number=4, layers=(0, 8))
+        tablesync.hear(self.state.endpoints, announcement, now_s() + 1.0)
         self.break_run()
         self.assertEqual(self.known(), set())
 
@@ -227,14 +227,14 @@
         """Guards against a block that outlives the fault in the engines."""
         self.block()
         for engine_id in ENGINES:
-            told = an_announcement(engine_id, 4, (0, 8), version="v2")
-            tablesync.hear(self.state.endpoints, told, now_s())
+            announcement = an_announcement(engine_id, 4, (0, 8), version="v2")
+            tablesync.hear(self.state.endpoints, announcement, now_s())
         self.assertFalse(self.is_blocked())
 
     def test_progress_past_the_crash_unblocks_it(self):
         self.block()
-        news = crashes.reached(a_job(self.state), FINISHED, now_s())
-        self.assertEqual(len(news.records), 1)
+        update = crashes.reached(a_job(self.state), FINISHED, now_s())
+        self.assertEqual(len(update.records), 1)
         self.assertFalse(self.is_blocked())
         self.assertIn('"event":"unblocked"', self.piped.text())
 
@@ -274,7 +274,7 @@
         self.addCleanup(piped.close)
         return CrashDesk(boot, piped.sink, Metrics())
 
-    def beat(self, sender, reader):
+    def send_heartbeat(self, sender, reader):
         """Deliver a heartbeat of one process to another."""
         sync = sender.make_sync(reader.book.boot, now_s())
         return reader.merge_sync(sender.book.boot, sync, now_s()), sync
@@ -283,23 +283,23 @@
         one, other = self.a_desk("one"), self.a_desk("other")
         one.record({"bad": a_record(FIRST, SECOND)}, now_s())
         other.record({"bad": a_record(OTHER)}, now_s())
-        self.beat(one, other)
-        self.beat(other, one)
+        self.send_heartbeat(one, other)
+        self.send_heartbeat(other, one)
         self.assertEqual((set(one.book.blocks), set(other.book.blocks)), ({"bad"},) * 2)
 
     def test_acknowledged_records_are_not_sent_again(self):
         one, other = self.a_desk("one"), self.a_desk("other")
         one.record({"bad": a_record(FIRST)}, now_s())
-        self.beat(one, other)
-        self.beat(other, one)
-        news, sync = self.beat(one, other)
-        self.assertEqual((news, sync.records), ([], ()))
+        self.send_heartbeat(one, other)
+        self.send_heartbeat(other, one)
+        update, sync = self.send_heartbeat(one, other)
+        self.assertEqual((update, sync.records), ([], ()))
 
     def test_a_restarted_process_is_sent_all_records(self):
         one, other = self.a_desk("one"), self.a_desk("other")
         one.record({"bad": a_record(*ENGINES)}, now_s())
-        self.beat(one, other)
-        self.beat(other, one)
+        self.send_heartbeat(one, other)
+        self.send_heartbeat(other, one)
         again = self.a_desk("again")
         for _ in range(2):
             # It sends heartbeats from its old address.
@@ -312,19 +312,19 @@
         self.addCleanup(piped.close)
         control, sent = a_control(piped.sink, "10.0.0.1"), []
 
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
-                beats = ControlBeats(control, group)
-                beats.links.send = lambda address, message: sent.append(address)
+                gossip = ControlBeats(control, group)
+                gossip.links.send = lambda address, message: sent.append(address)
                 for address, vm_zone in (("near:1", "a"), ("far:1", "b")):
-                    beat = SimpleNamespace(address=address, vm_zone=vm_zone)
-                    roster.hear(control.entries, address, beat, now_s())
+                    heartbeat = SimpleNamespace(address=address, vm_zone=vm_zone)
+                    roster.hear(control.entries, address, heartbeat, now_s())
                 source = self.a_desk("one")
                 for engine_ids in ((FIRST,), (FIRST, SECOND)):
-                    news = source.record({"bad": a_record(*engine_ids)}, now_s())
-                    beats._on_frames("", [news])
+                    update = source.record({"bad": a_record(*engine_ids)}, now_s())
+                    gossip._on_frames("", [update])
 
-        anyio.run(play)
+        anyio.run(scenario)
         self.assertEqual(sent, ["near:1"])
 
 
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -30,7 +30,7 @@
 ZONES = {NEAR: "a", ALSO_NEAR: "a", FAR: "b"}
 
 
-class Play:
+class Scenario:
     """Some control VMs, and an entry that suspects an engine of their data centre."""
 
     def __init__(self, case, sees, unreached=()):
@@ -46,14 +46,14 @@
         self.verifiers = {}
         now = now_s()
         for name in (ENGINE, "boot-2"):
-            told = an_announcement(name, layers=(0, 8))
+            announcement = an_announcement(name, layers=(0, 8))
             for state in (self.entry, *self.controls.values()):
-                tablesync.hear(state.endpoints, told, now)
+                tablesync.hear(state.endpoints, announcement, now)
 
     def run(self, accused_by=(NEAR,), rounds=1, after=lambda: None):
         """Report the engine to some control VMs; return the messages to the entry."""
 
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
                 self._connect(group)
                 for _ in range(rounds):
@@ -68,24 +68,24 @@
                 after()
 
         with mock.patch.object(verification, "OPINION_S", 0.05):
-            anyio.run(play)
+            anyio.run(scenario)
         return [message for _, message in self.sent]
 
     def _connect(self, group):
         self.uplink = Uplink(self.entry, group)
-        self.beats = {}
+        self.gossip = {}
         for ip, state in self.controls.items():
-            beats = ControlBeats(state, group)
-            beats.links.send = self._deliver
-            beats.verifier._report = lambda *_, ip=ip: self._report(ip)
-            self.beats[state.address] = beats
-            self.verifiers[ip] = beats.verifier
+            gossip = ControlBeats(state, group)
+            gossip.links.send = self._deliver
+            gossip.verifier._report = lambda *_, ip=ip: self._report(ip)
+            self.gossip[state.address] = gossip
+            self.verifiers[ip] = gossip.verifier
         for state in self.controls.values():
             roster.hear(state.entries, self.entry.address, None, now_s())
-            for address, other in self.beats.items():
+            for address, other in self.gossip.items():
                 if address != state.address:
-                    beat = other._make_heartbeat(state.address, now_s())
-                    roster.hear(state.roster, address, beat, now_s())
+                    heartbeat = other._make_heartbeat(state.address, now_s())
+                    roster.hear(state.roster, address, heartbeat, now_s())
 
     async def _report(self, ip):
         self.asked.append(ip)
@@ -97,7 +97,7 @@
             self.sent.append((address, message))
             self.uplink._on_frames("", [message])
         elif address.rpartition(":")[0] not in self.unreached:
-            self.beats[address]._on_frames("", [message])
+            self.gossip[address]._on_frames("", [message])
 
     def counts(self):
         """Return whether the engine counts as one that may still run a stream."""
@@ -123,39 +123,41 @@
     def test_an_answer_outweighs_silence(self):
         for accused_by in ([NEAR], [ALSO_NEAR], [NEAR, ALSO_NEAR]):
             with self.subTest(accused_by=accused_by):
-                play = Play(self, {NEAR: False, ALSO_NEAR: True})
-                told = play.run(accused_by)
-                self.assertEqual(set(told), {Acquittal(ENGINE)})
-                self.assertTrue(play.counts())
-                self.assertEqual(play.controls[NEAR].accused, {})
+                scenario = Scenario(self, {NEAR: False, ALSO_NEAR: True})
+                messages = scenario.run(accused_by)
+                self.assertEqual(set(messages), {Acquittal(ENGINE)})
+                self.assertTrue(scenario.counts())
+                self.assertEqual(scenario.controls[NEAR].accused, {})
 
     def test_an_answer_to_a_remote_control_vm_counts(self):
-        play = Play(self, {NEAR: False, FAR: True})
-        self.assertEqual(play.run(), [Acquittal(ENGINE)])
-        self.assertTrue(play.counts())
+        scenario = Scenario(self, {NEAR: False, FAR: True})
+        self.assertEqual(scenario.run(), [Acquittal(ENGINE)])
+        self.assertTrue(scenario.counts())
 
     def test_control_vms_near_the_engine_are_asked_first(self):
-        play = Play(self, {NEAR: False, FAR: True, ALSO_NEAR: False})
+        scenario = Scenario(self, {NEAR: False, FAR: True, ALSO_NEAR: False})
         with mock.patch.object(verification, "MOST_WITNESSES", 1):
-            play.run()
-        self.assertNotIn(FAR, play.asked)
+            scenario.run()
+        self.assertNotIn(FAR, scenario.asked)
 
     def test_a_control_vm_without_any_answer_sends_nothing(self):
         """It may be cut off itself."""
-        play = Play(self, {NEAR: False, ALSO_NEAR: False}, unreached=[ALSO_NEAR])
-        self.assertEqual(play.run(), [])
-        self.assertTrue(play.counts())
+        scenario = Scenario(
+            self, {NEAR: False, ALSO_NEAR: False}, unreached=[ALSO_NEAR]
+        )
+        self.assertEqual(scenario.run(), [])
+        self.assertTrue(scenario.counts())
 
     def test_a_control_vm_that_has_just_started_gives_no_verdict(self):
-        play = Play(self, {NEAR: False, ALSO_NEAR: True})
-        play.controls[NEAR].endpoints = tablesync.SharedTable("new")
-        self.assertEqual(play.run(), [])
-        self.assertTrue(play.counts())
+        scenario = Scenario(self, {NEAR: False, ALSO_NEAR: True})
+        scenario.controls[NEAR].endpoints = tablesync.SharedTable("new")
+        self.assertEqual(scenario.run(), [])
+        self.assertTrue(scenario.counts())
 
     def test_a_probe_request_is_not_forwarded(self):
-        play = Play(self, {NEAR: False, ALSO_NEAR: False, FAR: False})
-        play.run([NEAR], rounds=5)
-        self.assertEqual(len(play.asked), 6)
+        scenario = Scenario(self, {NEAR: False, ALSO_NEAR: False, FAR: False})
+        scenario.run([NEAR], rounds=5)
+        self.assertEqual(len(scenario.asked), 6)
 
 
 class DeathTest(unittest.TestCase):
@@ -166,50 +168,50 @@
     over the same full links.
     """
 
-    def play(self, unheard_s, is_leading=True, sees_later=False):
-        play = Play(self, {NEAR: False, ALSO_NEAR: False})
+    def run_scenario(self, unheard_s, is_leading=True, sees_later=False):
+        scenario = Scenario(self, {NEAR: False, ALSO_NEAR: False})
 
         def after():
-            play.sees[NEAR] = sees_later
-            play.controls[NEAR].is_leader = lambda: is_leading
-            for verifier in play.verifiers.values():
+            scenario.sees[NEAR] = sees_later
+            scenario.controls[NEAR].is_leader = lambda: is_leading
+            for verifier in scenario.verifiers.values():
                 verifier.review(now_s() + unheard_s)
 
-        return play, play.run(after=after)
+        return scenario, scenario.run(after=after)
 
     def test_it_is_avoided_at_once_and_counts_until_heartbeats_are_missed(self):
-        play, told = self.play(unheard_s=0.0)
-        self.assertEqual(told, [DeathNotice(ENGINE)])
-        self.assertTrue(play.counts())
+        scenario, messages = self.run_scenario(unheard_s=0.0)
+        self.assertEqual(messages, [DeathNotice(ENGINE)])
+        self.assertTrue(scenario.counts())
 
     def test_it_has_ended_after_missed_heartbeats(self):
-        play, told = self.play(UNHEARD_S + 0.1)
-        self.assertEqual(told, [DeathNotice(ENGINE), EndNotice(ENGINE)])
-        self.assertFalse(play.counts())
+        scenario, messages = self.run_scenario(UNHEARD_S + 0.1)
+        self.assertEqual(messages, [DeathNotice(ENGINE), EndNotice(ENGINE)])
+        self.assertFalse(scenario.counts())
 
     def test_only_the_leader_confirms_a_death(self):
-        play, told = self.play(UNHEARD_S + 0.1, is_leading=False)
-        self.assertEqual(told, [DeathNotice(ENGINE)])
-        self.assertTrue(play.counts())
+        scenario, messages = self.run_scenario(UNHEARD_S + 0.1, is_leading=False)
+        self.assertEqual(messages, [DeathNotice(ENGINE)])
+        self.assertTrue(scenario.counts())
 
     def test_an_engine_that_answers_later_has_not_ended(self):
-        play, told = self.play(UNHEARD_S + 0.1, sees_later=True)
-        self.assertEqual(told, [DeathNotice(ENGINE), Acquittal(ENGINE)])
-        self.assertTrue(play.counts())
-        self.assertEqual(play.controls[NEAR].accused, {})
+        scenario, messages = self.run_scenario(UNHEARD_S + 0.1, sees_later=True)
+        self.assertEqual(messages, [DeathNotice(ENGINE), Acquittal(ENGINE)])
+        self.assertTrue(scenario.counts())
+        self.assertEqual(scenario.controls[NEAR].accused, {})
 
     def test_a_new_heartbeat_ends_the_suspicion(self):
-        play = Play(self, {NEAR: False, ALSO_NEAR: False})
+        scenario = Scenario(self, {NEAR: False, ALSO_NEAR: False})
 
         def after():
-            for state in play.controls.values():
-                told = an_announcement(ENGINE, 4, (0, 8))
-                tablesync.hear(state.endpoints, told, now_s() + 0.1)
-            for verifier in play.verifiers.values():
+            for state in scenario.controls.values():
+                announcement = an_announcement(ENGINE, 4, (0, 8))
+                tablesync.hear(state.endpoints, announcement, now_s() + 0.1)
+            for verifier in scenario.verifiers.values():
                 verifier.review(now_s() + 1.0)
 
-        play.run(after=after)
-        self.assertEqual([s.accused for s in play.controls.values()], [{}, {}])
+        scenario.run(after=after)
+        self.assertEqual([s.accused for s in scenario.controls.values()], [{}, {}])
 
 
 def block_event_loop(wait_s):
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -35,8 +35,8 @@
 
     def test_one_control_vm_of_each_data_centre_gets_the_limit(self):
         self.hear(2.5)
-        told = [(address, type(message)) for address, message in self.sent]
-        self.assertEqual(told, [("a:1", LimitUpdate), ("b:1", LimitUpdate)])
+        sent = [(address, type(message)) for address, message in self.sent]
+        self.assertEqual(sent, [("a:1", LimitUpdate), ("b:1", LimitUpdate)])
         self.hear(2.5)
         self.assertEqual(len(self.sent), 2)
 
@@ -91,8 +91,8 @@
 
     def test_the_control_vm_of_its_data_centre_is_asked(self):
         ratekeeper.ask(self.state, [ENGINE], now_s())
-        ((address, ask),) = self.sent
-        self.assertEqual((address, ask.limit.engine_id), ("a:1", ENGINE))
+        ((address, request),) = self.sent
+        self.assertEqual((address, request.limit.engine_id), ("a:1", ENGINE))
 
     def test_the_issuer_is_not_asked_again_before_it_has_a_permit(self):
         self.grant(permits=0, next_s=30.0)
@@ -100,21 +100,21 @@
         self.assertEqual(self.sent, [])
 
     def test_a_request_waits_for_the_answer(self):
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
                 group.start_soon(ratekeeper.acquire, self.state, [ENGINE])
                 await anyio.sleep(0.005)
                 self.grant()
             return self.may_begin()
 
-        self.assertTrue(anyio.run(play))
+        self.assertTrue(anyio.run(scenario))
 
     def test_it_does_not_wait_for_a_lost_issuer(self):
-        async def play():
+        async def scenario():
             with anyio.fail_after(1.0):
                 await ratekeeper.acquire(self.state, [ENGINE])
 
-        anyio.run(play)
+        anyio.run(scenario)
         self.assertFalse(self.may_begin())
         self.assertIn('"event":"permit-unanswered"', self.piped.text())
 
@@ -142,12 +142,12 @@
             self.hear(5, engine_id=engine_id)
             self.grant(permits=0, next_s=0.1, wait_s=0.1, engine_id=engine_id)
 
-        async def play():
+        async def scenario():
             async with anyio.create_task_group() as group:
                 group.start_soon(self.grant_later, 0.05)
                 return await plainrelay._choose(self.a_job(), set())
 
-        self.assertEqual(anyio.run(play).engine_id, ENGINE)
+        self.assertEqual(anyio.run(scenario).engine_id, ENGINE)
 
     async def grant_later(self, pause_s):
         await anyio.sleep(pause_s)
@@ -161,67 +161,69 @@
         self.piped = PipedSink()
         self.addCleanup(self.piped.close)
         self.state = a_control(self.piped.sink, "10.0.0.1", HOME)
-        self.beats = ControlBeats(self.state, None)
+        self.gossip = ControlBeats(self.state, None)
         self.sent = []
-        self.beats.links.send = lambda address, message: self.sent.append(
+        self.gossip.links.send = lambda address, message: self.sent.append(
             (address, message)
         )
-        told = an_announcement(ENGINE, layers=(0, 8))
-        tablesync.hear(self.state.endpoints, told, now_s())
+        announcement = an_announcement(ENGINE, layers=(0, 8))
+        tablesync.hear(self.state.endpoints, announcement, now_s())
         for zone in (HOME, FAR, "c"):
-            beat = EntryStub(address=f"entry-{zone}", vm_zone=zone)
-            roster.hear(self.state.entries, beat.address, beat, now_s())
-        beat = ControlStub(address="control-b", vm_zone=FAR)
-        roster.hear(self.state.roster, beat.address, beat, now_s())
+            heartbeat = EntryStub(address=f"entry-{zone}", vm_zone=zone)
+            roster.hear(self.state.entries, heartbeat.address, heartbeat, now_s())
+        heartbeat = ControlStub(address="control-b", vm_zone=FAR)
+        roster.hear(self.state.roster, heartbeat.address, heartbeat, now_s())
 
     def test_it_forwards_limits_to_entries_that_get_them_from_no_other(self):
-        news = LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),))
-        self.beats._handle(news)
-        told = [address for address, _ in self.sent]
-        self.assertEqual(told, ["entry-a", "entry-c"])
-        self.beats._handle(news)
+        update = LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),))
+        self.gossip._handle(update)
+        receivers = [address for address, _ in self.sent]
+        self.assertEqual(receivers, ["entry-a", "entry-c"])
+        self.gossip._handle(update)
         self.assertEqual(len(self.sent), 2)
 
     def test_heartbeats_carry_limits_to_those_that_missed_the_update(self):
-        self.beats._handle(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),)))
-        beat = self.beats._make_heartbeat("control-c", now_s())
-        self.assertEqual([one.per_s for one in beat.limits], [2.5])
+        self.gossip._handle(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),)))
+        heartbeat = self.gossip._make_heartbeat("control-c", now_s())
+        self.assertEqual([one.per_s for one in heartbeat.limits], [2.5])
 
     def test_permits_for_all_entries_together_keep_to_the_limit(self):
         limit = ReportedLimit(ENGINE, 2.5, 0.0)
         for _ in range(20):
             for sender in ("entry-a", "entry-b"):
-                self.beats._handle(PermitRequest(sender, limit, 1))
+                self.gossip._handle(PermitRequest(sender, limit, 1))
         answers = [m for _, m in self.sent if isinstance(m, PermitGrant)]
         self.assertEqual(len(answers), 40)
         self.assertLessEqual(sum(answer.grant.permits for answer in answers), 1)
 
     def test_only_one_of_two_local_control_vms_issues_permits(self):
-        ask = PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1)
+        request = PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1)
         for address, issues in (("10.0.0.0:1", False), ("10.0.0.2:1", True)):
             with self.subTest(other=address):
                 self.setUp()
-                beat = ControlStub(address=address, vm_zone=HOME)
-                roster.hear(self.state.roster, address, beat, now_s())
-                self.beats._handle(ask)
-                told = self.sent[-1]
-                self.assertEqual(told[0], "entry-a" if issues else address)
-                self.assertEqual(isinstance(told[1], PermitGrant), issues)
+                heartbeat = ControlStub(address=address, vm_zone=HOME)
+                roster.hear(self.state.roster, address, heartbeat, now_s())
+                self.gossip._handle(request)
+                last = self.sent[-1]
+                self.assertEqual(last[0], "entry-a" if issues else address)
+                self.assertEqual(isinstance(last[1], PermitGrant), issues)
 
     def test_a_permit_request_carries_the_limit(self):
-        self.beats._handle(PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1))
-        self.assertEqual(ratelimits.limit_of(self.beats.rates.book, ENGINE), 2.5)
+        self.gossip._handle(
+            PermitRequest("entry-a", ReportedLimit(ENGINE, 2.5, 0.0), 1)
+        )
+        self.assertEqual(ratelimits.limit_of(self.gossip.rates.book, ENGINE), 2.5)
 
     def test_an_engine_that_says_it_is_leaving_gets_no_new_work_from_any_entry(self):
         known = self.state.endpoints.table.entries[ENGINE].announcement
-        told = known._replace(has_told_senders=True)
-        self.beats._handle(EndpointUpdate((EndpointState(told, 0.0, False),)))
+        announcement = known._replace(has_told_senders=True)
+        self.gossip._handle(EndpointUpdate((EndpointState(announcement, 0.0, False),)))
         self.assertEqual(
             [address for address, _ in self.sent], ["entry-a", "entry-b", "entry-c"]
         )
-        told = self.state.endpoints.table.entries[ENGINE]
-        self.assertFalse(endpoints.may_take_work(told.announcement))
-        self.assertFalse(told.is_gone)
+        entry = self.state.endpoints.table.entries[ENGINE]
+        self.assertFalse(endpoints.may_take_work(entry.announcement))
+        self.assertFalse(entry.is_gone)
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_roomdesk.py
+++ b/libs/node/test/test_roomdesk.py
@@ -43,7 +43,7 @@
 class SchedulerTest(unittest.TestCase):
     """All engines are full. Streams wait, and room becomes free for some of them."""
 
-    def play(self, scenario):
+    def run_scenario(self, scenario):
         async def run():
             scheduler = RoomDesk()
             with anyio.fail_after(20.0):
@@ -59,7 +59,7 @@
             found = await scheduler.find(a_request("1"), Room(1).find, False)
             self.assertEqual(found, CHAIN)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_waiting_streams_get_free_room_in_order(self):
         order = []
@@ -79,7 +79,7 @@
                 while len(order) < count:
                     await anyio.sleep(0.005)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
         self.assertEqual(order, ["1", "2", "3"])
 
     def test_a_stream_that_waits_too_long_gets_no_chain(self):
@@ -88,7 +88,7 @@
             self.assertIsNone(found)
             self.assertEqual(scheduler.queue.waiting, {})
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_cancelled_stream_is_removed_from_the_queue(self):
         async def scenario(scheduler, group):
@@ -96,7 +96,7 @@
                 await scheduler.find(a_request("1"), Room(0).find, False)
             self.assertEqual(scheduler.queue.waiting, {})
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_stream_that_cannot_use_all_engines_blocks_no_other(self):
         """A stream whose engine died may not use it again, and finds no chain.
@@ -112,7 +112,7 @@
                 await scheduler.find(a_request("2"), room.find, False), CHAIN
             )
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_many_waiting_streams_cost_one_search_per_interval(self):
         """Each search takes 0.6 ms; fifty at once would use up an entry's CPU time."""
@@ -126,7 +126,7 @@
             await anyio.sleep(0.2)
             self.assertLess(room.tries - first, 20)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_roster.py
+++ b/libs/node/test/test_roster.py
@@ -13,34 +13,34 @@
 
     def test_reported_addresses_are_tried_while_they_are_reported(self):
         known = Roster("own")
-        roster.add_reported(known, ("own", "told"), 0.0)
-        self.assertEqual(roster.heartbeat_targets(known, 1.0), ["told"])
+        roster.add_reported(known, ("own", "reported"), 0.0)
+        self.assertEqual(roster.heartbeat_targets(known, 1.0), ["reported"])
         roster.sweep(known, 10.0)
         self.assertEqual(roster.heartbeat_targets(known, 10.0), [])
 
     def test_only_live_peers_are_returned(self):
         known = Roster("own")
-        self.assertTrue(roster.hear(known, "a", "beat", 0.0))
-        self.assertFalse(roster.hear(known, "a", "beat", 1.0))
+        self.assertTrue(roster.hear(known, "a", "message", 0.0))
+        self.assertFalse(roster.hear(known, "a", "message", 1.0))
         self.assertEqual(roster.present(known, 2.0), ["a"])
         self.assertEqual(roster.present(known, 9.0), [])
-        self.assertEqual(roster.beats(known, 2.0), ["beat"])
+        self.assertEqual(roster.beats(known, 2.0), ["message"])
 
     def test_lost_peers_are_dropped_and_returned(self):
         known = Roster("own")
-        roster.hear(known, "a", "beat", 0.0)
+        roster.hear(known, "a", "message", 0.0)
         self.assertEqual(roster.sweep(known, 1.0), [])
         self.assertEqual(roster.sweep(known, roster.FORGET_S + 1), ["a"])
 
     def test_the_mean_age_is_of_the_other_live_peers(self):
         known = Roster("own")
         for name, heard_s in (("asker", 0.0), ("a", 9.0), ("b", 9.5), ("lost", 6.0)):
-            roster.hear(known, name, "beat", heard_s)
-        roster.hear(known, "asker", "beat", 10.0)
+            roster.hear(known, name, "message", heard_s)
+        roster.hear(known, "asker", "message", 10.0)
         self.assertAlmostEqual(roster.mean_age_s(known, "asker", 10.0), 0.75)
         self.assertEqual(roster.mean_age_s(Roster("own"), "", 10.0), 0.0)
 
     def test_a_peer_that_comes_back_is_new(self):
         known = Roster("own")
-        roster.hear(known, "a", "beat", 0.0)
-        self.assertTrue(roster.hear(known, "a", "beat", 8.0))
+        roster.hear(known, "a", "message", 0.0)
+        self.assertTrue(roster.hear(known, "a", "message", 8.0))
--- a/libs/node/test/test_surface.py
+++ b/libs/node/test/test_surface.py
@@ -17,11 +17,11 @@
     def setUp(self):
         piped = PipedSink()
         self.addCleanup(piped.close)
-        self.told = []
+        self.published = []
         metrics = Metrics()
         self.desk = CrashDesk("boot-1", piped.sink, metrics)
         self.desk.record({"f1": Record("acme", "llm", ENDED)}, 11.0)
-        self.shown = Shown(metrics, self.desk, self.told.append, self.limits)
+        self.shown = Shown(metrics, self.desk, self.published.append, self.limits)
 
     def limits(self, now_s):
         return [ReportedLimit("e0", 2.5, now_s - 11.0)]
@@ -44,7 +44,7 @@
     def test_a_lifted_block_is_published(self):
         self.assertEqual(self.respond("POST", "/blocks/lift/f1")[0], 200)
         self.assertEqual(json.loads(self.respond("GET", "/blocks")[1])["blocks"], [])
-        self.assertEqual(len(self.told), 1)
+        self.assertEqual(len(self.published), 1)
         self.assertEqual(self.respond("POST", "/blocks/lift/f1")[0], 404)
 
     def test_metrics_count_blocks(self):
--- a/libs/node/test/test_tablesync.py
+++ b/libs/node/test/test_tablesync.py
@@ -84,8 +84,8 @@
                 tablesync.record_holding(source, engine_id, layers, 0.0)
             else:
                 layers = (0, rng.randrange(1, 9))
-                heard = an_announcement(engine_id, numbers[engine_id], layers)
-                tablesync.hear(source, heard, 0.0)
+                announcement = an_announcement(engine_id, numbers[engine_id], layers)
+                tablesync.hear(source, announcement, 0.0)
             update = tablesync.report_endpoints(source, [engine_id], 0.0)
             (late if rng.random() < 0.5 else []).append(update)
             tablesync.merge_liveness(
