--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -107,14 +107,14 @@
 
 def reached(job: "Job", event: int, now_s: float) -> CrashNews | None:
     """Record a run's progress on a live engine; return the update, None if none."""
-    desk = job.state.crashes
-    known = desk.book.records.get(job.fingerprint)
-    if known is None or not desk.is_watched(job.fingerprint):
+    tracker = job.state.crashes
+    known = tracker.book.records.get(job.fingerprint)
+    if known is None or not tracker.is_watched(job.fingerprint):
         return None
     if event <= crashbook.place(known) + blame.SAME_PLACE_EVENTS:
         return None
     record = Record(known.account, known.service, passed=event)
-    return desk.record({job.fingerprint: record}, now_s)
+    return tracker.record({job.fingerprint: record}, now_s)
 
 
 async def wait_for_fate(job: "Job", engine_id: str) -> None:
