--- a/libs/node/src/cherryrudder/node/crashdesk.py
+++ b/libs/node/src/cherryrudder/node/crashdesk.py
@@ -53,7 +53,7 @@
 
     def has_synced(self) -> bool:
         """Return whether the records of any other process have arrived."""
-        return bool(self.positions.applied)
+        return bool(self.positions.followed)
 
     def is_watched(self, fingerprint: str) -> bool:
         """Return whether a request is suspect or blocked, so its progress matters."""
--- a/libs/node/src/cherryrudder/node/crashsync.py
+++ b/libs/node/src/cherryrudder/node/crashsync.py
@@ -17,7 +17,7 @@
     """How far this process follows its peers' records, and they follow its own."""
 
     def __init__(self):
-        self.applied: dict[str, SyncPosition] = {}
+        self.followed: dict[str, SyncPosition] = {}
         self.acked: dict[str, SyncPosition] = {}
 
 
@@ -31,7 +31,7 @@
     return CrashSync(
         SyncPosition(book.boot, book.version),
         since,
-        positions.applied.get(address, NO_POSITION),
+        positions.followed.get(address, NO_POSITION),
         report_records(book, changed, now_s),
     )
 
@@ -44,8 +44,8 @@
     now_s: float,
 ) -> list[str]:
     """Merge the records of a heartbeat; return the changed fingerprints."""
-    if _is_contiguous(positions.applied.get(address, NO_POSITION), sync):
-        positions.applied[address] = sync.position
+    if _is_contiguous(positions.followed.get(address, NO_POSITION), sync):
+        positions.followed[address] = sync.position
     positions.acked[address] = sync.acked
     return merge_records(book, sync.records, now_s)
 
@@ -82,7 +82,7 @@
 
 def forget(positions: PeerPositions, present: set[str]) -> None:
     """Drop the positions of processes that are gone."""
-    for kept in (positions.applied, positions.acked):
+    for kept in (positions.followed, positions.acked):
         for address in set(kept) - present:
             del kept[address]
 
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -1,8 +1,7 @@
-"""An entry's link to the control VMs.
+"""Send an entry's heartbeats to control VMs; receive configuration and endpoints.
 
-It sends heartbeats, and receives the configuration and the endpoints. Heartbeats go to
-all known control VMs, so that one that is cut off, frozen or slow costs nothing but its
-answer. The newest confirmed answer counts.
+Heartbeats go to all known control VMs, so that one that is cut off, frozen or slow
+costs nothing but its answer. The newest confirmed answer counts.
 """
 
 import anyio
@@ -54,11 +53,10 @@
 )
 
 HEARTBEAT_S = 0.5
-# Interval of heartbeats to control VMs of other data centres, while a local one has
-# recently confirmed the configuration in force. Three of them fit into the time after
-# which a process counts as lost. Heartbeats and answers take some kilobytes between
-# every entry and every control VM, and would be most of the traffic between data
-# centres.
+# Interval of heartbeats to other data centres' control VMs, while a local one confirms
+# the configuration in force. Three of them fit into the time after which a process
+# counts as lost. Heartbeats and answers take some kilobytes between every entry and
+# every control VM, and would be most of the traffic between data centres.
 REMOTE_HEARTBEAT_S = 1.0
 # How long a local confirmation counts as recent: two heartbeats, so that one late
 # answer doesn't cause heartbeats to the remote control VMs.
@@ -378,8 +376,7 @@
     The other entries' usage and the endpoints' liveness are the largest part of all
     messages. If each control VM sent them to each entry, they would grow with the
     product of both numbers and cross between data centres. A control VM that can't
-    confirm the configuration in force may be cut off, and is only chosen if there is
-    no other.
+    confirm the configuration in force may be cut off, and is only the last choice.
     """
     confirmed = [answer for answer in answers if answer.version >= 0] or answers
     aggregators: dict[str, str] = {}
