--- a/libs/node/src/cherryrudder/node/roomdesk.py
+++ b/libs/node/src/cherryrudder/node/chainscheduler.py
@@ -11,8 +11,8 @@
 from anyio.abc import TaskGroup
 
 from cherryrudder.layers.chains import Chain
-from cherryrudder.policy import roomqueue
-from cherryrudder.policy.roomqueue import RoomQueue, Waiting
+from cherryrudder.policy import capacityqueue
+from cherryrudder.policy.capacityqueue import CapacityQueue, WaitingStream
 from cherryrudder.replica.clock import now_s
 
 # Room becomes free when a stream ends, here or at another entry, which doesn't report
@@ -32,21 +32,21 @@
         self.is_over = anyio.Event()
 
 
-class RoomDesk:
+class ChainScheduler:
     """Finds chains of one service for the waiting streams of one entry."""
 
     def __init__(self):
-        self.queue = RoomQueue()
+        self.queue = CapacityQueue()
         self._waiters: dict[str, _Waiter] = {}
         self._wake = anyio.Event()
 
     def retry_after_s(self) -> float:
         """Return the time until all waiting streams will have started, 0 if unknown."""
         waiting = self.queue.waiting.values()
-        return roomqueue.expected_wait_s(self.queue, sum(r.tokens for r in waiting))
+        return capacityqueue.expected_wait_s(self.queue, sum(r.tokens for r in waiting))
 
-    async def find(
-        self, request: Waiting, find_chain: FindChain, is_picky: bool
+    async def find_chain(
+        self, request: WaitingStream, find_chain: FindChain, is_restricted: bool
     ) -> Chain | None:
         """Return a chain once there is one with room; None if it takes too long.
 
@@ -54,18 +54,18 @@
         the room as taken. `is_picky`: the stream can't use all engines, so others may
         find room where it doesn't.
         """
-        if not roomqueue.ahead_tokens(self.queue, request, now_s()):
+        if not capacityqueue.ahead_tokens(self.queue, request, now_s()):
             chain = find_chain()
             if chain is not None:
                 return chain
-        if roomqueue.push(self.queue, request, now_s()) is not None:
+        if capacityqueue.push(self.queue, request, now_s()) is not None:
             return None
-        waiter = self._waiters[request.request_id] = _Waiter(find_chain, is_picky)
+        waiter = self._waiters[request.request_id] = _Waiter(find_chain, is_restricted)
         self._wake.set()
         try:
             await waiter.is_over.wait()
         except BaseException:
-            roomqueue.remove(self.queue, request.request_id)
+            capacityqueue.remove(self.queue, request.request_id)
             raise
         finally:
             del self._waiters[request.request_id]
@@ -82,14 +82,16 @@
 
     def _serve_waiting(self):
         now = now_s()
-        for request in roomqueue.take_expired(self.queue, now):
+        for request in capacityqueue.take_expired(self.queue, now):
             self._waiters[request.request_id].is_over.set()
         skipped: set[str] = set()
-        while (request := roomqueue.first(self.queue, now, skipped)) is not None:
+        while (
+            request := capacityqueue.next_waiting(self.queue, now, skipped)
+        ) is not None:
             waiter = self._waiters[request.request_id]
             waiter.chain = waiter.find_chain()
             if waiter.chain is not None:
-                roomqueue.started(self.queue, request.request_id, now)
+                capacityqueue.record_start(self.queue, request.request_id, now)
                 waiter.is_over.set()
             elif waiter.is_picky:
                 skipped.add(request.request_id)
@@ -97,17 +99,17 @@
                 return
 
 
-class RoomDesks:
+class ChainSchedulers:
     """The chain schedulers of all services of one entry."""
 
     def __init__(self, group: TaskGroup):
         self._group = group
-        self._schedulers: dict[str, RoomDesk] = {}
+        self._schedulers: dict[str, ChainScheduler] = {}
 
-    def of(self, service: str) -> RoomDesk:
+    def get(self, service: str) -> ChainScheduler:
         """Return the scheduler of a service; create it at its first use."""
         scheduler = self._schedulers.get(service)
         if scheduler is None:
-            scheduler = self._schedulers[service] = RoomDesk()
+            scheduler = self._schedulers[service] = ChainScheduler()
             self._group.start_soon(scheduler.run)
         return scheduler
--- a/libs/node/src/cherryrudder/node/control.py
+++ b/libs/node/src/cherryrudder/node/control.py
@@ -4,15 +4,15 @@
 
 from cherryrudder.platform.settings import NodeSettings
 
-from . import httpserver, surface, voterrunner
+from . import adminapi, httpserver, voterrunner
+from .adminapi import AdminContext
 from .controlapi import ControlApi
-from .controlbeats import ControlBeats
+from .controlgossip import ControlGossip
 from .controlstate import ControlState
 from .httpserver import HttpServer
 from .layercontroller import LayerController
 from .linesink import LineSink
 from .metrics import Metrics
-from .surface import Shown
 
 # How long a stopping process waits for its leadership to be transferred, and for calls
 # in flight to end. The platform allows eight seconds.
@@ -26,15 +26,15 @@
     """Serve as a control VM until `leaving` is set."""
     state = ControlState(settings, sink, metrics)
     async with anyio.create_task_group() as group:
-        control_gossip = ControlBeats(state, group)
+        control_gossip = ControlGossip(state, group)
         control_gossip.start()
         group.start_soon(
-            surface.serve,
-            f"{settings.ip}:{surface.PORTS['control']}",
-            Shown(
+            adminapi.serve,
+            f"{settings.ip}:{adminapi.PORTS['control']}",
+            AdminContext(
                 metrics,
                 state.crashes,
-                control_gossip.tell_crashes,
+                control_gossip.publish_crashes,
                 control_gossip.rates.report_limits,
             ),
         )
--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -11,7 +11,7 @@
 from cherryrudder.routing import configlog, endpoints
 
 from . import tablesync
-from .controlbeats import ControlBeats
+from .controlgossip import ControlGossip
 from .controlstate import ControlState
 
 # Callers switch to another VM after a second without an answer. This leaves time for
@@ -28,7 +28,7 @@
 class ControlApi:
     """Handles the calls to one control process."""
 
-    def __init__(self, state: ControlState, gossip: ControlBeats):
+    def __init__(self, state: ControlState, gossip: ControlGossip):
         self.state = state
         self.gossip = gossip
 
@@ -62,9 +62,9 @@
             # address. If its service is configured later, the next heartbeat counts.
             await self._refuse_malformed(exchange, name, 503, "no such service")
             return
-        if tablesync.hear(self.state.endpoints, announcement, now_s()):
+        if tablesync.record_heartbeat(self.state.endpoints, announcement, now_s()):
             self._log_endpoint("endpoint", announcement)
-            self.gossip.spread([announcement.engine_id])
+            self.gossip.publish_endpoints([announcement.engine_id])
         if self._is_cut_off():
             # The heartbeat is recorded, but the other control VMs need it as well. If
             # it succeeded here, they would consider the engine lost and its layers
@@ -91,7 +91,7 @@
             is_gone = self.state.endpoints.table.entries[engine_id].is_gone
             event = "endpoint-gone" if is_gone else "endpoint-signed-off"
             self.state.sink.write("control", event, True, engine_id=engine_id)
-            self.gossip.spread([engine_id])
+            self.gossip.publish_endpoints([engine_id])
         if self._is_cut_off():
             await _fail(exchange, 503, "cut off from the other control VMs")
             return
@@ -107,7 +107,7 @@
             address=announcement.address,
             vm_zone=announcement.vm_zone,
             kind=announcement.kind,
-            is_leaving=endpoints.leaves(announcement),
+            is_leaving=endpoints.has_leaving_notice(announcement),
             layers=list(announcement.holding),
             number=announcement.number,
         )
@@ -136,7 +136,7 @@
             return 503, "the log is not open"
         if version < voter.state.version:
             # An applied version is committed, so no lower one can take effect any more.
-            return 200, configlog.Taken.SUPERSEDED
+            return 200, configlog.PutResult.SUPERSEDED
         try:
             payload = configlog.encode(configlog.Put(version, configlog.pack(text)))
             outcome = await voter.propose(payload, ANSWER_TIMEOUT_S)
@@ -152,7 +152,7 @@
             if voter is None:
                 await _fail(exchange, 503, "the log is not open")
                 return
-            await voter.confirm(ANSWER_TIMEOUT_S)
+            await voter.wait_for_read_index(ANSWER_TIMEOUT_S)
         except ReplicaError as error:
             self.state.sink.write("control", "read-unconfirmed", True, error=str(error))
             await _fail(exchange, 503, str(error))
--- a/libs/node/src/cherryrudder/node/controlbeats.py
+++ b/libs/node/src/cherryrudder/node/controlgossip.py
@@ -3,7 +3,7 @@
 import anyio
 from loguru import logger
 
-from cherryrudder.policy.sharedbudget import Spent
+from cherryrudder.policy.sharedbudget import RetryUsage
 from cherryrudder.replica.clock import now_s
 from cherryrudder.replica.errors import ReplicaError
 from cherryrudder.wire.frames import FrameCodec
@@ -12,20 +12,20 @@
 from . import gossip, roster, tablesync
 from .controlstate import ControlState
 from .gossip import (
-    Accusation,
-    Complaint,
     ConfigurationUpdate,
     ControlAnswer,
     ControlHeartbeat,
-    CrashNews,
+    CrashUpdate,
     DeathNotice,
     EndpointUpdate,
     EntryHeartbeat,
-    Finding,
     LimitUpdate,
-    PaceNews,
+    PaceUpdate,
     PermitRequest,
-    Question,
+    ProbeRequest,
+    ProbeResult,
+    SlownessReport,
+    SuspicionReport,
     SyncPosition,
     Usage,
 )
@@ -56,7 +56,7 @@
 log = logger.bind(part="control")
 
 
-class ControlBeats:
+class ControlGossip:
     """The frame links of one control process."""
 
     def __init__(self, state: ControlState, group):
@@ -97,14 +97,14 @@
             return
         self._changed_s = now_s()
         update = ConfigurationUpdate(version, self.state.voter.state.packed)
-        for heartbeat in roster.beats(self.state.entries, now_s()):
+        for heartbeat in roster.live_messages(self.state.entries, now_s()):
             if (
                 heartbeat.vm_zone == self.state.settings.vm_zone
                 and heartbeat.version < version
             ):
                 self.links.send(heartbeat.address, update)
 
-    def spread(self, engine_ids) -> None:
+    def publish_endpoints(self, engine_ids) -> None:
         """Send changed endpoints to all live control VMs and entries."""
         reported = tablesync.report_endpoints(self.state.endpoints, engine_ids, now_s())
         update = EndpointUpdate(reported)
@@ -113,7 +113,7 @@
         for address in self._live_peers():
             self.links.send(address, update)
 
-    def tell_crashes(self, update: CrashNews) -> None:
+    def publish_crashes(self, update: CrashUpdate) -> None:
         """Send changed crash records to all live control VMs and entries."""
         for address in self._live_peers():
             self.links.send(address, update)
@@ -121,8 +121,8 @@
     def _live_peers(self):
         state, now = self.state, now_s()
         return [
-            *roster.present(state.roster, now),
-            *roster.present(state.entries, now),
+            *roster.live_addresses(state.roster, now),
+            *roster.live_addresses(state.entries, now),
         ]
 
     def _on_down(self, address):
@@ -139,22 +139,22 @@
                 self._on_control_heartbeat(message)
             case EndpointUpdate():
                 self._merge_endpoints(message.endpoints)
-            case Accusation():
-                self.verifier.hear(message)
-            case Question():
-                self.verifier.hear_question(message)
-            case Finding():
-                self.verifier.hear_finding(message)
-            case CrashNews():
+            case SuspicionReport():
+                self.verifier.handle_suspicion(message)
+            case ProbeRequest():
+                self.verifier.handle_probe_request(message)
+            case ProbeResult():
+                self.verifier.handle_probe_result(message)
+            case CrashUpdate():
                 self._forward_crashes(
                     self.state.crashes.merge_records(message.records, now_s())
                 )
-            case Complaint():
-                self.pace.hear(message)
-            case PaceNews():
-                self.pace.hear_seen(message)
+            case SlownessReport():
+                self.pace.handle_slowness_report(message)
+            case PaceUpdate():
+                self.pace.handle_pace_update(message)
             case DeathNotice():
-                self.verifier.condemn(message.engine_id)
+                self.verifier.mark_dead(message.engine_id)
             case LimitUpdate():
                 self.rates.record_limits(message.limits, now_s())
             case PermitRequest():
@@ -162,7 +162,7 @@
 
     def _on_entry_heartbeat(self, heartbeat):
         state, now = self.state, now_s()
-        if roster.hear(state.entries, heartbeat.address, heartbeat, now):
+        if roster.record(state.entries, heartbeat.address, heartbeat, now):
             state.sink.write(
                 "control", "entry-found", peer=heartbeat.vm, address=heartbeat.address
             )
@@ -178,7 +178,7 @@
 
     def _on_control_heartbeat(self, heartbeat):
         state, now = self.state, now_s()
-        if roster.hear(state.roster, heartbeat.address, heartbeat, now):
+        if roster.record(state.roster, heartbeat.address, heartbeat, now):
             state.sink.write(
                 "control",
                 "control-found",
@@ -207,7 +207,7 @@
         if not urgent:
             return
         update = state.crashes.make_update(urgent, now)
-        for heartbeat in roster.beats(state.entries, now):
+        for heartbeat in roster.live_messages(state.entries, now):
             if heartbeat.vm_zone == state.settings.vm_zone:
                 self.links.send(heartbeat.address, update)
 
@@ -215,7 +215,9 @@
         now = now_s()
         changed = tablesync.merge(self.state.endpoints, endpoints, now)
         # Forwarded, as the sender may not reach every entry.
-        for address in roster.present(self.state.entries, now) if changed else ():
+        for address in (
+            roster.live_addresses(self.state.entries, now) if changed else ()
+        ):
             reported = tablesync.report_endpoints(self.state.endpoints, changed, now)
             self.links.send(address, EndpointUpdate(reported))
 
@@ -252,7 +254,7 @@
             has_disk=bool(state.settings.data_folder),
             vm_zone=state.settings.vm_zone,
             is_founding=state.settings.is_founding,
-            controls=tuple(roster.present(state.roster, now)),
+            controls=tuple(roster.live_addresses(state.roster, now)),
             acked=self._positions.get(address, SyncPosition("", 0)),
             table_version=state.endpoints.table.version,
             endpoints=tablesync.changes_since(state.endpoints, acked, now),
@@ -282,7 +284,7 @@
         if voter is None:
             return -1
         try:
-            await voter.confirm(CONFIRM_TIMEOUT_S)
+            await voter.wait_for_read_index(CONFIRM_TIMEOUT_S)
         except ReplicaError as error:
             log.debug("No confirmation: {}.", error)
             return -1
@@ -306,7 +308,7 @@
             address=state.address,
             sent_s=heartbeat.sent_s,
             version=version,
-            controls=(state.address, *roster.present(state.roster, now)),
+            controls=(state.address, *roster.live_addresses(state.roster, now)),
             table_version=state.endpoints.table.version,
             endpoints=tablesync.changes_since(state.endpoints, heartbeat.acked, now),
             alive=tablesync.recent_liveness(state.endpoints, now)
@@ -316,7 +318,7 @@
             usage=None if others is None else _sum_usage(others),
             spent=None if others is None else _sum_spent(others),
             spent_age_s=roster.mean_age_s(state.entries, heartbeat.address, now),
-            entries=len(roster.present(state.entries, now)),
+            entries=len(roster.live_addresses(state.entries, now)),
             crashes=(
                 state.crashes.make_sync(heartbeat.address, now)
                 if heartbeat.crashes is not None
@@ -330,7 +332,7 @@
         """Return the heartbeats of the other entries, None if not requested."""
         if not heartbeat.requests_all:
             return None
-        heartbeats = roster.beats(self.state.entries, now)
+        heartbeats = roster.live_messages(self.state.entries, now)
         return [other for other in heartbeats if other.address != heartbeat.address]
 
 
@@ -350,9 +352,9 @@
 
 def _sum_spent(heartbeats):
     """Return the requests and retries summed over entries, by service."""
-    sums: dict[str, Spent] = {}
+    sums: dict[str, RetryUsage] = {}
     for one in (one for heartbeat in heartbeats for one in heartbeat.spent):
-        known = sums.get(one.service, Spent(one.service, 0, 0))
+        known = sums.get(one.service, RetryUsage(one.service, 0, 0))
         requests, retries = known.requests + one.requests, known.retries + one.retries
-        sums[one.service] = Spent(one.service, requests, retries)
+        sums[one.service] = RetryUsage(one.service, requests, retries)
     return tuple(sums.values())
--- a/libs/node/src/cherryrudder/node/controlstate.py
+++ b/libs/node/src/cherryrudder/node/controlstate.py
@@ -13,7 +13,7 @@
 from cherryrudder.routing.configuration import Service
 
 from . import gossip
-from .crashdesk import CrashDesk
+from .crashtracker import CrashTracker
 from .linesink import LineSink
 from .metrics import Metrics
 from .roster import Roster
@@ -42,9 +42,9 @@
         self.roster = Roster(self.address, self.seed_addresses)
         self.entries = Roster()
         self.endpoints = SharedTable(self.boot)
-        self.crashes = CrashDesk(self.boot, sink, metrics)
+        self.crashes = CrashTracker(self.boot, sink, metrics)
         # When entries last reported an engine dead, by incarnation.
-        self.accused: dict[str, float] = {}
+        self.suspected_s: dict[str, float] = {}
         self.voter: Voter | None = None
         self.disk_id = ""
         # Set when the process has to end.
@@ -93,5 +93,5 @@
             heartbeat = peer.message
             if heartbeat.disk_id:
                 name = VoterName(heartbeat.vm, heartbeat.disk_id, heartbeat.log_address)
-                found.append(Member(name, heartbeat.has_disk, peer.heard_s))
+                found.append(Member(name, heartbeat.has_disk, peer.last_seen_s))
         return found
--- a/libs/node/src/cherryrudder/node/crashsync.py
+++ b/libs/node/src/cherryrudder/node/crashsync.py
@@ -6,7 +6,7 @@
 """
 
 from cherryrudder.routing import crashbook
-from cherryrudder.routing.crashbook import Crash, CrashBook, Record
+from cherryrudder.routing.crashbook import Crash, CrashBook, RequestRecord
 
 from .gossip import CrashSync, ReportedCrash, ReportedRecord, SyncPosition
 
@@ -108,6 +108,6 @@
     )
     age_s = reported.lifted_age_s
     lifted_s = float("-inf") if age_s is None else now_s - age_s
-    return Record(
+    return RequestRecord(
         reported.account, reported.service, tuple(crashes), reported.passed, lifted_s
     )
--- a/libs/node/src/cherryrudder/node/crashdesk.py
+++ b/libs/node/src/cherryrudder/node/crashtracker.py
@@ -3,16 +3,16 @@
 from collections.abc import Iterable
 
 from cherryrudder.routing import blame, crashbook
-from cherryrudder.routing.crashbook import Block, CrashBook, Record
+from cherryrudder.routing.crashbook import Block, CrashBook, RequestRecord
 
 from . import crashsync
 from .crashsync import PeerPositions
-from .gossip import CrashNews, CrashSync, ReportedRecord
+from .gossip import CrashSync, CrashUpdate, ReportedRecord
 from .linesink import LineSink
 from .metrics import Metrics
 
 
-class CrashDesk:
+class CrashTracker:
     """One process's crash records, kept in sync with those of other processes."""
 
     def __init__(self, boot: str, sink: LineSink, metrics: Metrics):
@@ -35,7 +35,7 @@
         self._refresh_if_relevant(changed, now_s)
         return changed
 
-    def record(self, records: dict[str, Record], now_s: float) -> CrashNews:
+    def record(self, records: dict[str, RequestRecord], now_s: float) -> CrashUpdate:
         """Record this process's own observations; return the update for others."""
         changed = [
             one for one in records if crashbook.merge(self.book, one, records[one])
@@ -43,9 +43,9 @@
         self._refresh_if_relevant(changed, now_s)
         return self.make_update(changed, now_s)
 
-    def make_update(self, fingerprints: Iterable[str], now_s: float) -> CrashNews:
+    def make_update(self, fingerprints: Iterable[str], now_s: float) -> CrashUpdate:
         """Return the update for others that holds some requests' records."""
-        return CrashNews(crashsync.report_records(self.book, fingerprints, now_s))
+        return CrashUpdate(crashsync.report_records(self.book, fingerprints, now_s))
 
     def make_sync(self, address: str, now_s: float) -> CrashSync:
         """Return the records for the next heartbeat to an address."""
@@ -64,11 +64,11 @@
         block = self.book.blocks.get(fingerprint)
         return block if block is not None and now_s < block.until_s else None
 
-    def lift(self, fingerprint: str, now_s: float) -> CrashNews:
+    def lift(self, fingerprint: str, now_s: float) -> CrashUpdate:
         """Lift a block for an operator; return the update for others."""
         known = self.book.records.get(fingerprint)
         if known is None or fingerprint not in self.book.blocks:
-            return CrashNews(())
+            return CrashUpdate(())
         return self.record({fingerprint: known._replace(lifted_s=now_s)}, now_s)
 
     def dump(self, now_s: float) -> dict:
@@ -91,7 +91,7 @@
     def sweep(self, present: set[str], now_s: float) -> None:
         """Drop old records, expired blocks and the positions of absent processes."""
         if self.book.records:
-            crashbook.sweep(self.book, now_s)
+            crashbook.prune(self.book, now_s)
             self._refresh(now_s)
         crashsync.forget(self.positions, present)
 
@@ -105,14 +105,14 @@
 
     def _refresh(self, now_s):
         old_blocks = dict(self.book.blocks)
-        begun, ended = blame.refresh(self.book, now_s)
+        begun, ended = blame.update_blocks(self.book, now_s)
         for fingerprint in begun:
             self._log("blocked", fingerprint, self.book.blocks[fingerprint], now_s)
         for fingerprint in ended:
             self._log("unblocked", fingerprint, old_blocks[fingerprint], now_s)
 
     def _log(self, event, fingerprint, block, now_s):
-        record = self.book.records.get(fingerprint, Record("", ""))
+        record = self.book.records.get(fingerprint, RequestRecord("", ""))
         self._metrics.crashes.labels(event).inc()
         self._sink.write(
             "crashes",
--- a/libs/node/src/cherryrudder/node/gossip.py
+++ b/libs/node/src/cherryrudder/node/gossip.py
@@ -14,7 +14,7 @@
 
 from cherryrudder.platform.settings import NodeSettings
 from cherryrudder.policy.permits import Grant
-from cherryrudder.policy.sharedbudget import Spent
+from cherryrudder.policy.sharedbudget import RetryUsage
 from cherryrudder.routing.endpoints import Announcement
 
 log = logger.bind(part="gossip")
@@ -111,7 +111,7 @@
     # `usage` and `spent` are sent only to the aggregator of each data centre.
     usage: tuple[Usage, ...]
     # Requests and retries of this entry within the configured window.
-    spent: tuple[Spent, ...]
+    spent: tuple[RetryUsage, ...]
     # Requests the sums of the other entries' usage and spending, and the liveness of
     # all endpoints; one control VM is asked for them.
     requests_all: bool
@@ -136,7 +136,7 @@
     vm_zone: str
     # Sums over all other entries; None if they weren't requested.
     usage: tuple[Usage, ...] | None
-    spent: tuple[Spent, ...] | None
+    spent: tuple[RetryUsage, ...] | None
     # Mean age of the reports in these sums.
     spent_age_s: float
     # Number of live entries.
@@ -181,32 +181,32 @@
     packed: str
 
 
-class Accusation(NamedTuple):
+class SuspicionReport(NamedTuple):
     """An entry got no answer from an engine and considers it dead."""
 
     engine_id: str
     sender: str
 
 
-class Acquittal(NamedTuple):
+class Refutation(NamedTuple):
     """A control VM got an answer from the suspected engine: it is alive."""
 
     engine_id: str
 
 
-class Question(NamedTuple):
+class ProbeRequest(NamedTuple):
     """A control VM got no answer from an engine and asks another one to probe it."""
 
     engine_id: str
     sender: str
 
 
-class Finding(NamedTuple):
+class ProbeResult(NamedTuple):
     """The result of a requested probe of an engine; see `verification.Seen`."""
 
     engine_id: str
     sender: str
-    seen: str
+    observation: str
 
 
 class DeathNotice(NamedTuple):
@@ -215,13 +215,13 @@
     engine_id: str
 
 
-class EndNotice(NamedTuple):
+class DeathConfirmation(NamedTuple):
     """An engine that was found dead missed its heartbeats as well: its runs ended."""
 
     engine_id: str
 
 
-class CrashNews(NamedTuple):
+class CrashUpdate(NamedTuple):
     """Crash records that changed: an engine ended, or a suspect request got further."""
 
     records: tuple[ReportedRecord, ...]
@@ -249,13 +249,13 @@
     grant: Grant
 
 
-class Complaint(NamedTuple):
+class SlownessReport(NamedTuple):
     """A stream is slower than its chain should be: one of these engines is slow."""
 
     engine_ids: tuple[str, ...]
 
 
-class PaceNews(NamedTuple):
+class PaceUpdate(NamedTuple):
     """How many times slower than its kind an engine reports itself to be."""
 
     engine_id: str
@@ -268,15 +268,15 @@
     ControlHeartbeat,
     EndpointUpdate,
     ConfigurationUpdate,
-    Accusation,
-    Acquittal,
-    Question,
-    Finding,
+    SuspicionReport,
+    Refutation,
+    ProbeRequest,
+    ProbeResult,
     DeathNotice,
-    EndNotice,
-    CrashNews,
-    Complaint,
-    PaceNews,
+    DeathConfirmation,
+    CrashUpdate,
+    SlownessReport,
+    PaceUpdate,
     LimitUpdate,
     PermitRequest,
     PermitGrant,
--- a/libs/node/src/cherryrudder/node/permitissuer.py
+++ b/libs/node/src/cherryrudder/node/permitissuer.py
@@ -11,7 +11,7 @@
 from cherryrudder.routing import ratelimits
 from cherryrudder.routing.ratelimits import Limit, LimitBook
 
-from . import ratekeeper, roster
+from . import ratelimiter, roster
 from .controlstate import ControlState
 from .gossip import LimitUpdate, PermitGrant, PermitRequest, ReportedLimit
 
@@ -30,7 +30,7 @@
         new_limits = [one for one in reported if self._record_limit(one, now_s)]
         if not new_limits:
             return
-        for heartbeat in roster.beats(self.state.entries, now_s):
+        for heartbeat in roster.live_messages(self.state.entries, now_s):
             if self._forwards_to(heartbeat.vm_zone, now_s):
                 self.links.send(heartbeat.address, LimitUpdate(tuple(new_limits)))
 
@@ -58,7 +58,7 @@
 
     def report_limits(self, now_s: float) -> tuple[ReportedLimit, ...]:
         """Return the limits in the form in which they are sent."""
-        return ratekeeper.report_limits(self.book, now_s)
+        return ratelimiter.report_limits(self.book, now_s)
 
     def sweep(self, now_s: float) -> None:
         """Drop the limits of engines that are gone, and those that ended long ago."""
@@ -69,7 +69,7 @@
 
     def _record_limit(self, one, now_s):
         said = Limit(one.per_s, now_s - one.age_s)
-        if not ratelimits.hear(self.book, one.engine_id, said):
+        if not ratelimits.record_limit(self.book, one.engine_id, said):
             return False
         self.state.sink.write(
             "rates",
@@ -86,7 +86,9 @@
         Requests are only forwarded to an earlier address, so they can't loop.
         """
         state = self.state
-        zones = {b.address: b.vm_zone for b in roster.beats(state.roster, now_s)}
+        zones = {
+            b.address: b.vm_zone for b in roster.live_messages(state.roster, now_s)
+        }
         zones[state.address] = state.settings.vm_zone
         known = state.endpoints.table.entries.get(engine_id)
         vm_zone = known.announcement.vm_zone if known is not None else ""
@@ -100,5 +102,5 @@
         """
         if vm_zone == self.state.settings.vm_zone:
             return True
-        heartbeats = roster.beats(self.state.roster, now_s)
+        heartbeats = roster.live_messages(self.state.roster, now_s)
         return vm_zone not in {heartbeat.vm_zone for heartbeat in heartbeats}
--- a/libs/node/src/cherryrudder/node/roster.py
+++ b/libs/node/src/cherryrudder/node/roster.py
@@ -21,7 +21,7 @@
     """The newest message of a process, and when it arrived."""
 
     message: tuple
-    heard_s: float
+    last_seen_s: float
 
 
 class Roster(Generic[Message]):
@@ -35,11 +35,11 @@
         self.reported_s: dict[str, float] = {}
 
 
-def hear(roster: Roster, address: str, beat, now_s: float) -> bool:
+def record(roster: Roster, address: str, message, now_s: float) -> bool:
     """Record a peer's message; return whether the peer is new or was lost before."""
     known = roster.peers.get(address)
-    roster.peers[address] = Peer(beat, now_s)
-    return known is None or now_s - known.heard_s > LIVE_S
+    roster.peers[address] = Peer(message, now_s)
+    return known is None or now_s - known.last_seen_s > LIVE_S
 
 
 def add_reported(roster: Roster, addresses: tuple[str, ...], now_s: float) -> None:
@@ -49,46 +49,46 @@
             roster.reported_s[address] = now_s
 
 
-def present(roster: Roster, now_s: float) -> list[str]:
+def live_addresses(roster: Roster, now_s: float) -> list[str]:
     """Return the addresses of the live peers."""
     return [
         address
         for address, known in roster.peers.items()
-        if now_s - known.heard_s < LIVE_S
+        if now_s - known.last_seen_s < LIVE_S
     ]
 
 
 def heartbeat_targets(roster: Roster, now_s: float) -> list[str]:
     """Return the addresses to send heartbeats to: peers, reported ones and seeds."""
-    known = [a for a, k in roster.peers.items() if now_s - k.heard_s < FORGET_S]
+    known = [a for a, k in roster.peers.items() if now_s - k.last_seen_s < FORGET_S]
     reported = [
         a for a, reported_s in roster.reported_s.items() if now_s - reported_s < LIVE_S
     ]
     return list(dict.fromkeys([*known, *reported, *roster.seeds]))
 
 
-def beats(roster: Roster, now_s: float) -> list:
+def live_messages(roster: Roster, now_s: float) -> list:
     """Return the newest messages of the live peers."""
     return [
         known.message
         for known in roster.peers.values()
-        if now_s - known.heard_s < LIVE_S
+        if now_s - known.last_seen_s < LIVE_S
     ]
 
 
 def mean_age_s(roster: Roster, excluded: str, now_s: float) -> float:
     """Return the mean age of the newest messages of the other live peers."""
     ages_s = [
-        now_s - known.heard_s
+        now_s - known.last_seen_s
         for address, known in roster.peers.items()
-        if address != excluded and now_s - known.heard_s < LIVE_S
+        if address != excluded and now_s - known.last_seen_s < LIVE_S
     ]
     return sum(ages_s) / len(ages_s) if ages_s else 0.0
 
 
 def sweep(roster: Roster, now_s: float) -> list[str]:
     """Drop peers and reported addresses that timed out; return the lost peers."""
-    gone = [a for a, k in roster.peers.items() if now_s - k.heard_s > FORGET_S]
+    gone = [a for a, k in roster.peers.items() if now_s - k.last_seen_s > FORGET_S]
     for address in gone:
         del roster.peers[address]
     for address, reported_s in list(roster.reported_s.items()):
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -10,8 +10,8 @@
 from cherryrudder.relay.errors import AnswerBroken, AnswerLate, ConnectFailed
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing import hangs
+from cherryrudder.routing.authorization import Refused
 from cherryrudder.routing.crashbook import FINISHED
-from cherryrudder.routing.gatekeeping import Refused
 
 from . import attempts, brokenruns, crashes, entrystate, streamchains, supervision
 from .job import Failed, Job, Whole
@@ -55,7 +55,7 @@
     failed = Failed(NO_CHAIN, is_not_run=True, is_sent=False)
     has_run = False
     while True:
-        await crashes.wait_apart(job)
+        await crashes.delay_suspect(job)
         chain = await streamchains.wait_for_chain(stream)
         if chain is None:
             failed = failed._replace(reason=stream.refusal or failed.reason)
@@ -68,12 +68,12 @@
         if result is None:
             return
         if result.is_broken:
-            await crashes.wait_for_fate(job, chain[0].engine_id)
+            await crashes.wait_for_engine_verdict(job, chain[0].engine_id)
         if crashes.is_blocked(job, now_s()):
             await _refuse_for_good(stream)
             return
         if not result.is_not_run:
-            stream.ran_at.append(chain[0].engine_id)
+            stream.ran_engine_ids.append(chain[0].engine_id)
         has_run = has_run or not result.is_not_run
         failed = result._replace(is_not_run=not has_run)
         if not await _may_retry(stream, result):
@@ -98,8 +98,8 @@
 
 async def _refuse_for_good(stream):
     if stream.has_begun:
-        crashes.note_refused(stream.job, now_s())
-        stream.job.outcome = f"broken off: {crashes.ENDS_ENGINES.reason}"
+        crashes.log_refused(stream.job, now_s())
+        stream.job.outcome = f"broken off: {crashes.REFUSED_AS_CRASHING.reason}"
         return
     await stream.job.refuse_for_good()
 
@@ -129,7 +129,7 @@
 async def _exchange(stream):
     job, first = stream.job, stream.chain[0]
     try:
-        connection = await attempts.open_for(job, first.address)
+        connection = await attempts.open_connection(job, first.address)
     except ConnectFailed as error:
         supervision.lose_first(stream, str(error))
         return Failed(str(error), is_not_run=True, is_sent=False)
@@ -170,7 +170,7 @@
     finally:
         stream.connection = None
         stream.note_read()
-        hangs.ended(job.state.hangs, first.engine_id, job.facts.request_id)
+        hangs.record_end(job.state.hangs, first.engine_id, job.facts.request_id)
         stream.watch.streams.discard(stream)
         if is_kept:
             pool.give_back(job.state.pool, connection, now_s())
@@ -181,7 +181,7 @@
 def _note_sent(stream):
     job, now = stream.job, now_s()
     stream.note_sent()
-    hangs.sent(
+    hangs.record_sent(
         job.state.hangs,
         stream.chain[0].engine_id,
         job.facts.request_id,
@@ -194,8 +194,8 @@
     """Take note that the first engine has begun the request, or refused it."""
     job, now = stream.job, now_s()
     engine_id, request_id = stream.chain[0].engine_id, job.facts.request_id
-    hangs.begun(job.state.hangs, engine_id, request_id, now)
-    brokenruns.answered(job.state.broken, engine_id, now)
+    hangs.record_start(job.state.hangs, engine_id, request_id, now)
+    brokenruns.record_answer(job.state.broken, engine_id, now)
     stream.has_head = True
     stream.head_s = now
 
@@ -204,8 +204,8 @@
     """Keep how far a run had come when its engine broke it off."""
     job, engine_id, head_s = stream.job, stream.chain[0].engine_id, stream.head_s
     if is_broken and head_s is not None:
-        news = crashes.broke(job, engine_id, stream.position(), now_s())
-        stream.stalls.uplink.tell_crashes(news)
+        news = crashes.record_broken_run(job, engine_id, stream.position(), now_s())
+        stream.stalls.uplink.publish_crashes(news)
     job.note(
         "run-broken",
         True,
@@ -312,7 +312,9 @@
 
 
 def _note_reached(stream, event):
-    stream.stalls.uplink.tell_crashes(crashes.reached(stream.job, event, now_s()))
+    stream.stalls.uplink.publish_crashes(
+        crashes.record_progress(stream.job, event, now_s())
+    )
 
 
 def _is_new(stream, event):
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -5,9 +5,9 @@
 changes with the next heartbeat.
 """
 
-from cherryrudder.layers.profile import Holding
+from cherryrudder.layers.profile import LayerRange
 from cherryrudder.routing import endpoints
-from cherryrudder.routing.endpoints import Announcement, EndpointTable, Entry
+from cherryrudder.routing.endpoints import Announcement, EndpointTable, TableEntry
 
 from .gossip import EndpointState, Liveness, SyncPosition
 
@@ -38,17 +38,19 @@
     return is_new
 
 
-def hear(shared: SharedTable, announcement: Announcement, now_s: float) -> bool:
+def record_heartbeat(
+    shared: SharedTable, announcement: Announcement, now_s: float
+) -> bool:
     """Record an endpoint's heartbeat; return whether it changes the table."""
-    is_new = endpoints.hear(shared.table, announcement, now_s)
+    is_new = endpoints.record_heartbeat(shared.table, announcement, now_s)
     return _mark_if_changed(shared, announcement.engine_id, is_new)
 
 
 def record_holding(
-    shared: SharedTable, engine_id: str, holding: Holding, now_s: float
+    shared: SharedTable, engine_id: str, holding: LayerRange, now_s: float
 ) -> bool:
     """Record the layers that an endpoint holds; return whether they changed."""
-    is_new = endpoints.observe(shared.table, engine_id, holding, now_s)
+    is_new = endpoints.record_holding(shared.table, engine_id, holding, now_s)
     return _mark_if_changed(shared, engine_id, is_new)
 
 
@@ -58,15 +60,15 @@
     return _mark_if_changed(shared, engine_id, is_new)
 
 
-def tell_senders(shared: SharedTable, engine_id: str, now_s: float) -> bool:
+def record_leaving(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Record that an endpoint's answer says it is leaving; return whether it is new."""
-    is_new = endpoints.tell_senders(shared.table, engine_id, now_s)
+    is_new = endpoints.record_leaving(shared.table, engine_id, now_s)
     return _mark_if_changed(shared, engine_id, is_new)
 
 
-def depart(shared: SharedTable, engine_id: str, now_s: float) -> bool:
+def record_departure(shared: SharedTable, engine_id: str, now_s: float) -> bool:
     """Record an endpoint's departure; return whether it changes the table."""
-    is_new = endpoints.depart(shared.table, engine_id, now_s)
+    is_new = endpoints.record_departure(shared.table, engine_id, now_s)
     return _mark_if_changed(shared, engine_id, is_new)
 
 
@@ -77,7 +79,7 @@
     changed = []
     for one in reported:
         engine_id = one.announcement.engine_id
-        entry = Entry(one.announcement, 0.0, one.is_gone)
+        entry = TableEntry(one.announcement, 0.0, one.is_gone)
         if endpoints.merge(shared.table, entry, one.age_s, now_s):
             mark_changed(shared, engine_id)
             changed.append(engine_id)
@@ -93,11 +95,11 @@
         if known is None or known.is_gone:
             continue
         heard_s = now_s - sign.age_s
-        if heard_s <= known.heard_s:
+        if heard_s <= known.last_seen_s:
             continue
         # The heartbeat's number isn't taken over: the sender may hold a newer state,
         # which would then seem old when it arrives.
-        shared.table.entries[sign.engine_id] = known._replace(heard_s=heard_s)
+        shared.table.entries[sign.engine_id] = known._replace(last_seen_s=heard_s)
 
 
 def changes_since(
@@ -115,15 +117,15 @@
 def recent_liveness(shared: SharedTable, now_s: float) -> tuple[Liveness, ...]:
     """Return the recent signs of life."""
     return tuple(
-        Liveness(engine_id, now_s - entry.heard_s)
+        Liveness(engine_id, now_s - entry.last_seen_s)
         for engine_id, entry in shared.table.entries.items()
-        if not entry.is_gone and now_s - entry.heard_s < LIVENESS_MAX_AGE_S
+        if not entry.is_gone and now_s - entry.last_seen_s < LIVENESS_MAX_AGE_S
     )
 
 
-def report_endpoint(entry: Entry, now_s: float) -> EndpointState:
+def report_endpoint(entry: TableEntry, now_s: float) -> EndpointState:
     """Return an entry of the table in the form in which it is sent."""
-    return EndpointState(entry.announcement, now_s - entry.heard_s, entry.is_gone)
+    return EndpointState(entry.announcement, now_s - entry.last_seen_s, entry.is_gone)
 
 
 def report_endpoints(
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -29,26 +29,26 @@
     crashes,
     entrystate,
     gossip,
-    ratekeeper,
+    ratelimiter,
     roster,
     tablesync,
 )
 from .entrystate import EntryState
 from .gossip import (
-    Accusation,
-    Acquittal,
-    Complaint,
     ConfigurationUpdate,
     ControlAnswer,
-    CrashNews,
+    CrashUpdate,
+    DeathConfirmation,
     DeathNotice,
-    EndNotice,
     EndpointUpdate,
     EntryHeartbeat,
     LimitUpdate,
-    PaceNews,
+    PaceUpdate,
     PermitGrant,
     PermitRequest,
+    Refutation,
+    SlownessReport,
+    SuspicionReport,
     SyncPosition,
 )
 
@@ -96,18 +96,18 @@
         )
         self.group.start_soon(self._send_heartbeats)
 
-    def accuse(self, engine_id: str, vm_zone: str) -> None:
+    def report_suspect(self, engine_id: str, vm_zone: str) -> None:
         """Ask the control VMs of an engine's data centre to probe it.
 
         All control VMs are asked if none of those has sent anything recently.
         """
-        accusation = Accusation(engine_id, self.state.address)
-        answers = roster.beats(self.state.controls, now_s())
+        accusation = SuspicionReport(engine_id, self.state.address)
+        answers = roster.live_messages(self.state.controls, now_s())
         local = [answer for answer in answers if answer.vm_zone == vm_zone]
         for answer in local or answers:
             self.links.send(answer.address, accusation)
 
-    def complain(self, engines: list[Announcement]) -> None:
+    def report_slowness(self, engines: list[Announcement]) -> None:
         """Ask a control VM near each engine of a slow chain to check its pace."""
         by_aggregator: dict[str, list[str]] = {}
         for engine in engines:
@@ -115,17 +115,17 @@
             by_aggregator.setdefault(address, []).append(engine.engine_id)
         for address, engine_ids in by_aggregator.items():
             if address:
-                self.links.send(address, Complaint(tuple(engine_ids)))
+                self.links.send(address, SlownessReport(tuple(engine_ids)))
 
     def report_pace(self, engine: Announcement, seen: float) -> None:
         """Record the pace that an engine reported, and forward it if it is slow."""
-        update = PaceNews(engine.engine_id, seen)
-        if self._on_pace(update) and seen >= slowness.LEAST_SLOWNESS:
+        update = PaceUpdate(engine.engine_id, seen)
+        if self._on_pace(update) and seen >= slowness.MIN_SLOWNESS:
             address = self._aggregator_near(engine)
             if address:
                 self.links.send(address, update)
 
-    def tell_crashes(self, update: CrashNews | None) -> None:
+    def publish_crashes(self, update: CrashUpdate | None) -> None:
         """Send changed crash records to one control VM of each data centre."""
         if update is not None and update.records:
             self._send_to_aggregators(update)
@@ -145,12 +145,14 @@
     def _send_to_aggregators(self, message):
         """Send a message to one control VM of each data centre."""
         for address in choose_aggregators(
-            roster.beats(self.state.controls, now_s())
+            roster.live_messages(self.state.controls, now_s())
         ).values():
             self.links.send(address, message)
 
     def _aggregator_near(self, engine):
-        aggregators = choose_aggregators(roster.beats(self.state.controls, now_s()))
+        aggregators = choose_aggregators(
+            roster.live_messages(self.state.controls, now_s())
+        )
         return aggregators.get(engine.vm_zone) or min(aggregators.values(), default="")
 
     def _on_down(self, address):
@@ -160,8 +162,8 @@
         state = self.state
         while True:
             now = now_s()
-            aggregators = choose_aggregators(roster.beats(state.controls, now))
-            entrystate.note_beat(state)
+            aggregators = choose_aggregators(roster.live_messages(state.controls, now))
+            entrystate.record_report_sent(state)
             for address in roster.heartbeat_targets(state.controls, now):
                 if self._is_due(address, now):
                     self._sent_s[address] = now
@@ -175,12 +177,12 @@
                 state.sink.write("uplink", "endpoint-lost", True, engine_id=engine_id)
             slowness.sweep(state.slowness, now)
             known = set(state.endpoints.table.entries)
-            suspicion.forget(state.suspicions, known)
-            hangs.forget(state.hangs, known)
-            ratekeeper.sweep(state.rates, known, now)
-            backoffs.forget(state.backoffs, known)
-            for engine_id in set(state.leaving_s) - known:
-                del state.leaving_s[engine_id]
+            suspicion.prune(state.suspicions, known)
+            hangs.prune(state.hangs, known)
+            ratelimiter.sweep(state.rates, known, now)
+            backoffs.prune(state.backoffs, known)
+            for engine_id in set(state.leaving_since_s) - known:
+                del state.leaving_since_s[engine_id]
             brokenruns.sweep(state.broken, now)
             state.crashes.sweep(set(roster.heartbeat_targets(state.controls, now)), now)
             await anyio.sleep(HEARTBEAT_S if state.table else FIRST_HEARTBEAT_S)
@@ -210,10 +212,12 @@
             version=state.version,
             acked=self._positions.get(address, SyncPosition("", 0)),
             usage=entrystate.usage(state) if is_aggregator else (),
-            spent=sharedbudget.spent(state.budget, now) if is_aggregator else (),
+            spent=sharedbudget.count_usage(state.retry_budget, now)
+            if is_aggregator
+            else (),
             requests_all=requests_all,
             crashes=state.crashes.make_sync(address, now) if requests_crashes else None,
-            limits=ratekeeper.report_limits(state.rates.book, now),
+            limits=ratelimiter.report_limits(state.rates.book, now),
         )
 
     def _own_aggregator(self, aggregators):
@@ -231,24 +235,24 @@
                 self._on_configuration(message)
             case EndpointUpdate():
                 self._merge_endpoints(message.endpoints)
-            case CrashNews():
+            case CrashUpdate():
                 self.state.crashes.merge_records(message.records, now_s())
             case DeathNotice():
                 self._on_death(message)
-            case EndNotice():
+            case DeathConfirmation():
                 self._on_end(message)
-            case Acquittal():
+            case Refutation():
                 self._on_acquittal(message)
-            case PaceNews():
+            case PaceUpdate():
                 self._on_pace(message)
             case LimitUpdate():
-                ratekeeper.record_limits(self.state, message.limits, now_s())
+                ratelimiter.record_limits(self.state, message.limits, now_s())
             case PermitGrant():
-                ratekeeper.record_grant(self.state, message, now_s())
+                ratelimiter.record_grant(self.state, message, now_s())
 
     def _on_answer(self, answer):
         state, now = self.state, now_s()
-        if roster.hear(state.controls, answer.address, answer, now):
+        if roster.record(state.controls, answer.address, answer, now):
             state.sink.write("uplink", "control-found", True, address=answer.address)
         roster.add_reported(state.controls, answer.controls, now)
         self._merge_endpoints(answer.endpoints)
@@ -258,14 +262,20 @@
         )
         state.entries = answer.entries
         if answer.usage is not None:
-            data_centres = len(choose_aggregators(roster.beats(state.controls, now)))
-            entrystate.hear_others(state, answer.usage, data_centres, now)
-            sharedbudget.share(
-                state.budget, answer.spent, answer.entries, now, answer.spent_age_s
+            data_centres = len(
+                choose_aggregators(roster.live_messages(state.controls, now))
+            )
+            entrystate.update_peer_load(state, answer.usage, data_centres, now)
+            sharedbudget.update_share(
+                state.retry_budget,
+                answer.spent,
+                answer.entries,
+                now,
+                answer.spent_age_s,
             )
         if answer.crashes is not None:
             state.crashes.merge_sync(answer.address, answer.crashes, now)
-        ratekeeper.record_limits(state, answer.limits, now)
+        ratelimiter.record_limits(state, answer.limits, now)
         # A newer version than this entry's confirms nothing until it arrives.
         if 0 < answer.version <= state.version:
             self._confirm(answer.sent_s, now)
@@ -303,8 +313,8 @@
                 self._log_endpoint(entry)
             if entry is not None and not entry.is_gone:
                 self._note_incarnation(entry.announcement)
-            if entry is not None and endpoints.leaves(entry.announcement):
-                state.leaving_s.setdefault(engine_id, now)
+            if entry is not None and endpoints.has_leaving_notice(entry.announcement):
+                state.leaving_since_s.setdefault(engine_id, now)
 
     def _note_incarnation(self, announcement):
         """Close the connections to an address whose engine was replaced.
@@ -317,9 +327,9 @@
         state.incarnations[address] = announcement.engine_id
         if before != announcement.engine_id:
             pool.drop(state.pool, address)
-            self.tell_crashes(crashes.engine_ended(state, before, now_s()))
+            self.publish_crashes(crashes.record_engine_end(state, before, now_s()))
 
-    def _log_endpoint(self, entry: endpoints.Entry):
+    def _log_endpoint(self, entry: endpoints.TableEntry):
         announcement = entry.announcement
         self.state.sink.write(
             "uplink",
@@ -327,37 +337,39 @@
             True,
             engine_id=announcement.engine_id,
             address=announcement.address,
-            is_leaving=endpoints.leaves(announcement),
+            is_leaving=endpoints.has_leaving_notice(announcement),
             is_gone=entry.is_gone,
             layers=list(announcement.holding),
         )
 
     def _on_death(self, notice):
         engine_id = notice.engine_id
-        if suspicion.told(self.state.suspicions, engine_id, now_s()):
+        if suspicion.record_report(self.state.suspicions, engine_id, now_s()):
             self.state.sink.write("uplink", "engine-accused", True, engine_id=engine_id)
             self.state.engine_died.set()
-        self.tell_crashes(crashes.engine_ended(self.state, engine_id, now_s()))
+        self.publish_crashes(crashes.record_engine_end(self.state, engine_id, now_s()))
 
     def _on_end(self, notice):
         state, engine_id = self.state, notice.engine_id
-        is_new = not entrystate.is_certainly_dead(state, engine_id)
-        suspicion.verified(state.suspicions, engine_id, now_s())
+        is_new = not entrystate.is_confirmed_dead(state, engine_id)
+        suspicion.record_confirmed_death(state.suspicions, engine_id, now_s())
         if is_new:
             state.sink.write("uplink", "engine-ended", True, engine_id=engine_id)
-        self.tell_crashes(crashes.engine_ended(state, engine_id, now_s()))
+        self.publish_crashes(crashes.record_engine_end(state, engine_id, now_s()))
 
     def _on_acquittal(self, acquittal):
         engine_id = acquittal.engine_id
-        brokenruns.lives(self.state.broken, engine_id)
-        if suspicion.acquitted(self.state.suspicions, engine_id):
+        brokenruns.record_alive(self.state.broken, engine_id)
+        if suspicion.reinstate(self.state.suspicions, engine_id):
             self.state.sink.write(
                 "uplink", "engine-acquitted", True, engine_id=engine_id
             )
 
     def _on_pace(self, update):
         book = self.state.slowness
-        is_new = slowness.believe(book, update.engine_id, update.slowness, now_s())
+        is_new = slowness.record_slowness(
+            book, update.engine_id, update.slowness, now_s()
+        )
         if is_new:
             self.state.metrics.beliefs.labels("engine-pace").inc()
             self.state.sink.write(
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -17,21 +17,21 @@
     streamrelay,
     tablesync,
 )
-from cherryrudder.node.controlbeats import ControlBeats
-from cherryrudder.node.crashdesk import CrashDesk
+from cherryrudder.node.controlgossip import ControlGossip
+from cherryrudder.node.crashtracker import CrashTracker
 from cherryrudder.node.gossip import (
-    Acquittal,
-    CrashNews,
+    CrashUpdate,
+    DeathConfirmation,
     DeathNotice,
-    EndNotice,
     EndpointState,
+    Refutation,
 )
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.node.stream import Stream
 from cherryrudder.node.uplink import Uplink
 from cherryrudder.relay.errors import AnswerBroken
 from cherryrudder.replica.clock import now_s
-from cherryrudder.routing.crashbook import FINISHED, Crash, Record
+from cherryrudder.routing.crashbook import FINISHED, Crash, RequestRecord
 
 FIRST, SECOND, OTHER = "boot-1", "boot-2", "boot-3"
 ENGINES = (FIRST, SECOND, OTHER)
@@ -52,7 +52,7 @@
     """Return the record of a request under which engines ended."""
     at_s = now_s() if at_s is None else at_s
     ended = tuple(Crash(engine_id, "a", "v1", 2, at_s) for engine_id in engine_ids)
-    return Record("acme", "llm", ended)._replace(**changes)
+    return RequestRecord("acme", "llm", ended)._replace(**changes)
 
 
 class EntryCase(unittest.TestCase):
@@ -63,11 +63,13 @@
         self.uplink = Uplink(self.state, None)
         for engine_id in ENGINES:
             announcement = an_announcement(engine_id, layers=(0, 8))
-            tablesync.hear(self.state.endpoints, announcement, now_s() - 0.1)
+            tablesync.record_heartbeat(
+                self.state.endpoints, announcement, now_s() - 0.1
+            )
 
     def known(self, fingerprint="bad"):
         """Return the engines recorded as ended under a request."""
-        record = self.state.crashes.book.records.get(fingerprint, Record("", ""))
+        record = self.state.crashes.book.records.get(fingerprint, RequestRecord("", ""))
         return {crash.engine_id for crash in record.crashes}
 
 
@@ -75,7 +77,9 @@
     """Guards against counting a broken answer as the end of its engine."""
 
     def break_run(self, engine_id=FIRST, fingerprint="bad"):
-        return crashes.broke(a_job(self.state, fingerprint), engine_id, 2, now_s())
+        return crashes.record_broken_run(
+            a_job(self.state, fingerprint), engine_id, 2, now_s()
+        )
 
     def test_a_broken_answer_alone_is_not_counted(self):
         self.assertEqual(self.break_run().records, ())
@@ -100,7 +104,7 @@
 
     def test_it_is_counted_when_only_the_end_notice_arrives(self):
         self.break_run()
-        self.uplink._on_frames("", [EndNotice(FIRST)])
+        self.uplink._on_frames("", [DeathConfirmation(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
     def test_an_old_incarnations_end_does_not_count_for_the_new_one(self):
@@ -116,37 +120,37 @@
 
     def test_it_is_not_counted_after_answers_to_other_requests(self):
         self.break_run()
-        brokenruns.answered(self.state.broken, FIRST, now_s() + 0.1)
-        brokenruns.answered(self.state.broken, FIRST, now_s() + 0.5)
+        brokenruns.record_answer(self.state.broken, FIRST, now_s() + 0.1)
+        brokenruns.record_answer(self.state.broken, FIRST, now_s() + 0.5)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
 
     def test_it_is_counted_although_an_answer_was_still_in_flight(self):
         self.break_run()
-        brokenruns.answered(self.state.broken, FIRST, now_s() + 0.1)
+        brokenruns.record_answer(self.state.broken, FIRST, now_s() + 0.1)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), {FIRST})
 
     def test_old_broken_runs_are_dropped(self):
         self.break_run()
-        brokenruns.sweep(self.state.broken, now_s() + brokenruns.PENDING_S + 0.1)
+        brokenruns.sweep(self.state.broken, now_s() + brokenruns.RETENTION_S + 0.1)
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual((self.known(), self.state.broken.runs), (set(), {}))
 
     def test_it_is_not_counted_if_the_engine_is_alive(self):
         self.break_run()
-        self.uplink._on_frames("", [Acquittal(FIRST), DeathNotice(FIRST)])
+        self.uplink._on_frames("", [Refutation(FIRST), DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
 
     def test_it_is_not_counted_if_a_heartbeat_arrived_since(self):
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         announcement = an_announcement(FIRST, number=4, layers=(0, 8))
-        tablesync.hear(self.state.endpoints, announcement, now_s() + 1.0)
+        tablesync.record_heartbeat(self.state.endpoints, announcement, now_s() + 1.0)
         self.break_run()
         self.assertEqual(self.known(), set())
 
     def test_it_is_not_counted_if_the_engine_was_leaving(self):
-        self.state.leaving_s[FIRST] = now_s() - 2.0
+        self.state.leaving_since_s[FIRST] = now_s() - 2.0
         self.break_run()
         self.uplink._on_frames("", [DeathNotice(FIRST)])
         self.assertEqual(self.known(), set())
@@ -187,15 +191,15 @@
 
         async def relay(stream, connection):
             streamrelay._note_head(stream)
-            await reroute.go_on_without(stream, connection, {lost})
+            await reroute.replace_lost(stream, connection, {lost})
             raise AnswerBroken("the connection was closed")
 
         opened = mock.AsyncMock(return_value=SimpleNamespace(close=lambda: None))
         with (
-            mock.patch.object(streamrelay.attempts, "open_for", opened),
+            mock.patch.object(streamrelay.attempts, "open_connection", opened),
             mock.patch.object(streamrelay.attempts, "send", mock.AsyncMock()),
             mock.patch.object(streamrelay, "_relay", relay),
-            mock.patch.object(reroute, "without", lambda *_: None),
+            mock.patch.object(reroute, "find_replacement", lambda *_: None),
         ):
             return anyio.run(streamrelay._exchange, stream)
 
@@ -228,19 +232,21 @@
         self.block()
         for engine_id in ENGINES:
             announcement = an_announcement(engine_id, 4, (0, 8), version="v2")
-            tablesync.hear(self.state.endpoints, announcement, now_s())
+            tablesync.record_heartbeat(self.state.endpoints, announcement, now_s())
         self.assertFalse(self.is_blocked())
 
     def test_progress_past_the_crash_unblocks_it(self):
         self.block()
-        update = crashes.reached(a_job(self.state), FINISHED, now_s())
+        update = crashes.record_progress(a_job(self.state), FINISHED, now_s())
         self.assertEqual(len(update.records), 1)
         self.assertFalse(self.is_blocked())
         self.assertIn('"event":"unblocked"', self.piped.text())
 
     def test_progress_of_other_requests_is_not_published(self):
         self.block()
-        self.assertIsNone(crashes.reached(a_job(self.state, "good"), 80, now_s()))
+        self.assertIsNone(
+            crashes.record_progress(a_job(self.state, "good"), 80, now_s())
+        )
 
     def test_the_block_expires(self):
         self.block(at_s=now_s() - 599.0)
@@ -254,7 +260,7 @@
 
     def deliver(self, reader, desk):
         with mock.patch.object(desk, "merge_records", side_effect=TypeError("fault")):
-            reader._on_frames("peer:1", [CrashNews(()), DeathNotice(FIRST)])
+            reader._on_frames("peer:1", [CrashUpdate(()), DeathNotice(FIRST)])
 
     def test_an_entry_handles_the_next_message(self):
         self.deliver(self.uplink, self.state.crashes)
@@ -262,8 +268,8 @@
 
     def test_a_control_vm_handles_the_next_message(self):
         control = a_control(self.piped.sink, "10.0.0.1")
-        self.deliver(ControlBeats(control, None), control.crashes)
-        self.assertIn(FIRST, control.accused)
+        self.deliver(ControlGossip(control, None), control.crashes)
+        self.assertIn(FIRST, control.suspected_s)
 
 
 class SyncTest(unittest.TestCase):
@@ -272,7 +278,7 @@
     def a_desk(self, boot):
         piped = PipedSink()
         self.addCleanup(piped.close)
-        return CrashDesk(boot, piped.sink, Metrics())
+        return CrashTracker(boot, piped.sink, Metrics())
 
     def send_heartbeat(self, sender, reader):
         """Deliver a heartbeat of one process to another."""
@@ -314,11 +320,11 @@
 
         async def scenario():
             async with anyio.create_task_group() as group:
-                gossip = ControlBeats(control, group)
+                gossip = ControlGossip(control, group)
                 gossip.links.send = lambda address, message: sent.append(address)
                 for address, vm_zone in (("near:1", "a"), ("far:1", "b")):
                     heartbeat = SimpleNamespace(address=address, vm_zone=vm_zone)
-                    roster.hear(control.entries, address, heartbeat, now_s())
+                    roster.record(control.entries, address, heartbeat, now_s())
                 source = self.a_desk("one")
                 for engine_ids in ((FIRST,), (FIRST, SECOND)):
                     update = source.record({"bad": a_record(*engine_ids)}, now_s())
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -13,18 +13,23 @@
 from builders import PipedSink, a_control, a_state, an_announcement, some_settings
 
 from cherryrudder.node import roster, stalls, streamchains, tablesync, verification
-from cherryrudder.node.controlbeats import ControlBeats
+from cherryrudder.node.controlgossip import ControlGossip
 from cherryrudder.node.errors import EngineCallFailed
-from cherryrudder.node.gossip import Accusation, Acquittal, DeathNotice, EndNotice
+from cherryrudder.node.gossip import (
+    DeathConfirmation,
+    DeathNotice,
+    Refutation,
+    SuspicionReport,
+)
 from cherryrudder.node.uplink import Uplink
-from cherryrudder.node.verification import Seen, Verdict, judge
+from cherryrudder.node.verification import Observation, Verdict, decide_verdict
 from cherryrudder.platform.engines import Report
 from cherryrudder.replica.clock import now_s
 
 REPORT = Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
 ENGINE = "boot-1"
 # The time after which an ended engine has missed enough heartbeats.
-UNHEARD_S = verification.MISSED_BEATS * some_settings().heartbeat_s
+UNHEARD_S = verification.MISSED_HEARTBEATS * some_settings().heartbeat_s
 # Control VMs by the last number of their address, and their data centres.
 NEAR, ALSO_NEAR, FAR = "10.0.0.1", "10.0.0.2", "10.0.1.1"
 ZONES = {NEAR: "a", ALSO_NEAR: "a", FAR: "b"}
@@ -48,7 +53,7 @@
         for name in (ENGINE, "boot-2"):
             announcement = an_announcement(name, layers=(0, 8))
             for state in (self.entry, *self.controls.values()):
-                tablesync.hear(state.endpoints, announcement, now)
+                tablesync.record_heartbeat(state.endpoints, announcement, now)
 
     def run(self, accused_by=(NEAR,), rounds=1, after=lambda: None):
         """Report the engine to some control VMs; return the messages to the entry."""
@@ -60,14 +65,14 @@
                     for ip in accused_by:
                         self._deliver(
                             self.controls[ip].address,
-                            Accusation(ENGINE, self.entry.address),
+                            SuspicionReport(ENGINE, self.entry.address),
                         )
             async with anyio.create_task_group() as group:
                 for verifier in self.verifiers.values():
                     verifier.group = group
                 after()
 
-        with mock.patch.object(verification, "OPINION_S", 0.05):
+        with mock.patch.object(verification, "PEER_ANSWER_TIMEOUT_S", 0.05):
             anyio.run(scenario)
         return [message for _, message in self.sent]
 
@@ -75,17 +80,17 @@
         self.uplink = Uplink(self.entry, group)
         self.gossip = {}
         for ip, state in self.controls.items():
-            gossip = ControlBeats(state, group)
+            gossip = ControlGossip(state, group)
             gossip.links.send = self._deliver
             gossip.verifier._report = lambda *_, ip=ip: self._report(ip)
             self.gossip[state.address] = gossip
             self.verifiers[ip] = gossip.verifier
         for state in self.controls.values():
-            roster.hear(state.entries, self.entry.address, None, now_s())
+            roster.record(state.entries, self.entry.address, None, now_s())
             for address, other in self.gossip.items():
                 if address != state.address:
                     heartbeat = other._make_heartbeat(state.address, now_s())
-                    roster.hear(state.roster, address, heartbeat, now_s())
+                    roster.record(state.roster, address, heartbeat, now_s())
 
     async def _report(self, ip):
         self.asked.append(ip)
@@ -102,12 +107,12 @@
     def counts(self):
         """Return whether the engine counts as one that may still run a stream."""
         stream = SimpleNamespace(
-            ran_at=[ENGINE, "boot-2"],
+            ran_engine_ids=[ENGINE, "boot-2"],
             job=SimpleNamespace(
                 state=self.entry, route=SimpleNamespace(max_attempts=2)
             ),
         )
-        return ENGINE in streamchains.bounding_firsts(stream)
+        return ENGINE in streamchains.allowed_first_engines(stream)
 
 
 class DisagreementTest(unittest.TestCase):
@@ -125,18 +130,18 @@
             with self.subTest(accused_by=accused_by):
                 scenario = Scenario(self, {NEAR: False, ALSO_NEAR: True})
                 messages = scenario.run(accused_by)
-                self.assertEqual(set(messages), {Acquittal(ENGINE)})
+                self.assertEqual(set(messages), {Refutation(ENGINE)})
                 self.assertTrue(scenario.counts())
-                self.assertEqual(scenario.controls[NEAR].accused, {})
+                self.assertEqual(scenario.controls[NEAR].suspected_s, {})
 
     def test_an_answer_to_a_remote_control_vm_counts(self):
         scenario = Scenario(self, {NEAR: False, FAR: True})
-        self.assertEqual(scenario.run(), [Acquittal(ENGINE)])
+        self.assertEqual(scenario.run(), [Refutation(ENGINE)])
         self.assertTrue(scenario.counts())
 
     def test_control_vms_near_the_engine_are_asked_first(self):
         scenario = Scenario(self, {NEAR: False, FAR: True, ALSO_NEAR: False})
-        with mock.patch.object(verification, "MOST_WITNESSES", 1):
+        with mock.patch.object(verification, "MAX_PEERS_ASKED", 1):
             scenario.run()
         self.assertNotIn(FAR, scenario.asked)
 
@@ -186,7 +191,7 @@
 
     def test_it_has_ended_after_missed_heartbeats(self):
         scenario, messages = self.run_scenario(UNHEARD_S + 0.1)
-        self.assertEqual(messages, [DeathNotice(ENGINE), EndNotice(ENGINE)])
+        self.assertEqual(messages, [DeathNotice(ENGINE), DeathConfirmation(ENGINE)])
         self.assertFalse(scenario.counts())
 
     def test_only_the_leader_confirms_a_death(self):
@@ -196,9 +201,9 @@
 
     def test_an_engine_that_answers_later_has_not_ended(self):
         scenario, messages = self.run_scenario(UNHEARD_S + 0.1, sees_later=True)
-        self.assertEqual(messages, [DeathNotice(ENGINE), Acquittal(ENGINE)])
+        self.assertEqual(messages, [DeathNotice(ENGINE), Refutation(ENGINE)])
         self.assertTrue(scenario.counts())
-        self.assertEqual(scenario.controls[NEAR].accused, {})
+        self.assertEqual(scenario.controls[NEAR].suspected_s, {})
 
     def test_a_new_heartbeat_ends_the_suspicion(self):
         scenario = Scenario(self, {NEAR: False, ALSO_NEAR: False})
@@ -206,12 +211,12 @@
         def after():
             for state in scenario.controls.values():
                 announcement = an_announcement(ENGINE, 4, (0, 8))
-                tablesync.hear(state.endpoints, announcement, now_s() + 0.1)
+                tablesync.record_heartbeat(state.endpoints, announcement, now_s() + 0.1)
             for verifier in scenario.verifiers.values():
                 verifier.review(now_s() + 1.0)
 
         scenario.run(after=after)
-        self.assertEqual([s.accused for s in scenario.controls.values()], [{}, {}])
+        self.assertEqual([s.suspected_s for s in scenario.controls.values()], [{}, {}])
 
 
 def block_event_loop(wait_s):
@@ -231,7 +236,7 @@
         async def get_report(address, timeout_s):
             calls.append(address)
             if len(calls) == 1:
-                block_event_loop(timeout_s + 2 * stalls.OWN_DELAY_S)
+                block_event_loop(timeout_s + 2 * stalls.PROCESS_STALL_S)
                 raise EngineCallFailed(address)
             return REPORT
 
@@ -245,22 +250,22 @@
     def test_every_combination_of_probe_results(self):
         dead, lives, unclear = Verdict.DEAD, Verdict.LIVES, Verdict.UNCLEAR
         cases = {
-            (Seen.SILENT, ()): unclear,
-            (Seen.SILENT, (Seen.UNKNOWN,)): unclear,
-            (Seen.SILENT, (Seen.SILENT,)): dead,
-            (Seen.SILENT, (Seen.SILENT, Seen.UNKNOWN)): dead,
-            (Seen.SILENT, (Seen.SILENT, Seen.LIVES)): lives,
-            (Seen.SILENT, (Seen.ENDED,)): dead,
-            (Seen.ENDED, (Seen.LIVES,)): dead,
-            (Seen.LIVES, ()): lives,
-            (Seen.UNKNOWN, ()): unclear,
+            (Observation.SILENT, ()): unclear,
+            (Observation.SILENT, (Observation.UNKNOWN,)): unclear,
+            (Observation.SILENT, (Observation.SILENT,)): dead,
+            (Observation.SILENT, (Observation.SILENT, Observation.UNKNOWN)): dead,
+            (Observation.SILENT, (Observation.SILENT, Observation.LIVES)): lives,
+            (Observation.SILENT, (Observation.ENDED,)): dead,
+            (Observation.ENDED, (Observation.LIVES,)): dead,
+            (Observation.LIVES, ()): lives,
+            (Observation.UNKNOWN, ()): unclear,
         }
         for (own, others), verdict in cases.items():
             with self.subTest(own=own, others=others):
-                self.assertIs(judge(own, others, asked=2), verdict)
+                self.assertIs(decide_verdict(own, others, asked=2), verdict)
 
     def test_without_other_control_vms_the_own_probe_decides(self):
-        self.assertIs(judge(Seen.SILENT, (), asked=0), Verdict.DEAD)
+        self.assertIs(decide_verdict(Observation.SILENT, (), asked=0), Verdict.DEAD)
 
 
 if __name__ == "__main__":
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -4,8 +4,8 @@
 
 from cherryrudder.layers.chains import Part
 from cherryrudder.node import entrystate, tablesync
-from cherryrudder.policy import otherload
-from cherryrudder.policy.otherload import Load
+from cherryrudder.policy import peerload
+from cherryrudder.policy.peerload import Load
 from cherryrudder.replica.clock import now_s
 
 
@@ -25,20 +25,20 @@
         """Return what the others are thought to run once this entry has sent ten."""
         own = Load(10.0, 9000.0, 10.0)
         others = self.state.others
-        return otherload.estimate(others, "e:1", own, self.state.peers)
+        return peerload.estimate(others, "e:1", own, self.state.peers)
 
     def test_before_any_word_the_others_are_thought_to_send_as_much(self):
         self.assertGreaterEqual(self.others_seen().firsts, 50)
 
     def test_an_early_word_of_few_entries_is_not_believed(self):
         self.state.entries = 2
-        entrystate.hear_others(self.state, (), 3, self.state.started_s + 0.5)
+        entrystate.update_peer_load(self.state, (), 3, self.state.started_s + 0.5)
         self.assertGreaterEqual(self.others_seen().firsts, 50)
 
     def test_later_the_word_counts(self):
         self.state.entries = 6
         later_s = self.state.started_s + entrystate.FIRST_S
-        entrystate.hear_others(self.state, (), 3, later_s)
+        entrystate.update_peer_load(self.state, (), 3, later_s)
         self.assertEqual(self.others_seen().firsts, 10)
 
 
@@ -66,7 +66,7 @@
     def test_the_others_are_thought_to_have_as_much_on_the_way(self):
         now = now_s()
         told = an_announcement("e1", layers=(0, 8), address="e1:1")
-        tablesync.hear(self.state.endpoints, told, now)
+        tablesync.record_heartbeat(self.state.endpoints, told, now)
         self.state.peers = 4.0
         entrystate.prompt_sent(self.state, self.CHAIN, 700)
         (candidate,) = entrystate.candidates(self.state, "llm", now)
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -10,11 +10,11 @@
     backpressure,
     entrystate,
     plainrelay,
-    ratekeeper,
+    ratelimiter,
     roster,
     tablesync,
 )
-from cherryrudder.node.controlbeats import ControlBeats
+from cherryrudder.node.controlgossip import ControlGossip
 from cherryrudder.node.gossip import (
     EndpointState,
     EndpointUpdate,
@@ -64,7 +64,7 @@
 
     def test_it_ends_with_the_incarnation(self):
         self.hear(2.5)
-        ratekeeper.sweep(self.state.rates, {OTHER}, now_s())
+        ratelimiter.sweep(self.state.rates, {OTHER}, now_s())
         self.assertTrue(self.may_begin())
 
 
@@ -86,23 +86,23 @@
 
     def test_a_permit_is_for_one_request(self):
         self.grant()
-        backpressure.begin(self.state, ENGINE, now_s())
+        backpressure.record_request(self.state, ENGINE, now_s())
         self.assertFalse(self.may_begin())
 
     def test_the_control_vm_of_its_data_centre_is_asked(self):
-        ratekeeper.ask(self.state, [ENGINE], now_s())
+        ratelimiter.request_permits(self.state, [ENGINE], now_s())
         ((address, request),) = self.sent
         self.assertEqual((address, request.limit.engine_id), ("a:1", ENGINE))
 
     def test_the_issuer_is_not_asked_again_before_it_has_a_permit(self):
         self.grant(permits=0, next_s=30.0)
-        ratekeeper.ask(self.state, [ENGINE], now_s())
+        ratelimiter.request_permits(self.state, [ENGINE], now_s())
         self.assertEqual(self.sent, [])
 
     def test_a_request_waits_for_the_answer(self):
         async def scenario():
             async with anyio.create_task_group() as group:
-                group.start_soon(ratekeeper.acquire, self.state, [ENGINE])
+                group.start_soon(ratelimiter.acquire, self.state, [ENGINE])
                 await anyio.sleep(0.005)
                 self.grant()
             return self.may_begin()
@@ -112,7 +112,7 @@
     def test_it_does_not_wait_for_a_lost_issuer(self):
         async def scenario():
             with anyio.fail_after(1.0):
-                await ratekeeper.acquire(self.state, [ENGINE])
+                await ratelimiter.acquire(self.state, [ENGINE])
 
         anyio.run(scenario)
         self.assertFalse(self.may_begin())
@@ -161,18 +161,18 @@
         self.piped = PipedSink()
         self.addCleanup(self.piped.close)
         self.state = a_control(self.piped.sink, "10.0.0.1", HOME)
-        self.gossip = ControlBeats(self.state, None)
+        self.gossip = ControlGossip(self.state, None)
         self.sent = []
         self.gossip.links.send = lambda address, message: self.sent.append(
             (address, message)
         )
         announcement = an_announcement(ENGINE, layers=(0, 8))
-        tablesync.hear(self.state.endpoints, announcement, now_s())
+        tablesync.record_heartbeat(self.state.endpoints, announcement, now_s())
         for zone in (HOME, FAR, "c"):
             heartbeat = EntryStub(address=f"entry-{zone}", vm_zone=zone)
-            roster.hear(self.state.entries, heartbeat.address, heartbeat, now_s())
+            roster.record(self.state.entries, heartbeat.address, heartbeat, now_s())
         heartbeat = ControlStub(address="control-b", vm_zone=FAR)
-        roster.hear(self.state.roster, heartbeat.address, heartbeat, now_s())
+        roster.record(self.state.roster, heartbeat.address, heartbeat, now_s())
 
     def test_it_forwards_limits_to_entries_that_get_them_from_no_other(self):
         update = LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.0),))
@@ -202,7 +202,7 @@
             with self.subTest(other=address):
                 self.setUp()
                 heartbeat = ControlStub(address=address, vm_zone=HOME)
-                roster.hear(self.state.roster, address, heartbeat, now_s())
+                roster.record(self.state.roster, address, heartbeat, now_s())
                 self.gossip._handle(request)
                 last = self.sent[-1]
                 self.assertEqual(last[0], "entry-a" if issues else address)
@@ -216,13 +216,13 @@
 
     def test_an_engine_that_says_it_is_leaving_gets_no_new_work_from_any_entry(self):
         known = self.state.endpoints.table.entries[ENGINE].announcement
-        announcement = known._replace(has_told_senders=True)
+        announcement = known._replace(has_notified_senders=True)
         self.gossip._handle(EndpointUpdate((EndpointState(announcement, 0.0, False),)))
         self.assertEqual(
             [address for address, _ in self.sent], ["entry-a", "entry-b", "entry-c"]
         )
         entry = self.state.endpoints.table.entries[ENGINE]
-        self.assertFalse(endpoints.may_take_work(entry.announcement))
+        self.assertFalse(endpoints.accepts_requests(entry.announcement))
         self.assertFalse(entry.is_gone)
 
 
--- a/libs/node/test/test_roomdesk.py
+++ b/libs/node/test/test_roomdesk.py
@@ -2,8 +2,8 @@
 
 import anyio
 
-from cherryrudder.node.roomdesk import RoomDesk
-from cherryrudder.policy.roomqueue import Waiting
+from cherryrudder.node.chainscheduler import ChainScheduler
+from cherryrudder.policy.capacityqueue import WaitingStream
 from cherryrudder.replica.clock import now_s
 
 CHAIN = ("chain",)
@@ -12,7 +12,9 @@
 def a_request(name, patience_s=5.0, tokens=900.0):
     """Return a stream that waits from now on."""
     now = now_s()
-    return Waiting(name, "account", tokens, now, now + patience_s, now + patience_s)
+    return WaitingStream(
+        name, "account", tokens, now, now + patience_s, now + patience_s
+    )
 
 
 class Room:
@@ -45,7 +47,7 @@
 
     def run_scenario(self, scenario):
         async def run():
-            scheduler = RoomDesk()
+            scheduler = ChainScheduler()
             with anyio.fail_after(20.0):
                 async with anyio.create_task_group() as group:
                     group.start_soon(scheduler.run)
@@ -56,7 +58,7 @@
 
     def test_free_room_is_used_at_once(self):
         async def scenario(scheduler, group):
-            found = await scheduler.find(a_request("1"), Room(1).find, False)
+            found = await scheduler.find_chain(a_request("1"), Room(1).find, False)
             self.assertEqual(found, CHAIN)
 
         self.run_scenario(scenario)
@@ -68,7 +70,10 @@
             room = Room(0)
 
             async def wait(name):
-                if await scheduler.find(a_request(name), room.find, False) is not None:
+                if (
+                    await scheduler.find_chain(a_request(name), room.find, False)
+                    is not None
+                ):
                     order.append(name)
 
             for name in ("1", "2", "3"):
@@ -84,7 +89,7 @@
 
     def test_a_stream_that_waits_too_long_gets_no_chain(self):
         async def scenario(scheduler, group):
-            found = await scheduler.find(a_request("1", 0.1), Room(0).find, False)
+            found = await scheduler.find_chain(a_request("1", 0.1), Room(0).find, False)
             self.assertIsNone(found)
             self.assertEqual(scheduler.queue.waiting, {})
 
@@ -93,7 +98,7 @@
     def test_a_cancelled_stream_is_removed_from_the_queue(self):
         async def scenario(scheduler, group):
             with anyio.move_on_after(0.05):
-                await scheduler.find(a_request("1"), Room(0).find, False)
+                await scheduler.find_chain(a_request("1"), Room(0).find, False)
             self.assertEqual(scheduler.queue.waiting, {})
 
         self.run_scenario(scenario)
@@ -105,11 +110,13 @@
         """
 
         async def scenario(scheduler, group):
-            group.start_soon(scheduler.find, a_request("picky"), Room(0).find, True)
+            group.start_soon(
+                scheduler.find_chain, a_request("picky"), Room(0).find, True
+            )
             await until_waiting(scheduler, "picky")
             room = Room(1)
             self.assertEqual(
-                await scheduler.find(a_request("2"), room.find, False), CHAIN
+                await scheduler.find_chain(a_request("2"), room.find, False), CHAIN
             )
 
         self.run_scenario(scenario)
@@ -120,7 +127,9 @@
         async def scenario(scheduler, group):
             room = Room(0)
             for n in range(50):
-                group.start_soon(scheduler.find, a_request(str(n)), room.find, False)
+                group.start_soon(
+                    scheduler.find_chain, a_request(str(n)), room.find, False
+                )
             await until_waiting(scheduler, *(str(n) for n in range(50)))
             first = room.tries
             await anyio.sleep(0.2)
--- a/libs/node/test/test_tablesync.py
+++ b/libs/node/test/test_tablesync.py
@@ -4,7 +4,7 @@
 from builders import an_announcement
 from hypothesis import given, settings, strategies as st
 
-from cherryrudder.layers.profile import Holding
+from cherryrudder.layers.profile import LayerRange
 from cherryrudder.node import tablesync
 from cherryrudder.node.gossip import Liveness, SyncPosition
 from cherryrudder.node.tablesync import SharedTable
@@ -26,11 +26,13 @@
 
     def test_a_sign_of_life_does_not_hide_an_update(self):
         source, reader = SharedTable("source"), SharedTable("reader")
-        tablesync.hear(source, an_announcement(number=2), 0.0)
+        tablesync.record_heartbeat(source, an_announcement(number=2), 0.0)
         tablesync.merge(
             reader, tablesync.changes_since(source, SyncPosition("", 0), 0.0), 0.0
         )
-        tablesync.hear(source, an_announcement(number=4, layers=(0, 8)), 0.1)
+        tablesync.record_heartbeat(
+            source, an_announcement(number=4, layers=(0, 8)), 0.1
+        )
         tablesync.merge_liveness(reader, (Liveness("boot-1", 0.0),), 0.1)
         update = tablesync.report_endpoints(source, ["boot-1"], 0.1)
         self.assertEqual(tablesync.merge(reader, update, 0.1), ["boot-1"])
@@ -38,14 +40,14 @@
 
     def test_a_sign_of_life_keeps_an_endpoint_live(self):
         reader = SharedTable("reader")
-        tablesync.hear(reader, an_announcement(), 0.0)
+        tablesync.record_heartbeat(reader, an_announcement(), 0.0)
         tablesync.merge_liveness(reader, (Liveness("boot-1", 0.5),), 6.0)
         self.assertEqual(len(endpoints.live(reader.table, 6.0)), 1)
 
     def test_departed_endpoints_stay_gone(self):
         reader = SharedTable("reader")
-        tablesync.hear(reader, an_announcement(), 0.0)
-        tablesync.depart(reader, "boot-1", 0.1)
+        tablesync.record_heartbeat(reader, an_announcement(), 0.0)
+        tablesync.record_departure(reader, "boot-1", 0.1)
         tablesync.merge_liveness(reader, (Liveness("boot-1", 0.0),), 0.2)
         self.assertEqual(endpoints.live(reader.table, 0.2), [])
 
@@ -53,7 +55,7 @@
 class RestartTest(unittest.TestCase):
     def test_a_reader_with_another_boots_position_gets_everything(self):
         source = SharedTable("new")
-        tablesync.hear(source, an_announcement(), 0.0)
+        tablesync.record_heartbeat(source, an_announcement(), 0.0)
         self.assertEqual(
             len(tablesync.changes_since(source, SyncPosition("old", 99), 0.0)), 1
         )
@@ -75,17 +77,17 @@
         late = []
         for _ in range(20):
             engine_id = f"boot-{rng.randrange(4)}"
-            numbers[engine_id] = numbers.get(engine_id, 0) + endpoints.WORD
+            numbers[engine_id] = numbers.get(engine_id, 0) + endpoints.NUMBER_STEP
             kind = rng.randrange(10)
             if kind == 0:
-                tablesync.depart(source, engine_id, 0.0)
+                tablesync.record_departure(source, engine_id, 0.0)
             elif kind < 3:
-                layers = Holding(0, rng.randrange(1, 9))
+                layers = LayerRange(0, rng.randrange(1, 9))
                 tablesync.record_holding(source, engine_id, layers, 0.0)
             else:
                 layers = (0, rng.randrange(1, 9))
                 announcement = an_announcement(engine_id, numbers[engine_id], layers)
-                tablesync.hear(source, announcement, 0.0)
+                tablesync.record_heartbeat(source, announcement, 0.0)
             update = tablesync.report_endpoints(source, [engine_id], 0.0)
             (late if rng.random() < 0.5 else []).append(update)
             tablesync.merge_liveness(
