--- a/libs/node/src/cherryrudder/node/adminapi.py
+++ b/libs/node/src/cherryrudder/node/adminapi.py
@@ -38,32 +38,32 @@
     limits: Callable[[float], list]
 
 
-async def serve(address: str, shown: AdminContext) -> None:
+async def serve(address: str, context: AdminContext) -> None:
     """Serve at an address until cancelled."""
 
     async def answer(exchange: Exchange):
         method = exchange.request.method.decode()
         path = exchange.request.target.decode("latin-1")
-        await exchange.answer(*respond(shown, method, path, now_s()))
+        await exchange.answer(*respond(context, method, path, now_s()))
 
     await httpserver.serve(HttpServer(answer), address)
 
 
-def respond(shown: AdminContext, method: str, path: str, now_s: float):
+def respond(context: AdminContext, method: str, path: str, now_s: float):
     """Return the status, headers and body for one call."""
     if (method, path) == ("GET", METRICS_PATH):
-        return 200, TEXT, shown.metrics.render()
+        return 200, TEXT, context.metrics.render()
     if (method, path) == ("GET", BLOCKS_PATH):
-        return 200, JSON, msgspec.json.encode(shown.crashes.dump(now_s))
+        return 200, JSON, msgspec.json.encode(context.crashes.dump(now_s))
     if (method, path) == ("GET", LIMITS_PATH):
-        limits = [one._asdict() for one in shown.limits(now_s)]
+        limits = [one._asdict() for one in context.limits(now_s)]
         return 200, JSON, msgspec.json.encode({"limits": limits})
     if method == "POST" and path.startswith(LIFT_PATH):
         fingerprint = path.removeprefix(LIFT_PATH)
-        update = shown.crashes.lift(fingerprint, now_s)
+        update = context.crashes.lift(fingerprint, now_s)
         if not update.records:
             return 404, JSON, msgspec.json.encode(UNKNOWN)
-        shown.publish_crashes(update)
+        context.publish_crashes(update)
         log.info("An operator lifted the block of {}.", fingerprint)
         return 200, JSON, b"{}"
     return 404, [], b""
--- a/libs/node/src/cherryrudder/node/controlstate.py
+++ b/libs/node/src/cherryrudder/node/controlstate.py
@@ -49,7 +49,7 @@
         self.disk_id = ""
         # Set when the process has to end.
         self.stopping = anyio.Event()
-        # When a majority last confirmed the configuration in force; see `controlbeats`.
+        # When a majority last confirmed the configuration (see `controlgossip`).
         self.confirmed_s = float("-inf")
         # Cached services, with the version of their configuration.
         self._services: tuple[int, tuple[Service, ...]] = (0, ())
--- a/libs/node/src/cherryrudder/node/gossip.py
+++ b/libs/node/src/cherryrudder/node/gossip.py
@@ -202,7 +202,7 @@
 
 
 class ProbeResult(NamedTuple):
-    """The result of a requested probe of an engine; see `verification.Seen`."""
+    """The result of a requested probe of an engine; see `verification.Observation`."""
 
     engine_id: str
     sender: str
--- a/libs/node/src/cherryrudder/node/layercontroller.py
+++ b/libs/node/src/cherryrudder/node/layercontroller.py
@@ -102,13 +102,13 @@
 
     def _is_dead(self, engine_id, now):
         """Return whether entries found an engine dead, with no sign of life since."""
-        accused_s = self.state.suspected_s.get(engine_id)
-        if accused_s is None:
+        suspected_s = self.state.suspected_s.get(engine_id)
+        if suspected_s is None:
             return False
-        if self.state.endpoints.table.entries[engine_id].last_seen_s > accused_s:
+        if self.state.endpoints.table.entries[engine_id].last_seen_s > suspected_s:
             del self.state.suspected_s[engine_id]
             return False
-        return now - accused_s > DEATH_BATCH_S
+        return now - suspected_s > DEATH_BATCH_S
 
     def _update_known(self, live, now):
         """Record new engines, and drop orders that heartbeats show as finished."""
--- a/libs/node/src/cherryrudder/node/tablesync.py
+++ b/libs/node/src/cherryrudder/node/tablesync.py
@@ -94,12 +94,12 @@
         known = shared.table.entries.get(sign.engine_id)
         if known is None or known.is_gone:
             continue
-        heard_s = now_s - sign.age_s
-        if heard_s <= known.last_seen_s:
+        last_seen_s = now_s - sign.age_s
+        if last_seen_s <= known.last_seen_s:
             continue
         # The heartbeat's number isn't taken over: the sender may hold a newer state,
         # which would then seem old when it arrives.
-        shared.table.entries[sign.engine_id] = known._replace(last_seen_s=heard_s)
+        shared.table.entries[sign.engine_id] = known._replace(last_seen_s=last_seen_s)
 
 
 def changes_since(
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -101,11 +101,11 @@
 
         All control VMs are asked if none of those has sent anything recently.
         """
-        accusation = SuspicionReport(engine_id, self.state.address)
+        report = SuspicionReport(engine_id, self.state.address)
         answers = roster.live_messages(self.state.controls, now_s())
         local = [answer for answer in answers if answer.vm_zone == vm_zone]
         for answer in local or answers:
-            self.links.send(answer.address, accusation)
+            self.links.send(answer.address, report)
 
     def report_slowness(self, engines: list[Announcement]) -> None:
         """Ask a control VM near each engine of a slow chain to check its pace."""
@@ -240,9 +240,9 @@
             case DeathNotice():
                 self._on_death(message)
             case DeathConfirmation():
-                self._on_end(message)
+                self._on_death_confirmation(message)
             case Refutation():
-                self._on_acquittal(message)
+                self._on_refutation(message)
             case PaceUpdate():
                 self._on_pace(message)
             case LimitUpdate():
@@ -349,7 +349,7 @@
             self.state.engine_died.set()
         self.publish_crashes(crashes.record_engine_end(self.state, engine_id, now_s()))
 
-    def _on_end(self, notice):
+    def _on_death_confirmation(self, notice):
         state, engine_id = self.state, notice.engine_id
         is_new = not entrystate.is_confirmed_dead(state, engine_id)
         suspicion.record_confirmed_death(state.suspicions, engine_id, now_s())
@@ -357,8 +357,8 @@
             state.sink.write("uplink", "engine-ended", True, engine_id=engine_id)
         self.publish_crashes(crashes.record_engine_end(state, engine_id, now_s()))
 
-    def _on_acquittal(self, acquittal):
-        engine_id = acquittal.engine_id
+    def _on_refutation(self, refutation):
+        engine_id = refutation.engine_id
         brokenruns.record_alive(self.state.broken, engine_id)
         if suspicion.reinstate(self.state.suspicions, engine_id):
             self.state.sink.write(
--- a/libs/node/src/cherryrudder/node/voterplanner.py
+++ b/libs/node/src/cherryrudder/node/voterplanner.py
@@ -78,11 +78,11 @@
 def _has_new_disk(voter, known):
     """Return whether the VM has reported another disk since this one's last report."""
     old = known.get(voter.disk_id)
-    heard_s = old.last_seen_s if old else 0.0
+    last_seen_s = old.last_seen_s if old else 0.0
     return any(
         member.voter.vm == voter.vm
         and member.voter.disk_id != voter.disk_id
-        and member.last_seen_s > heard_s
+        and member.last_seen_s > last_seen_s
         for member in known.values()
     )
 
--- a/libs/node/src/cherryrudder/node/voterrunner.py
+++ b/libs/node/src/cherryrudder/node/voterrunner.py
@@ -67,7 +67,7 @@
     state.disk_id = disk.saved.identity.disk_id
     try:
         async with anyio.create_task_group() as group:
-            voter = Voter(_make_seat(state), disk, STATE_MACHINE, group)
+            voter = Voter(_make_config(state), disk, STATE_MACHINE, group)
             voter.start(state.stopping)
             state.voter = voter
             state.sink.write("voter", "open", True, disk_id=state.disk_id)
@@ -78,7 +78,7 @@
         disk.close()
 
 
-def _make_seat(state):
+def _make_config(state):
     timing = Timing(
         HEARTBEAT_S,
         ELECTION_MIN_S,
--- a/libs/node/test/test_surface.py
+++ b/libs/node/test/test_adminapi.py
@@ -19,10 +19,10 @@
         self.addCleanup(piped.close)
         self.published = []
         metrics = Metrics()
-        self.desk = CrashTracker("boot-1", piped.sink, metrics)
-        self.desk.record({"f1": RequestRecord("acme", "llm", ENDED)}, 11.0)
-        self.shown = AdminContext(
-            metrics, self.desk, self.published.append, self.limits
+        self.tracker = CrashTracker("boot-1", piped.sink, metrics)
+        self.tracker.record({"f1": RequestRecord("acme", "llm", ENDED)}, 11.0)
+        self.context = AdminContext(
+            metrics, self.tracker, self.published.append, self.limits
         )
 
     def limits(self, now_s):
@@ -34,7 +34,7 @@
         self.assertEqual((status, json.loads(body)), (200, {"limits": [listed]}))
 
     def respond(self, method, path):
-        status, _, body = adminapi.respond(self.shown, method, path, 12.0)
+        status, _, body = adminapi.respond(self.context, method, path, 12.0)
         return status, body
 
     def test_blocks_are_listed_with_their_engines(self):
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -258,8 +258,10 @@
 class FaultyMessageTest(EntryCase):
     """Guards against a faulty message that crashes every process that receives it."""
 
-    def deliver(self, reader, desk):
-        with mock.patch.object(desk, "merge_records", side_effect=TypeError("fault")):
+    def deliver(self, reader, tracker):
+        with mock.patch.object(
+            tracker, "merge_records", side_effect=TypeError("fault")
+        ):
             reader._on_frames("peer:1", [CrashUpdate(()), DeathNotice(FIRST)])
 
     def test_an_entry_handles_the_next_message(self):
@@ -275,7 +277,7 @@
 class SyncTest(unittest.TestCase):
     """Guards against entries that still send requests known to crash engines."""
 
-    def a_desk(self, boot):
+    def a_tracker(self, boot):
         piped = PipedSink()
         self.addCleanup(piped.close)
         return CrashTracker(boot, piped.sink, Metrics())
@@ -286,7 +288,7 @@
         return reader.merge_sync(sender.book.boot, sync, now_s()), sync
 
     def test_two_processes_get_the_same_blocks(self):
-        one, other = self.a_desk("one"), self.a_desk("other")
+        one, other = self.a_tracker("one"), self.a_tracker("other")
         one.record({"bad": a_record(FIRST, SECOND)}, now_s())
         other.record({"bad": a_record(OTHER)}, now_s())
         self.send_heartbeat(one, other)
@@ -294,7 +296,7 @@
         self.assertEqual((set(one.book.blocks), set(other.book.blocks)), ({"bad"},) * 2)
 
     def test_acknowledged_records_are_not_sent_again(self):
-        one, other = self.a_desk("one"), self.a_desk("other")
+        one, other = self.a_tracker("one"), self.a_tracker("other")
         one.record({"bad": a_record(FIRST)}, now_s())
         self.send_heartbeat(one, other)
         self.send_heartbeat(other, one)
@@ -302,11 +304,11 @@
         self.assertEqual((update, sync.records), ([], ()))
 
     def test_a_restarted_process_is_sent_all_records(self):
-        one, other = self.a_desk("one"), self.a_desk("other")
+        one, other = self.a_tracker("one"), self.a_tracker("other")
         one.record({"bad": a_record(*ENGINES)}, now_s())
         self.send_heartbeat(one, other)
         self.send_heartbeat(other, one)
-        again = self.a_desk("again")
+        again = self.a_tracker("again")
         for _ in range(2):
             # It sends heartbeats from its old address.
             again.merge_sync("one", one.make_sync("other", now_s()), now_s())
@@ -325,7 +327,7 @@
                 for address, vm_zone in (("near:1", "a"), ("far:1", "b")):
                     heartbeat = SimpleNamespace(address=address, vm_zone=vm_zone)
                     roster.record(control.entries, address, heartbeat, now_s())
-                source = self.a_desk("one")
+                source = self.a_tracker("one")
                 for engine_ids in ((FIRST,), (FIRST, SECOND)):
                     update = source.record({"bad": a_record(*engine_ids)}, now_s())
                     gossip._on_frames("", [update])
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -55,14 +55,14 @@
             for state in (self.entry, *self.controls.values()):
                 tablesync.record_heartbeat(state.endpoints, announcement, now)
 
-    def run(self, accused_by=(NEAR,), rounds=1, after=lambda: None):
+    def run(self, reported_to=(NEAR,), rounds=1, after=lambda: None):
         """Report the engine to some control VMs; return the messages to the entry."""
 
         async def scenario():
             async with anyio.create_task_group() as group:
                 self._connect(group)
                 for _ in range(rounds):
-                    for ip in accused_by:
+                    for ip in reported_to:
                         self._deliver(
                             self.controls[ip].address,
                             SuspicionReport(ENGINE, self.entry.address),
@@ -126,10 +126,10 @@
     """
 
     def test_an_answer_outweighs_silence(self):
-        for accused_by in ([NEAR], [ALSO_NEAR], [NEAR, ALSO_NEAR]):
-            with self.subTest(accused_by=accused_by):
+        for reported_to in ([NEAR], [ALSO_NEAR], [NEAR, ALSO_NEAR]):
+            with self.subTest(reported_to=reported_to):
                 scenario = Scenario(self, {NEAR: False, ALSO_NEAR: True})
-                messages = scenario.run(accused_by)
+                messages = scenario.run(reported_to)
                 self.assertEqual(set(messages), {Refutation(ENGINE)})
                 self.assertTrue(scenario.counts())
                 self.assertEqual(scenario.controls[NEAR].suspected_s, {})
--- a/libs/node/test/test_roster.py
+++ b/libs/node/test/test_roster.py
@@ -34,8 +34,13 @@
 
     def test_the_mean_age_is_of_the_other_live_peers(self):
         known = Roster("own")
-        for name, heard_s in (("asker", 0.0), ("a", 9.0), ("b", 9.5), ("lost", 6.0)):
-            roster.record(known, name, "message", heard_s)
+        for name, last_seen_s in (
+            ("asker", 0.0),
+            ("a", 9.0),
+            ("b", 9.5),
+            ("lost", 6.0),
+        ):
+            roster.record(known, name, "message", last_seen_s)
         roster.record(known, "asker", "message", 10.0)
         self.assertAlmostEqual(roster.mean_age_s(known, "asker", 10.0), 0.75)
         self.assertEqual(roster.mean_age_s(Roster("own"), "", 10.0), 0.0)
