--- a/libs/node/src/cherryrudder/node/ratelimiter.py
+++ b/libs/node/src/cherryrudder/node/ratelimiter.py
@@ -65,7 +65,7 @@
         return
     if ratelimits.record_limit(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
         job.note("engine-limit-named", True, engine_id=engine_id)
-        _note_change(job.state, engine_id, known)
+        _log_change(job.state, engine_id, known)
         rates.publish(LimitUpdate((ReportedLimit(engine_id, facts.limit_per_s, 0.0),)))
 
 
@@ -78,10 +78,10 @@
         known = book.limits.get(one.engine_id)
         said = Limit(one.per_s, now_s - one.age_s)
         if ratelimits.record_limit(book, one.engine_id, said):
-            _note_change(state, one.engine_id, known)
+            _log_change(state, one.engine_id, known)
 
 
-def _note_change(state, engine_id, before):
+def _log_change(state, engine_id, before):
     state.metrics.beliefs.labels("engine-limit").inc()
     state.sink.write(
         "rates",
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -312,11 +312,11 @@
             if entry is not None:
                 self._log_endpoint(entry)
             if entry is not None and not entry.is_gone:
-                self._note_incarnation(entry.announcement)
+                self._record_incarnation(entry.announcement)
             if entry is not None and endpoints.has_leaving_notice(entry.announcement):
                 state.leaving_since_s.setdefault(engine_id, now)
 
-    def _note_incarnation(self, announcement):
+    def _record_incarnation(self, announcement):
         """Close the connections to an address whose engine was replaced.
 
         Otherwise the first request to an engine that restarted would be sent on an old
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -97,9 +97,9 @@
 
     def test_it_is_counted_when_another_incarnation_is_at_the_address(self):
         address = f"{FIRST}:80"
-        self.uplink._note_incarnation(an_announcement(FIRST))
+        self.uplink._record_incarnation(an_announcement(FIRST))
         self.break_run()
-        self.uplink._note_incarnation(an_announcement("boot-9", address=address))
+        self.uplink._record_incarnation(an_announcement("boot-9", address=address))
         self.assertEqual(self.known(), {FIRST})
 
     def test_it_is_counted_when_only_the_end_notice_arrives(self):
