--- a/libs/node/src/cherryrudder/node/adminapi.py
+++ b/libs/node/src/cherryrudder/node/adminapi.py
@@ -1,4 +1,4 @@
-"""What a process shows to scrapers and operators at its metrics address."""
+"""Serve metrics, blocks and limits to scrapers and operators at the metrics address."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 from .httpserver import HttpServer
 from .metrics import Metrics
 
-# By role, on its own machine's address.
+# Port by role, at the machine's address.
 PORTS = {"entry": 9464, "control": 9465}
 METRICS_PATH = "/metrics"
 BLOCKS_PATH = "/blocks"
@@ -29,41 +29,41 @@
 
 
 class AdminContext(NamedTuple):
-    """What a process shows, and where it tells others that a block was lifted."""
+    """The data that a process serves, and the call that publishes lifted blocks."""
 
     metrics: Metrics
-    desk: CrashTracker
-    tell: Callable[[CrashUpdate], None]
-    # Returns the requests a second that engines ask for.
+    crashes: CrashTracker
+    publish_crashes: Callable[[CrashUpdate], None]
+    # Returns the request rates that engines ask for.
     limits: Callable[[float], list]
 
 
-async def serve(address: str, shown: AdminContext) -> None:
-    """Answer until cancelled."""
+async def serve(address: str, context: AdminContext) -> None:
+    """Serve at an address until cancelled."""
 
     async def answer(exchange: Exchange):
         method = exchange.request.method.decode()
         path = exchange.request.target.decode("latin-1")
-        await exchange.answer(*respond(shown, method, path, now_s()))
+        await exchange.answer(*respond(context, method, path, now_s()))
 
     await httpserver.serve(HttpServer(answer), address)
 
 
-def respond(shown: AdminContext, method: str, path: str, now_s: float):
-    """Return status, headers and body of the answer to one call."""
+def respond(context: AdminContext, method: str, path: str, now_s: float):
+    """Return the status, headers and body for one call."""
     if (method, path) == ("GET", METRICS_PATH):
-        return 200, TEXT, shown.metrics.render()
+        return 200, TEXT, context.metrics.render()
     if (method, path) == ("GET", BLOCKS_PATH):
-        return 200, JSON, msgspec.json.encode(shown.desk.dump(now_s))
+        return 200, JSON, msgspec.json.encode(context.crashes.dump(now_s))
     if (method, path) == ("GET", LIMITS_PATH):
-        limits = [one._asdict() for one in shown.limits(now_s)]
+        limits = [one._asdict() for one in context.limits(now_s)]
         return 200, JSON, msgspec.json.encode({"limits": limits})
     if method == "POST" and path.startswith(LIFT_PATH):
         fingerprint = path.removeprefix(LIFT_PATH)
-        news = shown.desk.lift(fingerprint, now_s)
-        if not news.records:
+        update = context.crashes.lift(fingerprint, now_s)
+        if not update.records:
             return 404, JSON, msgspec.json.encode(UNKNOWN)
-        shown.tell(news)
+        context.publish_crashes(update)
         log.info("An operator lifted the block of {}.", fingerprint)
         return 200, JSON, b"{}"
     return 404, [], b""
--- a/libs/node/src/cherryrudder/node/control.py
+++ b/libs/node/src/cherryrudder/node/control.py
@@ -1,23 +1,23 @@
-"""The control process: heartbeats, the configuration's log, and the layers."""
+"""The control process: gossip, the replicated configuration log, and the layers."""
 
 import anyio
 
 from cherryrudder.platform.settings import NodeSettings
 
-from . import adminapi, httpserver, seatkeeper
+from . import adminapi, httpserver, voterrunner
 from .adminapi import AdminContext
 from .controlapi import ControlApi
 from .controlgossip import ControlGossip
 from .controlstate import ControlState
 from .httpserver import HttpServer
-from .layerkeeper import LayerKeeper
+from .layercontroller import LayerController
 from .linesink import LineSink
 from .metrics import Metrics
 
-# How long a process that is to stop waits for its leadership to be taken over and for
-# the calls that it has begun; the platform gives eight seconds.
-HAND_OVER_S = 0.3
-LAST_CALLS_S = 2.0
+# How long a stopping process waits for its leadership to be transferred, and for calls
+# in flight to end. The platform allows eight seconds.
+HANDOVER_WAIT_S = 0.3
+DRAIN_TIMEOUT_S = 2.0
 
 
 async def run(
@@ -26,18 +26,21 @@
     """Serve as a control VM until `leaving` is set."""
     state = ControlState(settings, sink, metrics)
     async with anyio.create_task_group() as group:
-        beats = ControlGossip(state, group)
-        beats.start()
+        control_gossip = ControlGossip(state, group)
+        control_gossip.start()
         group.start_soon(
             adminapi.serve,
             f"{settings.ip}:{adminapi.PORTS['control']}",
             AdminContext(
-                metrics, state.crashes, beats.publish_crashes, beats.rates.told
+                metrics,
+                state.crashes,
+                control_gossip.publish_crashes,
+                control_gossip.rates.report_limits,
             ),
         )
-        group.start_soon(seatkeeper.run, state, beats.on_applied)
-        group.start_soon(LayerKeeper(state, beats, group).run)
-        server = HttpServer(ControlApi(state, beats).handle)
+        group.start_soon(voterrunner.run, state, control_gossip.on_applied)
+        group.start_soon(LayerController(state, control_gossip, group).run)
+        server = HttpServer(ControlApi(state, control_gossip).handle)
         group.start_soon(httpserver.serve, server, settings.control_address)
         await leaving.wait()
         await _stop(state, server)
@@ -46,9 +49,9 @@
 
 async def _stop(state, server):
     server.is_closing = True
-    seatkeeper.hand_over(state)
-    await anyio.sleep(HAND_OVER_S)
-    with anyio.move_on_after(LAST_CALLS_S):
+    voterrunner.transfer_leadership(state)
+    await anyio.sleep(HANDOVER_WAIT_S)
+    with anyio.move_on_after(DRAIN_TIMEOUT_S):
         while server.busy():
             await anyio.sleep(0.02)
     state.stopping.set()
--- a/libs/node/src/cherryrudder/node/controlgossip.py
+++ b/libs/node/src/cherryrudder/node/controlgossip.py
@@ -1,4 +1,4 @@
-"""The control VM's gossip: answers to entries, beats to other control VMs, news."""
+"""A control VM's gossip: answers to entries, heartbeats to its peers, and updates."""
 
 import anyio
 from loguru import logger
@@ -12,46 +12,46 @@
 from . import gossip, roster, tablesync
 from .controlstate import ControlState
 from .gossip import (
-    ConfigurationNews,
+    ConfigurationUpdate,
     ControlAnswer,
-    ControlBeat,
+    ControlHeartbeat,
     CrashUpdate,
     DeathNotice,
-    EndpointNews,
-    EntryBeat,
-    LimitNews,
+    EndpointUpdate,
+    EntryHeartbeat,
+    LimitUpdate,
     PaceUpdate,
     PermitRequest,
     ProbeRequest,
     ProbeResult,
     SlownessReport,
     SuspicionReport,
-    TableMark,
+    SyncPosition,
     Usage,
 )
 from .pacewatch import PaceWatch
 from .permitissuer import PermitIssuer
 from .verification import Verifier
 
-BEAT_S = 0.5
-# The leader answers a confirmation after one round of the log's heartbeats, some
-# milliseconds; an election takes a second.
-CONFIRM_S = 0.8
-# Beats that come within this time share one confirmation. Each takes a message to the
-# leader and one to every voter; at once for each beat they were half of this process's
-# work.
-CONFIRM_EVERY_S = 0.2
-# Entries without a configuration serve nobody, so they wait for less. They beat ten
-# times a second until they have one.
-FIRST_CONFIRM_EVERY_S = 0.03
-# Another data centre's control VM sends a configuration only to entries that still
-# lack it after this long; their own has sent it at once. It keeps a large configuration
-# from crossing between data centres three times.
-FAR_WAIT_S = 0.4
-# An entry without any configuration serves nobody, so it waits for less: where the
-# control VM of its data centre has lost its disk, all entries there served 0.6 s later
-# than the others. A near one sends within some milliseconds.
-FIRST_FAR_WAIT_S = 0.1
+HEARTBEAT_S = 0.5
+# A leader confirms after one round of the log's heartbeats, within some milliseconds;
+# an election takes a second.
+CONFIRM_TIMEOUT_S = 0.8
+# Heartbeats that arrive within this time share one confirmation. A confirmation takes a
+# message to the leader and one to every voter; one for each heartbeat took half of this
+# process's CPU time.
+CONFIRM_INTERVAL_S = 0.2
+# The interval while an entry without a configuration waits: it can't serve anybody, and
+# sends ten heartbeats a second until it has one.
+FIRST_CONFIRM_INTERVAL_S = 0.03
+# Entries get a new configuration from the control VM of their own data centre at once.
+# Control VMs elsewhere send it only to entries that still lack it after this time, so
+# that a large configuration doesn't cross between data centres three times.
+REMOTE_SEND_DELAY_S = 0.4
+# The same for entries without any configuration. With the delay above, entries whose
+# local control VM had lost its disk began to serve 0.6 s later than the others. A local
+# control VM sends within some milliseconds.
+FIRST_REMOTE_SEND_DELAY_S = 0.1
 
 log = logger.bind(part="control")
 
@@ -68,16 +68,16 @@
         self.pace = PaceWatch(state, self.links, group)
         self.rates = PermitIssuer(state, self.links)
         self._codec = codec
-        # Entries' beats that wait for the next confirmation.
-        self._waiting: dict[str, EntryBeat] = {}
+        # Entries' heartbeats that wait for the next confirmation, by address.
+        self._waiting: dict[str, EntryHeartbeat] = {}
         self._wake = anyio.Event()
-        # Set when one of them has no configuration yet.
-        self._hurry = anyio.Event()
+        # Set when a waiting entry has no configuration yet.
+        self._urgent = anyio.Event()
         self._changed_s = 0.0
-        self._seen: dict[str, TableMark] = {}
+        self._positions: dict[str, SyncPosition] = {}
 
     def start(self) -> None:
-        """Start listening, beating and answering."""
+        """Start to listen, to send heartbeats and to answer."""
         state = self.state
         self.group.start_soon(
             listen_frames,
@@ -87,35 +87,38 @@
             self._on_frames,
             state.stopping,
         )
-        self.group.start_soon(self._beat)
+        self.group.start_soon(self._send_heartbeats)
         self.group.start_soon(self._confirm)
 
     def on_applied(self) -> None:
-        """Send a configuration that was accepted to the entries nearby, at once."""
+        """Send a newly applied configuration to the entries of this data centre."""
         version = self.state.version
         if not version:
             return
         self._changed_s = now_s()
-        news = ConfigurationNews(version, self.state.voter.state.packed)
-        for beat in roster.live_messages(self.state.entries, now_s()):
-            if beat.vm_zone == self.state.settings.vm_zone and beat.version < version:
-                self.links.send(beat.address, news)
+        update = ConfigurationUpdate(version, self.state.voter.state.packed)
+        for heartbeat in roster.live_messages(self.state.entries, now_s()):
+            if (
+                heartbeat.vm_zone == self.state.settings.vm_zone
+                and heartbeat.version < version
+            ):
+                self.links.send(heartbeat.address, update)
 
     def publish_endpoints(self, engine_ids) -> None:
-        """Tell everybody of endpoints that changed just now."""
-        told = tablesync.news_of(self.state.endpoints, engine_ids, now_s())
-        news = EndpointNews(told)
-        if not news.endpoints:
+        """Send changed endpoints to all live control VMs and entries."""
+        reported = tablesync.report_endpoints(self.state.endpoints, engine_ids, now_s())
+        update = EndpointUpdate(reported)
+        if not update.endpoints:
             return
-        for address in self._everybody():
-            self.links.send(address, news)
+        for address in self._live_peers():
+            self.links.send(address, update)
 
-    def publish_crashes(self, news: CrashUpdate) -> None:
-        """Tell everybody of requests that end engines, or do so no more."""
-        for address in self._everybody():
-            self.links.send(address, news)
+    def publish_crashes(self, update: CrashUpdate) -> None:
+        """Send changed crash records to all live control VMs and entries."""
+        for address in self._live_peers():
+            self.links.send(address, update)
 
-    def _everybody(self):
+    def _live_peers(self):
         state, now = self.state, now_s()
         return [
             *roster.live_addresses(state.roster, now),
@@ -123,19 +126,19 @@
         ]
 
     def _on_down(self, address):
-        """Leave it to the beats, which tell what was lost and who was."""
+        """Do nothing: heartbeats resend what was lost and detect lost peers."""
 
     def _on_frames(self, peer, messages):
-        gossip.deliver(peer, messages, self._take)
+        gossip.deliver(peer, messages, self._handle)
 
-    def _take(self, message):
+    def _handle(self, message):
         match message:
-            case EntryBeat():
-                self._on_entry(message)
-            case ControlBeat():
-                self._on_control(message)
-            case EndpointNews():
-                self._take_endpoints(message.endpoints)
+            case EntryHeartbeat():
+                self._on_entry_heartbeat(message)
+            case ControlHeartbeat():
+                self._on_control_heartbeat(message)
+            case EndpointUpdate():
+                self._merge_endpoints(message.endpoints)
             case SuspicionReport():
                 self.verifier.handle_suspicion(message)
             case ProbeRequest():
@@ -143,73 +146,87 @@
             case ProbeResult():
                 self.verifier.handle_probe_result(message)
             case CrashUpdate():
-                self._pass_on(self.state.crashes.take_records(message.records, now_s()))
+                self._forward_crashes(
+                    self.state.crashes.merge_records(message.records, now_s())
+                )
             case SlownessReport():
                 self.pace.handle_slowness_report(message)
             case PaceUpdate():
                 self.pace.handle_pace_update(message)
             case DeathNotice():
                 self.verifier.mark_dead(message.engine_id)
-            case LimitNews():
-                self.rates.hear(message.limits, now_s())
+            case LimitUpdate():
+                self.rates.record_limits(message.limits, now_s())
             case PermitRequest():
-                self.rates.answer(message, now_s())
+                self.rates.handle_request(message, now_s())
 
-    def _on_entry(self, beat):
+    def _on_entry_heartbeat(self, heartbeat):
         state, now = self.state, now_s()
-        if roster.record(state.entries, beat.address, beat, now):
+        if roster.record(state.entries, heartbeat.address, heartbeat, now):
             state.sink.write(
-                "control", "entry-found", peer=beat.vm, address=beat.address
+                "control", "entry-found", peer=heartbeat.vm, address=heartbeat.address
             )
-        if beat.crashes is not None:
-            self._pass_on(state.crashes.take(beat.address, beat.crashes, now))
-        self.rates.hear(beat.limits, now)
-        self._waiting[beat.address] = beat
+        if heartbeat.crashes is not None:
+            self._forward_crashes(
+                state.crashes.merge_sync(heartbeat.address, heartbeat.crashes, now)
+            )
+        self.rates.record_limits(heartbeat.limits, now)
+        self._waiting[heartbeat.address] = heartbeat
         self._wake.set()
-        if not beat.version:
-            self._hurry.set()
+        if not heartbeat.version:
+            self._urgent.set()
 
-    def _on_control(self, beat):
+    def _on_control_heartbeat(self, heartbeat):
         state, now = self.state, now_s()
-        if roster.record(state.roster, beat.address, beat, now):
+        if roster.record(state.roster, heartbeat.address, heartbeat, now):
             state.sink.write(
-                "control", "control-found", True, peer=beat.vm, address=beat.address
+                "control",
+                "control-found",
+                True,
+                peer=heartbeat.vm,
+                address=heartbeat.address,
+            )
+        roster.add_reported(state.roster, heartbeat.controls, now)
+        self._positions[heartbeat.address] = SyncPosition(
+            heartbeat.boot, heartbeat.table_version
+        )
+        # Not forwarded: the others receive the same heartbeats and updates.
+        tablesync.merge(state.endpoints, heartbeat.endpoints, now)
+        tablesync.merge_liveness(state.endpoints, heartbeat.alive, now)
+        if heartbeat.crashes is not None:
+            self._forward_crashes(
+                state.crashes.merge_sync(heartbeat.address, heartbeat.crashes, now)
             )
-        roster.tell(state.roster, beat.controls, now)
-        self._seen[beat.address] = TableMark(beat.boot, beat.table_version)
-        # No news of it to others: they hear the same beats or news themselves.
-        tablesync.take(state.endpoints, beat.endpoints, now)
-        tablesync.take_alive(state.endpoints, beat.alive, now)
-        if beat.crashes is not None:
-            self._pass_on(state.crashes.take(beat.address, beat.crashes, now))
-        self.rates.hear(beat.limits, now)
+        self.rates.record_limits(heartbeat.limits, now)
 
-    def _pass_on(self, fingerprints):
-        """Tell the entries nearby at once of what may change how they decide."""
+    def _forward_crashes(self, fingerprints):
+        """Send records that may lead to a block to the entries of this data centre."""
         state, now = self.state, now_s()
         records = state.crashes.book.records
         urgent = [one for one in fingerprints if len(records[one].crashes) > 1]
         if not urgent:
             return
-        news = state.crashes.news_of(urgent, now)
-        for beat in roster.live_messages(state.entries, now):
-            if beat.vm_zone == state.settings.vm_zone:
-                self.links.send(beat.address, news)
+        update = state.crashes.make_update(urgent, now)
+        for heartbeat in roster.live_messages(state.entries, now):
+            if heartbeat.vm_zone == state.settings.vm_zone:
+                self.links.send(heartbeat.address, update)
 
-    def _take_endpoints(self, endpoints):
+    def _merge_endpoints(self, endpoints):
         now = now_s()
-        news = tablesync.take(self.state.endpoints, endpoints, now)
-        # An entry that the sender doesn't reach hears it from here.
-        for address in roster.live_addresses(self.state.entries, now) if news else ():
-            told = tablesync.news_of(self.state.endpoints, news, now)
-            self.links.send(address, EndpointNews(told))
+        changed = tablesync.merge(self.state.endpoints, endpoints, now)
+        # Forwarded, as the sender may not reach every entry.
+        for address in (
+            roster.live_addresses(self.state.entries, now) if changed else ()
+        ):
+            reported = tablesync.report_endpoints(self.state.endpoints, changed, now)
+            self.links.send(address, EndpointUpdate(reported))
 
-    async def _beat(self):
+    async def _send_heartbeats(self):
         state = self.state
         while not state.stopping.is_set():
             now = now_s()
-            for address in roster.targets(state.roster, now):
-                self.links.send(address, self._own_beat(address, now))
+            for address in roster.heartbeat_targets(state.roster, now):
+                self.links.send(address, self._make_heartbeat(address, now))
             for address in roster.sweep(state.roster, now):
                 state.sink.write("control", "control-lost", True, address=address)
             for address in roster.sweep(state.entries, now):
@@ -217,15 +234,18 @@
             tablesync.sweep(state.endpoints, now)
             self.verifier.review(now)
             self.rates.sweep(now)
-            present = {*roster.targets(state.roster, now), *state.entries.peers}
-            state.crashes.review(present, now)
-            await anyio.sleep(BEAT_S)
+            present = {
+                *roster.heartbeat_targets(state.roster, now),
+                *state.entries.peers,
+            }
+            state.crashes.sweep(present, now)
+            await anyio.sleep(HEARTBEAT_S)
 
-    def _own_beat(self, address, now):
+    def _make_heartbeat(self, address, now):
         state = self.state
-        known = state.roster.peers.get(address)
-        seen = known.beat.seen if known else TableMark("", 0)
-        return ControlBeat(
+        peer = state.roster.peers.get(address)
+        acked = peer.message.acked if peer else SyncPosition("", 0)
+        return ControlHeartbeat(
             boot=state.boot,
             vm=state.settings.vm,
             address=state.address,
@@ -235,87 +255,91 @@
             vm_zone=state.settings.vm_zone,
             is_founding=state.settings.is_founding,
             controls=tuple(roster.live_addresses(state.roster, now)),
-            seen=self._seen.get(address, TableMark("", 0)),
+            acked=self._positions.get(address, SyncPosition("", 0)),
             table_version=state.endpoints.table.version,
-            endpoints=tablesync.news_since(state.endpoints, seen, now),
-            alive=tablesync.signs(state.endpoints, now),
-            crashes=state.crashes.message(address, now),
-            limits=self.rates.told(now),
+            endpoints=tablesync.changes_since(state.endpoints, acked, now),
+            alive=tablesync.recent_liveness(state.endpoints, now),
+            crashes=state.crashes.make_sync(address, now),
+            limits=self.rates.report_limits(now),
         )
 
     async def _confirm(self):
-        """Answer the beats that came before each confirmation, all together."""
+        """Answer all heartbeats that arrived before each confirmation."""
         while True:
             await self._wake.wait()
-            self._wake, self._hurry = anyio.Event(), anyio.Event()
+            self._wake, self._urgent = anyio.Event(), anyio.Event()
             waiting, self._waiting = self._waiting, {}
             asked_s = now_s()
             version = await self._confirmed_version()
             if version >= 0:
                 self.state.confirmed_s = asked_s
-            for beat in waiting.values():
-                self._answer(beat, version)
-            await anyio.sleep(FIRST_CONFIRM_EVERY_S)
-            with anyio.move_on_after(CONFIRM_EVERY_S - FIRST_CONFIRM_EVERY_S):
-                await self._hurry.wait()
+            for heartbeat in waiting.values():
+                self._answer(heartbeat, version)
+            await anyio.sleep(FIRST_CONFIRM_INTERVAL_S)
+            with anyio.move_on_after(CONFIRM_INTERVAL_S - FIRST_CONFIRM_INTERVAL_S):
+                await self._urgent.wait()
 
     async def _confirmed_version(self):
         voter = self.state.voter
         if voter is None:
             return -1
         try:
-            await voter.wait_for_read_index(CONFIRM_S)
+            await voter.wait_for_read_index(CONFIRM_TIMEOUT_S)
         except ReplicaError as error:
             log.debug("No confirmation: {}.", error)
             return -1
         return self.state.version
 
-    def _answer(self, beat, version):
+    def _answer(self, heartbeat, version):
         state, now = self.state, now_s()
-        # The voter may have lost its disk since it confirmed.
+        # The voter may have lost its disk since the confirmation.
         voter = state.voter
-        if voter is not None and beat.version < version:
-            is_near = beat.vm_zone == state.settings.vm_zone
-            wait_s = FAR_WAIT_S if beat.version else FIRST_FAR_WAIT_S
-            if is_near or now - self._changed_s > wait_s:
-                news = ConfigurationNews(voter.state.version, voter.state.packed)
-                self.links.send(beat.address, news)
-        others = self._others(beat, now)
+        if voter is not None and heartbeat.version < version:
+            is_local = heartbeat.vm_zone == state.settings.vm_zone
+            delay_s = (
+                REMOTE_SEND_DELAY_S if heartbeat.version else FIRST_REMOTE_SEND_DELAY_S
+            )
+            if is_local or now - self._changed_s > delay_s:
+                update = ConfigurationUpdate(voter.state.version, voter.state.packed)
+                self.links.send(heartbeat.address, update)
+        others = self._other_heartbeats(heartbeat, now)
         answer = ControlAnswer(
             boot=state.boot,
             address=state.address,
-            sent_s=beat.sent_s,
+            sent_s=heartbeat.sent_s,
             version=version,
             controls=(state.address, *roster.live_addresses(state.roster, now)),
             table_version=state.endpoints.table.version,
-            endpoints=tablesync.news_since(state.endpoints, beat.seen, now),
-            alive=tablesync.signs(state.endpoints, now) if beat.wants_all else (),
+            endpoints=tablesync.changes_since(state.endpoints, heartbeat.acked, now),
+            alive=tablesync.recent_liveness(state.endpoints, now)
+            if heartbeat.requests_all
+            else (),
             vm_zone=state.settings.vm_zone,
             usage=None if others is None else _sum_usage(others),
             spent=None if others is None else _sum_spent(others),
-            spent_age_s=roster.mean_age_s(state.entries, beat.address, now),
+            spent_age_s=roster.mean_age_s(state.entries, heartbeat.address, now),
             entries=len(roster.live_addresses(state.entries, now)),
             crashes=(
-                state.crashes.message(beat.address, now)
-                if beat.crashes is not None
+                state.crashes.make_sync(heartbeat.address, now)
+                if heartbeat.crashes is not None
                 else None
             ),
-            limits=self.rates.told(now),
+            limits=self.rates.report_limits(now),
         )
-        self.links.send(beat.address, answer)
+        self.links.send(heartbeat.address, answer)
 
-    def _others(self, beat, now):
-        """Return the beats of the other entries, None when they weren't asked for."""
-        if not beat.wants_all:
+    def _other_heartbeats(self, heartbeat, now):
+        """Return the heartbeats of the other entries, None if not requested."""
+        if not heartbeat.requests_all:
             return None
-        beats = roster.live_messages(self.state.entries, now)
-        return [other for other in beats if other.address != beat.address]
+        heartbeats = roster.live_messages(self.state.entries, now)
+        return [other for other in heartbeats if other.address != heartbeat.address]
 
 
-def _sum_usage(beats):
-    """Sum up what entries have running, by engine."""
+def _sum_usage(heartbeats):
+    """Return the usage summed over entries, by engine."""
     sums: dict[str, Usage] = {}
-    for one in (one for beat in beats for one in beat.usage):
+    for one in (one for heartbeat in heartbeats for one in heartbeat.usage):
         known = sums.get(one.address, Usage(one.address, 0, 0, 0))
         sums[one.address] = Usage(
             one.address,
@@ -326,10 +350,10 @@
     return tuple(sums.values())
 
 
-def _sum_spent(beats):
-    """Sum up what entries have spent, by service."""
+def _sum_spent(heartbeats):
+    """Return the requests and retries summed over entries, by service."""
     sums: dict[str, RetryUsage] = {}
-    for one in (one for beat in beats for one in beat.spent):
+    for one in (one for heartbeat in heartbeats for one in heartbeat.spent):
         known = sums.get(one.service, RetryUsage(one.service, 0, 0))
         requests, retries = known.requests + one.requests, known.retries + one.retries
         sums[one.service] = RetryUsage(one.service, requests, retries)
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -1,4 +1,4 @@
-"""An entry's part in finding requests that end the engines which begin them."""
+"""An entry's part in the detection of requests that crash the engines they run on."""
 
 import math
 from typing import TYPE_CHECKING
@@ -18,18 +18,19 @@
 if TYPE_CHECKING:
     from .job import Job
 
-# Final for every client: it names the request itself, and promises nothing of its runs.
+# Final for every client: the status blames the request itself. It doesn't say that the
+# request wasn't run.
 REFUSED_AS_CRASHING = Refused(400, "it ends the engines that run it")
-# How long a request that engines ended under before waits to hear whether this one has
-# ended, too: control VMs find it out in some milliseconds, and two ask for 0.4 s.
-FATE_S = 0.5
-FATE_POLL_S = 0.02
+# How long a request under which engines ended before waits for the verdict on the next
+# one. Control VMs reach it within some milliseconds; when two ask, it takes 0.4 s.
+VERDICT_WAIT_S = 0.5
+VERDICT_POLL_S = 0.02
 
 
 def is_blocked(job: "Job", now_s: float) -> bool:
-    """Tell whether a request is to be refused, since it ends its engines.
+    """Return whether to refuse a request because it crashes engines.
 
-    Those of other software than ended may run it.
+    It isn't refused while all engines run other versions than those that crashed.
     """
     state = job.state
     block = state.crashes.block_of(job.fingerprint, now_s)
@@ -40,7 +41,7 @@
 
 
 def log_refused(job: "Job", now_s: float) -> None:
-    """Log that a request is refused for its block."""
+    """Log that a request is refused because it is blocked."""
     state = job.state
     block = state.crashes.block_of(job.fingerprint, now_s)
     state.metrics.crashes.labels("refused").inc()
@@ -55,8 +56,8 @@
 def record_broken_run(
     job: "Job", engine_id: str, event: int, now_s: float
 ) -> CrashUpdate:
-    """Keep a run that broke off; return what others are to hear of it."""
-    _forget_refuted_end(job.state, engine_id)
+    """Record that a run broke off; return the update for others."""
+    _drop_refuted_end(job.state, engine_id)
     run = BrokenRun(
         fingerprint=job.fingerprint,
         request_id=job.facts.request_id,
@@ -66,11 +67,11 @@
         broke_s=now_s,
     )
     brokenruns.add(job.state.broken, engine_id, run)
-    return _blame(job.state, engine_id, now_s)
+    return _record_crashes(job.state, engine_id, now_s)
 
 
-def _forget_refuted_end(state, engine_id):
-    """Drop an end after which the engine was heard again."""
+def _drop_refuted_end(state, engine_id):
+    """Drop the recorded end of an engine that has sent a sign of life since."""
     entry = state.endpoints.table.entries.get(engine_id)
     ended_s = state.broken.ended_s.get(engine_id, math.inf)
     if entry is not None and entry.last_seen_s > ended_s:
@@ -78,12 +79,12 @@
 
 
 def record_engine_end(state: EntryState, engine_id: str, now_s: float) -> CrashUpdate:
-    """Take note that an engine has ended; return what others are to hear."""
+    """Record that an engine has ended; return the update for others."""
     brokenruns.record_end(state.broken, engine_id, now_s)
-    return _blame(state, engine_id, now_s)
+    return _record_crashes(state, engine_id, now_s)
 
 
-def _blame(state, engine_id, now):
+def _record_crashes(state, engine_id, now):
     leaving_s = state.leaving_since_s.get(engine_id, math.inf)
     entry = state.endpoints.table.entries.get(engine_id)
     runs = brokenruns.take_crashed(state.broken, engine_id, leaving_s) if entry else []
@@ -103,35 +104,36 @@
             age_s=round(now - run.broke_s, 3),
             **run._asdict(),
         )
-    return state.crashes.note(records, now)
+    return state.crashes.record(records, now)
 
 
 def record_progress(job: "Job", event: int, now_s: float) -> CrashUpdate | None:
-    """Take note how far a run got on an engine that lives; return what is news."""
-    desk = job.state.crashes
-    known = desk.book.records.get(job.fingerprint)
-    if known is None or not desk.is_watched(job.fingerprint):
+    """Record a run's progress on a live engine; return the update, None if none."""
+    tracker = job.state.crashes
+    known = tracker.book.records.get(job.fingerprint)
+    if known is None or not tracker.is_watched(job.fingerprint):
         return None
     if event <= crashbook.furthest_event(known) + blame.POSITION_TOLERANCE_EVENTS:
         return None
     record = RequestRecord(known.account, known.service, passed=event)
-    return desk.note({job.fingerprint: record}, now_s)
+    return tracker.record({job.fingerprint: record}, now_s)
 
 
 async def wait_for_engine_verdict(job: "Job", engine_id: str) -> None:
     """Wait until it is known whether an engine has ended under a request.
 
-    Only where others have before; else each further attempt would end one more.
+    It only waits if engines have ended under the request before. Without the wait, each
+    further attempt could crash one more engine.
     """
-    state, until_s = job.state, now_s() + FATE_S
+    state, until_s = job.state, now_s() + VERDICT_WAIT_S
     if job.fingerprint not in state.crashes.book.records:
         return
     while now_s() < until_s and engine_id in state.broken.runs:
-        await anyio.sleep(FATE_POLL_S)
+        await anyio.sleep(VERDICT_POLL_S)
 
 
 async def delay_suspect(job: "Job") -> None:
-    """Hold a suspect back for a moment of its own."""
+    """Delay a suspect request, so that suspects don't run at the same time."""
     delay_s = blame.send_delay_s(job.state.crashes.book, job.fingerprint)
     if delay_s:
         await anyio.sleep(min(delay_s, max(0.0, job.left_s())))
--- a/libs/node/src/cherryrudder/node/gossip.py
+++ b/libs/node/src/cherryrudder/node/gossip.py
@@ -1,8 +1,10 @@
-"""What entries and control VMs tell one another, over frame links.
+"""Messages between entries and control VMs, sent over frame links.
 
-Each entry sends a beat to every control VM that it knows, and each control VM answers.
-News goes out at once besides; a beat only repairs what was lost on the way, so any of
-these messages may be lost, doubled or late.
+Each entry sends a heartbeat to every known control VM, and each control VM answers.
+Changes are also sent at once as updates. The next heartbeat repairs what was lost on
+the way, so any of these messages may be lost, duplicated or late.
+
+Messages travel as positional arrays: the order of fields and of `KINDS` is fixed.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,40 +20,40 @@
 log = logger.bind(part="gossip")
 
 
-class Heard(NamedTuple):
-    """An endpoint as the sender knows it; `age_s` is since it was last heard."""
+class EndpointState(NamedTuple):
+    """An endpoint in the sender's table; `age_s` is the time since its last sign."""
 
     announcement: Announcement
     age_s: float
     is_gone: bool
 
 
-class Alive(NamedTuple):
-    """A sign of life that brings no other news."""
+class Liveness(NamedTuple):
+    """The age of an endpoint's last sign of life, for endpoints without changes."""
 
     engine_id: str
     age_s: float
 
 
 class Usage(NamedTuple):
-    """What runs through an engine, as those who sent it count."""
+    """The requests in flight at an engine, as counted by the entries that sent them."""
 
     address: str
     running: int
     tokens: int
-    # Streams whose chain begins there; engines bound how many they take.
+    # Streams whose chain begins at the engine; engines limit how many they accept.
     firsts: int
 
 
-class TableMark(NamedTuple):
-    """How far a reader has followed the endpoints' table of one control process."""
+class SyncPosition(NamedTuple):
+    """How far a reader has followed one process's numbered changes."""
 
     boot: str
     version: int
 
 
-class ToldCrash(NamedTuple):
-    """An engine that ended after it had begun a request, `age_s` ago."""
+class ReportedCrash(NamedTuple):
+    """The end of an engine that had begun a request, `age_s` ago."""
 
     engine_id: str
     vm_zone: str
@@ -60,145 +62,147 @@
     age_s: float
 
 
-class ToldRecord(NamedTuple):
-    """What the sender knows of one request under which engines ended."""
+class ReportedRecord(NamedTuple):
+    """The sender's record of one request that was running when engines ended."""
 
     fingerprint: str
     account: str
     service: str
-    crashes: tuple[ToldCrash, ...]
-    # Furthest event of a run whose engine lived on, -1 for none.
+    crashes: tuple[ReportedCrash, ...]
+    # Furthest event of a run whose engine survived, -1 for none.
     passed: int
-    # Since an operator said that it may run; None when none did.
+    # Time since an operator lifted the request's block; None if none did.
     lifted_age_s: float | None
 
 
 class CrashSync(NamedTuple):
-    """The sender's book since what the reader has, and how far it has the reader's."""
+    """The sender's crash records that the reader lacks, and an acknowledgement."""
 
-    mark: TableMark
-    # The version since which the records are, as the sender last heard; -1 for all.
+    position: SyncPosition
+    # The records changed after this version, the last that the reader acknowledged;
+    # -1 if all records are sent.
     since: int
-    seen: TableMark
-    records: tuple[ToldRecord, ...]
+    # How far the sender has followed the reader's records.
+    acked: SyncPosition
+    records: tuple[ReportedRecord, ...]
 
 
-class ToldLimit(NamedTuple):
-    """The requests a second that an engine takes, as it said `age_s` ago."""
+class ReportedLimit(NamedTuple):
+    """The requests per second that an engine accepts, as it stated `age_s` ago."""
 
     engine_id: str
-    # None when it no longer names a limit.
+    # None when the engine no longer states a limit.
     per_s: float | None
     age_s: float
 
 
-class EntryBeat(NamedTuple):
-    """An entry's regular message to each control VM."""
+class EntryHeartbeat(NamedTuple):
+    """The periodic message of an entry to each control VM."""
 
     vm: str
     vm_zone: str
-    # Frame address at which the entry takes answers and news.
+    # Frame address at which the entry receives answers and updates.
     address: str
-    # The sender's clock, echoed: a late answer then shows its age.
+    # The sender's clock, echoed in the answer so that the sender can tell its age.
     sent_s: float
-    # Version of the configuration that is in force at the entry, 0 for none.
+    # Version of the configuration in force at the entry, 0 for none.
     version: int
-    seen: TableMark
-    # Both are sent only to the control VMs that tell the entries of their data centre.
+    acked: SyncPosition
+    # `usage` and `spent` are sent only to the aggregator of each data centre.
     usage: tuple[Usage, ...]
-    # Requests and retries of this entry within the operators' window.
+    # Requests and retries of this entry within the configured window.
     spent: tuple[RetryUsage, ...]
-    # One control VM is asked for what other entries have running and have spent, and
-    # for the signs of life of all endpoints.
-    wants_all: bool
-    # For the control VM that is asked for all, and at first for each.
+    # Requests the sums of the other entries' usage and spending, and the liveness of
+    # all endpoints; one control VM is asked for them.
+    requests_all: bool
+    # Sent with `requests_all`, and to every control VM until the first answer.
     crashes: CrashSync | None = None
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
 
 
 class ControlAnswer(NamedTuple):
-    """A control VM's answer to an entry's beat."""
+    """A control VM's answer to an entry's heartbeat."""
 
     boot: str
     address: str
     sent_s: float
-    # Newest version as of the beat's arrival, confirmed by a majority of the voters;
-    # -1 when that couldn't be had.
+    # Newest configuration version when the heartbeat arrived, confirmed by a majority
+    # of the voters; -1 if no majority confirmed it in time.
     version: int
     controls: tuple[str, ...]
     table_version: int
-    endpoints: tuple[Heard, ...]
-    alive: tuple[Alive, ...]
+    endpoints: tuple[EndpointState, ...]
+    alive: tuple[Liveness, ...]
     vm_zone: str
-    # Of all other entries together; None when it wasn't asked for.
+    # Sums over all other entries; None if they weren't requested.
     usage: tuple[Usage, ...] | None
     spent: tuple[RetryUsage, ...] | None
-    # How old what the others told is, on the average: it is summed up.
+    # Mean age of the reports in these sums.
     spent_age_s: float
-    # How many entries there are.
+    # Number of live entries.
     entries: int
-    # To a beat that brought some.
+    # Only in answers to heartbeats that carried crash records.
     crashes: CrashSync | None = None
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
 
 
-class ControlBeat(NamedTuple):
-    """A control VM's regular message to each other."""
+class ControlHeartbeat(NamedTuple):
+    """The periodic message of a control VM to each other control VM."""
 
     boot: str
     vm: str
-    # Frame address for this gossip, and the one for the log's messages.
+    # Frame addresses for these messages and for the replicated log's messages.
     address: str
     log_address: str
     disk_id: str
-    # False for a copy in memory, which can never become a voter.
+    # False if the log is only kept in memory; such a VM can't become a voter.
     has_disk: bool
     vm_zone: str
     is_founding: bool
     controls: tuple[str, ...]
-    seen: TableMark
+    acked: SyncPosition
     table_version: int
-    endpoints: tuple[Heard, ...]
-    alive: tuple[Alive, ...]
+    endpoints: tuple[EndpointState, ...]
+    alive: tuple[Liveness, ...]
     crashes: CrashSync | None = None
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
 
 
-class EndpointNews(NamedTuple):
-    """Endpoints that changed just now."""
+class EndpointUpdate(NamedTuple):
+    """Endpoints that have just changed."""
 
-    endpoints: tuple[Heard, ...]
+    endpoints: tuple[EndpointState, ...]
 
 
-class ConfigurationNews(NamedTuple):
-    """A configuration that was accepted, packed as it is in the log."""
+class ConfigurationUpdate(NamedTuple):
+    """A configuration that was committed, packed as in the replicated log."""
 
     version: int
     packed: str
 
 
 class SuspicionReport(NamedTuple):
-    """An entry had no answer from an engine and takes it as dead."""
+    """An entry got no answer from an engine and considers it dead."""
 
     engine_id: str
     sender: str
 
 
 class Refutation(NamedTuple):
-    """A control VM had the answer that the accuser missed; the engine lives."""
+    """A control VM got an answer from the suspected engine: it is alive."""
 
     engine_id: str
 
 
 class ProbeRequest(NamedTuple):
-    """A control VM had no answer from an engine and asks another one to look."""
+    """A control VM got no answer from an engine and asks another one to probe it."""
 
     engine_id: str
     sender: str
 
 
 class ProbeResult(NamedTuple):
-    """What a control VM that was asked saw of an engine; see `verification.Seen`."""
+    """The result of a requested probe of an engine; see `verification.Observation`."""
 
     engine_id: str
     sender: str
@@ -206,64 +210,64 @@
 
 
 class DeathNotice(NamedTuple):
-    """An entry and the control VMs had no answer; the others needn't try."""
+    """Neither an entry nor the control VMs got an answer from an engine."""
 
     engine_id: str
 
 
 class DeathConfirmation(NamedTuple):
-    """An engine that was found dead has missed its heartbeats, too: its runs ended."""
+    """An engine that was found dead missed its heartbeats as well: its runs ended."""
 
     engine_id: str
 
 
 class CrashUpdate(NamedTuple):
-    """Requests under which an engine has ended just now, or that got further."""
+    """Crash records that changed: an engine ended, or a suspect request got further."""
 
-    records: tuple[ToldRecord, ...]
+    records: tuple[ReportedRecord, ...]
 
 
-class LimitNews(NamedTuple):
-    """Engines that have just named a limit, changed it or ended it."""
+class LimitUpdate(NamedTuple):
+    """Engines that have just set, changed or removed their limit."""
 
-    limits: tuple[ToldLimit, ...]
+    limits: tuple[ReportedLimit, ...]
 
 
 class PermitRequest(NamedTuple):
-    """An entry has requests that could begin at a limited engine."""
+    """An entry's request for permits to start requests at a limited engine."""
 
-    # Where the entry takes the answer.
+    # Frame address of the entry, for the answer.
     sender: str
-    limit: ToldLimit
+    limit: ReportedLimit
     count: int
 
 
 class PermitGrant(NamedTuple):
-    """How many requests an entry may send to a limited engine."""
+    """The number of requests that an entry may send to a limited engine."""
 
     engine_id: str
     grant: Grant
 
 
 class SlownessReport(NamedTuple):
-    """A stream goes slower than its chain should; one of these engines is slow."""
+    """A stream is slower than its chain should be: one of these engines is slow."""
 
     engine_ids: tuple[str, ...]
 
 
 class PaceUpdate(NamedTuple):
-    """How many times slower than its kind an engine says that it is."""
+    """How many times slower than its kind an engine reports itself to be."""
 
     engine_id: str
     slowness: float
 
 
 KINDS = (
-    EntryBeat,
+    EntryHeartbeat,
     ControlAnswer,
-    ControlBeat,
-    EndpointNews,
-    ConfigurationNews,
+    ControlHeartbeat,
+    EndpointUpdate,
+    ConfigurationUpdate,
     SuspicionReport,
     Refutation,
     ProbeRequest,
@@ -273,18 +277,18 @@
     CrashUpdate,
     SlownessReport,
     PaceUpdate,
-    LimitNews,
+    LimitUpdate,
     PermitRequest,
     PermitGrant,
 )
 
-# Nobody but this system's processes knows the internal ports; the key only keeps a
-# stray connection of something else from being taken for one of them.
+# The internal ports are used by this system only. The key isn't a secret: it rejects
+# stray connections of other software.
 KEY = "cherryrudder"
 
 
 class Ports(NamedTuple):
-    """The ports of the machine that this system's processes use among themselves."""
+    """The internal ports that the processes of one machine listen at."""
 
     log: int
     control: int
@@ -292,30 +296,30 @@
 
 
 def ports(first_port: int) -> Ports:
-    """Return the ports, counted from the first that the platform leaves free."""
+    """Return the internal ports, counted from the first one that is left free."""
     return Ports(first_port, first_port + 1, first_port + 2)
 
 
-def deliver(peer: str, messages: Iterable, take: Callable) -> None:
-    """Hand messages on one by one, and leave out any that the reader fails at.
+def deliver(peer: str, messages: Iterable, handle: Callable) -> None:
+    """Pass messages to `handle` one by one, and skip any for which it raises.
 
-    All processes read the same news: one that ended its reader would end the others,
-    too. The beats make good what was left out.
+    All processes receive the same updates, so a message that crashed its reader would
+    crash every process. Heartbeats make up for what was skipped.
     """
     for message in messages:
         try:
-            take(message)
+            handle(message)
         except Exception as error:
             kind = type(message).__name__
             log.opt(exception=error).error("{} from {} was left out.", kind, peer)
 
 
 def seed_addresses(settings: NodeSettings) -> tuple[str, ...]:
-    """Return where the seeds' control processes take frames."""
+    """Return the frame addresses of the seeds' control processes."""
     port = ports(settings.first_port).control
     return tuple(at_port(seed, port) for seed in settings.seeds)
 
 
 def at_port(address: str, port: int) -> str:
-    """Return the address of another port on the same machine."""
+    """Return an address with its port replaced."""
     return f"{address.rpartition(':')[0]}:{port}"
--- a/libs/node/src/cherryrudder/node/layerkeeper.py
+++ b/libs/node/src/cherryrudder/node/layercontroller.py
@@ -1,8 +1,8 @@
-"""The leader's care for the layers: it plans ranges and orders engines to hold them.
+"""Plan which engine holds which layers, and order engines to load them.
 
-Only the log's leader gives orders, with its term as the fence, so that the orders of a
-leader that was replaced are refused. Each order names the count of orders that the
-engine has begun: one that is carried out seconds late, after others, is refused too.
+Only the log's leader sends orders. They carry its term as a fencing token, so that
+orders of a replaced leader are refused. Each order also names the number of orders that
+the engine has begun, so that an order that arrives late, after others, is refused too.
 """
 
 from typing import NamedTuple
@@ -23,60 +23,60 @@
 from .controlstate import ControlState
 from .errors import EngineCallFailed
 
-REVIEW_S = 0.25
-# At the first start the engines announce themselves one after the other; a plan made
-# from some of them gives each too many layers. They are planned once nobody new has
-# come for longer than one heartbeat (1.2 s).
-SETTLE_S = 1.5
-# A death that an entry and a control VM found is acted upon after this time: engines
-# that were lost together, as those of a rack, are found within it, and one plan covers
-# all. Waiting for missed heartbeats instead leaves a hole in the layers for 3 s more.
-TOGETHER_S = 0.25
-# A process that has just started hears of the engines one by one, within two of their
-# heartbeats. What it doesn't know yet would look like holes.
-LISTEN_S = 3.0
-# A load that takes this many times its nominal time is not waited for any longer.
-PATIENCE = 4.0
-PATIENCE_MORE_S = 3.0
-# Between looks at an engine that loads; a layer takes 0.2 s, and each look is a call.
-FOLLOW_S = 0.3
-# An engine that has just come is not placed where nothing is missing: in a rolling
-# replacement the old one says within one heartbeat that it leaves.
-FRESH_S = 2.0
-# After a refused or failed order the engine is left alone for one of its heartbeats.
-RETRY_S = 1.2
+REVIEW_INTERVAL_S = 0.25
+# At the first start the engines announce themselves one after the other, and a plan
+# made from some of them would give each too many layers. The first plan is made once no
+# new engine has announced itself for longer than one heartbeat (1.2 s).
+FIRST_PLAN_QUIET_S = 1.5
+# Delay between an engine's death and the new plan. Engines that are lost together, as
+# those of a rack, are detected within it, so that one plan covers all. Waiting for
+# missed heartbeats instead would leave layers without an engine for 3 s more.
+DEATH_BATCH_S = 0.25
+# A process that has just started receives the engines' heartbeats one by one, within
+# two of their intervals. Until then, layers of unknown engines would seem missing.
+STARTUP_WAIT_S = 3.0
+# A load times out after this many times its nominal duration, plus the extra below.
+LOAD_TIMEOUT_FACTOR = 4.0
+LOAD_TIMEOUT_EXTRA_S = 3.0
+# Poll interval while an engine loads layers. A layer takes 0.2 s, each poll is a call.
+LOAD_POLL_S = 0.3
+# How long an engine counts as new. It gets no layers then unless some are missing: in a
+# rolling replacement, the old engine announces within one heartbeat that it is leaving.
+NEW_ENGINE_S = 2.0
+# After a refused or failed order, an engine gets no other for one of its heartbeats.
+RETRY_DELAY_S = 1.2
 
 log = logger.bind(part="layers")
 
 
-class Ordered(NamedTuple):
-    """An order whose end was not seen yet."""
+class PendingOrder(NamedTuple):
+    """An order whose end has not been observed yet."""
 
     holding: LayerRange
     until_s: float
 
 
-class LayerKeeper:
-    """The orders of one control process while it leads."""
+class LayerController:
+    """Plans layers and sends orders while this control process leads."""
 
-    def __init__(self, state: ControlState, beats: ControlGossip, group):
+    def __init__(self, state: ControlState, gossip: ControlGossip, group):
         self.state = state
-        self.beats = beats
+        self.gossip = gossip
         self.group = group
-        self._ordered: dict[str, Ordered] = {}
+        self._pending: dict[str, PendingOrder] = {}
         self._not_before_s: dict[str, float] = {}
         self._known: frozenset[str] = frozenset()
-        self._came_s: dict[str, float] = {}
+        self._first_seen_s: dict[str, float] = {}
         self._changed_s = 0.0
         self._started_s = now_s()
 
     async def run(self) -> None:
-        """Review the plan as long as this process runs."""
+        """Review the plan periodically until cancelled."""
         while True:
-            await anyio.sleep(REVIEW_S)
+            await anyio.sleep(REVIEW_INTERVAL_S)
             if not self.state.is_leader():
-                # What another leader orders meanwhile is seen in the heartbeats.
-                self._ordered.clear()
+                # The results of another leader's orders arrive with the heartbeats.
+                self._pending.clear()
                 continue
             for service in self.state.services():
                 if service.model is not None and service.model.layers:
@@ -89,7 +89,7 @@
             for a in endpoints.live(self.state.endpoints.table, now)
             if a.service == service.name and not self._is_dead(a.engine_id, now)
         ]
-        self._settle(live, now)
+        self._update_known(live, now)
         if not self._is_settled(live, now):
             return
         holders = [self._holder(a, now) for a in live]
@@ -101,37 +101,37 @@
                     group.start_soon(self._order, service.model, placement)
 
     def _is_dead(self, engine_id, now):
-        """Tell whether an engine that entries found dead has not been heard since."""
-        accused_s = self.state.suspected_s.get(engine_id)
-        if accused_s is None:
+        """Return whether entries found an engine dead, with no sign of life since."""
+        suspected_s = self.state.suspected_s.get(engine_id)
+        if suspected_s is None:
             return False
-        if self.state.endpoints.table.entries[engine_id].last_seen_s > accused_s:
+        if self.state.endpoints.table.entries[engine_id].last_seen_s > suspected_s:
             del self.state.suspected_s[engine_id]
             return False
-        return now - accused_s > TOGETHER_S
+        return now - suspected_s > DEATH_BATCH_S
 
-    def _settle(self, live, now):
-        """Take note of who came, and of orders whose end the heartbeats show."""
+    def _update_known(self, live, now):
+        """Record new engines, and drop orders that heartbeats show as finished."""
         known = frozenset(a.engine_id for a in live)
         if known - self._known:
             self._changed_s = now
         self._known = known
-        self._came_s = {name: self._came_s.get(name, now) for name in known}
+        self._first_seen_s = {name: self._first_seen_s.get(name, now) for name in known}
         for announcement in live:
-            ordered = self._ordered.get(announcement.engine_id)
+            ordered = self._pending.get(announcement.engine_id)
             if ordered is None:
                 continue
             if announcement.holding == ordered.holding or now > ordered.until_s:
-                del self._ordered[announcement.engine_id]
+                del self._pending[announcement.engine_id]
 
     def _is_settled(self, live, now):
-        is_first = all(a.holding == NO_LAYERS for a in live) and not self._ordered
+        is_first = all(a.holding == NO_LAYERS for a in live) and not self._pending
         if is_first:
-            return bool(live) and now - self._changed_s > SETTLE_S
-        return now - self._started_s > LISTEN_S
+            return bool(live) and now - self._changed_s > FIRST_PLAN_QUIET_S
+        return now - self._started_s > STARTUP_WAIT_S
 
     def _holder(self, announcement: Announcement, now):
-        ordered = self._ordered.get(announcement.engine_id)
+        ordered = self._pending.get(announcement.engine_id)
         holding = ordered.holding if ordered else announcement.holding
         return EngineState(
             address=announcement.address,
@@ -141,17 +141,17 @@
             holding=holding,
             is_busy=ordered is not None,
             is_leaving=endpoints.has_leaving_notice(announcement),
-            is_fresh=now - self._came_s[announcement.engine_id] < FRESH_S,
+            is_fresh=now - self._first_seen_s[announcement.engine_id] < NEW_ENGINE_S,
         )
 
     async def _order(self, profile: ModelProfile, placement: Placement):
         holder, holding = placement
-        self._not_before_s[holder.engine_id] = now_s() + RETRY_S
+        self._not_before_s[holder.engine_id] = now_s() + RETRY_DELAY_S
         if not self.state.is_leader():
             return
         fence = self.state.voter.node.term
         try:
-            outcome = await _place(placement, fence)
+            outcome = await _send_order(placement, fence)
         except EngineCallFailed as error:
             outcome = f"failed: {error}"
         self.state.metrics.orders.labels(outcome.partition(":")[0]).inc()
@@ -169,46 +169,54 @@
         )
         if outcome in ("begun", "held"):
             share = (holding.end - holding.first) / profile.layers
-            patience_s = PATIENCE * profile.load_s * share + PATIENCE_MORE_S
-            ordered = Ordered(holding, now_s() + patience_s)
-            self._ordered[holder.engine_id] = ordered
-            self.group.start_soon(self._follow, holder, ordered)
+            timeout_s = (
+                LOAD_TIMEOUT_FACTOR * profile.load_s * share + LOAD_TIMEOUT_EXTRA_S
+            )
+            ordered = PendingOrder(holding, now_s() + timeout_s)
+            self._pending[holder.engine_id] = ordered
+            self.group.start_soon(self._watch_load, holder, ordered)
 
-    async def _follow(self, holder: EngineState, ordered: Ordered):
-        """Tell everybody what an engine holds as soon as a load has changed it.
+    async def _watch_load(self, holder: EngineState, ordered: PendingOrder):
+        """Publish an engine's layers as soon as a load has changed them.
 
-        Its own word comes with the next heartbeat, up to 1.2 s later; until then
-        entries send requests to layers that it gave up, and none to the new ones.
+        The engine itself reports them with its next heartbeat, up to 1.2 s later. Until
+        then entries would send requests to layers that it dropped, and none to its new
+        ones.
         """
-        self._observe(holder.engine_id, _kept(holder.holding, ordered.holding))
+        self._record_holding(
+            holder.engine_id, _served_while_loading(holder.holding, ordered.holding)
+        )
         while now_s() < ordered.until_s:
             try:
                 report = await enginecalls.get_report(holder.address)
             except EngineCallFailed as error:
-                log.info("The end of a load was not seen: {}.", error)
+                log.info("Can't poll an engine that loads layers: {}.", error)
                 return
-            # Anything else may be older than the engine's own last word.
+            # Any other report may be older than the engine's last heartbeat.
             if report.holding == ordered.holding:
-                self._observe(holder.engine_id, report.holding)
+                self._record_holding(holder.engine_id, report.holding)
                 return
-            await anyio.sleep(FOLLOW_S)
+            await anyio.sleep(LOAD_POLL_S)
 
-    def _observe(self, engine_id, holding):
-        if tablesync.observe(self.state.endpoints, engine_id, holding, now_s()):
+    def _record_holding(self, engine_id, holding):
+        if tablesync.record_holding(self.state.endpoints, engine_id, holding, now_s()):
             self.state.sink.write(
                 "layers", "seen", True, engine_id=engine_id, layers=list(holding)
             )
-            self.beats.publish_endpoints([engine_id])
+            self.gossip.publish_endpoints([engine_id])
 
 
-def _kept(old: LayerRange, new: LayerRange) -> LayerRange:
-    """Return the layers that an engine goes on serving while it loads others."""
+def _served_while_loading(old: LayerRange, new: LayerRange) -> LayerRange:
+    """Return the layers that an engine keeps serving while it loads others."""
     first, end = max(old.first, new.first), min(old.end, new.end)
     return LayerRange(first, end) if first < end else NO_LAYERS
 
 
-async def _place(placement: Placement, fence: int) -> str:
-    """Order one placement and return its outcome; raises EngineCallFailed."""
+async def _send_order(placement: Placement, fence: int) -> str:
+    """Send the order for one placement and return its outcome.
+
+    Raises EngineCallFailed.
+    """
     holder, holding = placement
     report = await enginecalls.get_report(holder.address)
     if report.is_loading:
--- a/libs/node/test/test_surface.py
+++ b/libs/node/test/test_adminapi.py
@@ -6,7 +6,7 @@
 from cherryrudder.node import adminapi
 from cherryrudder.node.adminapi import AdminContext
 from cherryrudder.node.crashtracker import CrashTracker
-from cherryrudder.node.gossip import ToldLimit
+from cherryrudder.node.gossip import ReportedLimit
 from cherryrudder.node.metrics import Metrics
 from cherryrudder.routing.crashbook import Crash, RequestRecord
 
@@ -17,14 +17,16 @@
     def setUp(self):
         piped = PipedSink()
         self.addCleanup(piped.close)
-        self.told = []
+        self.published = []
         metrics = Metrics()
-        self.desk = CrashTracker("boot-1", piped.sink, metrics)
-        self.desk.note({"f1": RequestRecord("acme", "llm", ENDED)}, 11.0)
-        self.shown = AdminContext(metrics, self.desk, self.told.append, self.limits)
+        self.tracker = CrashTracker("boot-1", piped.sink, metrics)
+        self.tracker.record({"f1": RequestRecord("acme", "llm", ENDED)}, 11.0)
+        self.context = AdminContext(
+            metrics, self.tracker, self.published.append, self.limits
+        )
 
     def limits(self, now_s):
-        return [ToldLimit("e0", 2.5, now_s - 11.0)]
+        return [ReportedLimit("e0", 2.5, now_s - 11.0)]
 
     def test_limits_are_listed(self):
         status, body = self.respond("GET", "/limits")
@@ -32,7 +34,7 @@
         self.assertEqual((status, json.loads(body)), (200, {"limits": [listed]}))
 
     def respond(self, method, path):
-        status, _, body = adminapi.respond(self.shown, method, path, 12.0)
+        status, _, body = adminapi.respond(self.context, method, path, 12.0)
         return status, body
 
     def test_blocks_are_listed_with_their_engines(self):
@@ -41,17 +43,17 @@
         self.assertEqual((status, listed[0]["fingerprint"]), (200, "f1"))
         self.assertEqual(listed[0]["engine_ids"], ["e0", "e1", "e2"])
 
-    def test_a_block_is_lifted_and_others_are_told(self):
+    def test_a_lifted_block_is_published(self):
         self.assertEqual(self.respond("POST", "/blocks/lift/f1")[0], 200)
         self.assertEqual(json.loads(self.respond("GET", "/blocks")[1])["blocks"], [])
-        self.assertEqual(len(self.told), 1)
+        self.assertEqual(len(self.published), 1)
         self.assertEqual(self.respond("POST", "/blocks/lift/f1")[0], 404)
 
-    def test_metrics_count_it(self):
+    def test_metrics_count_blocks(self):
         _, text = self.respond("GET", "/metrics")
         self.assertIn(b'cherryrudder_crashes_total{event="blocked"} 1.0', text)
 
-    def test_there_is_nothing_else(self):
+    def test_other_calls_are_not_found(self):
         self.assertEqual(self.respond("GET", "/blocks/lift/f1")[0], 404)
         self.assertEqual(self.respond("POST", "/metrics")[0], 404)
 
