--- a/libs/daemon/src/cherryrudder/daemon/dataplane.py
+++ b/libs/daemon/src/cherryrudder/daemon/dataplane.py
@@ -52,7 +52,7 @@
         self.process = process
         self.on_grant = on_grant
         self.on_link_down = on_link_down
-        self.timing = driver.Timing(stall_s=process.settings.entry.stall_s)
+        self.timing = driver.Timing(stall_timeout_s=process.settings.entry.stall_s)
         self.flows: dict[str, Flow] = {}
         self.port = FramePort(
             process, DATA_MESSAGES, self._on_messages, self._link_down
@@ -85,7 +85,9 @@
                 # Acknowledged only after the caller's socket took them, which is what
                 # holds the chain back behind a slow caller.
                 flow.taken += len(tokens)
-                self._carry_out(flow, driver.consumed(flow.core, flow.taken, now_s()))
+                self._carry_out(
+                    flow, driver.record_consumed(flow.core, flow.taken, now_s())
+                )
             elif flow.failure:
                 raise PipelineBroken(flow.failure)
             elif flow.is_last:
--- a/libs/daemon/src/cherryrudder/daemon/follower.py
+++ b/libs/daemon/src/cherryrudder/daemon/follower.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cherryrudder.membership import config as followed, reader as endpoints
-from cherryrudder.membership.config import Taken
+from cherryrudder.membership.config import ApplyResult
 from cherryrudder.membership.rendezvous import rank
 from cherryrudder.membership.subset import table_addresses
 from cherryrudder.membership.table import TableDelta
@@ -70,11 +70,11 @@
 
     def saw_link(self, endpoint: str, incarnation: str) -> None:
         """Note that an endpoint was heard directly, whatever the control VMs say."""
-        endpoints.saw_link(self.reader, endpoint, incarnation, now_s())
+        endpoints.record_link_seen(self.reader, endpoint, incarnation, now_s())
 
     def lost_link(self, endpoint: str) -> None:
         """Note that the link to an endpoint broke; its lease alone counts now."""
-        endpoints.lost_link(self.reader, endpoint)
+        endpoints.record_link_lost(self.reader, endpoint)
 
     async def _follow(self, address):
         # The first answer must be confirmed by a majority after it was asked for:
@@ -109,7 +109,7 @@
         )
 
     def _take(self, address, answer, fresh):
-        changed = followed.take(self.config, answer.config) == Taken.TAKEN
+        changed = followed.apply_delta(self.config, answer.config) == ApplyResult.TAKEN
         if answer.table is not None:
             endpoints.merge(self.reader, address, answer.table, now_s())
             changed = True
--- a/libs/membership/src/cherryrudder/membership/config.py
+++ b/libs/membership/src/cherryrudder/membership/config.py
@@ -10,7 +10,7 @@
 )
 
 
-class Taken(StrEnum):
+class ApplyResult(StrEnum):
     """What became of a delta; after `gap` ask again from the held revision."""
 
     TAKEN = "taken"
@@ -29,14 +29,14 @@
         self.settings: dict[str, VersionedSetting] = {}
 
 
-def take(config: Config, delta: ConfigDelta) -> Taken:
+def apply_delta(config: Config, delta: ConfigDelta) -> ApplyResult:
     """Put a delta in force unless it is old or leaves revisions out."""
     # A control VM that was cut off for hours answers with what it held then. Taking
     # it would bring a retired contract back, so a lower revision is never taken.
     if config.is_loaded and delta.revision <= config.revision:
-        return Taken.OLD
+        return ApplyResult.OLD
     if not delta.full and (not config.is_loaded or delta.since > config.revision):
-        return Taken.GAP
+        return ApplyResult.GAP
     if delta.full:
         config.contracts.clear()
         config.stops.clear()
@@ -51,7 +51,7 @@
         config.settings[held.name] = held
     config.revision = delta.revision
     config.is_loaded = True
-    return Taken.TAKEN
+    return ApplyResult.TAKEN
 
 
 def is_ready(config: Config, confirmed_revision: int | None) -> bool:
--- a/libs/membership/src/cherryrudder/membership/reader.py
+++ b/libs/membership/src/cherryrudder/membership/reader.py
@@ -25,7 +25,7 @@
 LINK_S = 2.0
 
 
-class Merged(StrEnum):
+class MergeResult(StrEnum):
     """What became of a delta; after `gap` ask again from `position`."""
 
     TAKEN = "taken"
@@ -69,11 +69,11 @@
         self.links: dict[str, Link] = {}
 
 
-def merge(reader: Reader, source: str, delta: TableDelta, now_s: float) -> Merged:
+def merge(reader: Reader, source: str, delta: TableDelta, now_s: float) -> MergeResult:
     """Take in a control VM's delta; lost, doubled and reordered ones do no harm."""
     view = reader.views.setdefault(source, View())
     verdict = _judge(view, delta)
-    if verdict != Merged.TAKEN:
+    if verdict != MergeResult.TAKEN:
         return verdict
     # After a long cut the first control VM to answer must not wipe what the others,
     # which answer a moment later, still hold.
@@ -91,7 +91,7 @@
         view.endpoints[announcement.endpoint] = announcement
         _update_link(reader, announcement)
     _forget(reader, now_s)
-    return Merged.TAKEN
+    return MergeResult.TAKEN
 
 
 def position(reader: Reader, source: str) -> tuple[str, int]:
@@ -116,7 +116,9 @@
     return tuple(best[name] for name in sorted(best))
 
 
-def saw_link(reader: Reader, endpoint: str, incarnation: str, now_s: float) -> None:
+def record_link_seen(
+    reader: Reader, endpoint: str, incarnation: str, now_s: float
+) -> None:
     """Record that an incarnation of an endpoint was heard directly.
 
     Where the sidecars are cut off from the control VMs but not from this process, all
@@ -132,7 +134,7 @@
         reader.links[endpoint] = Link(newest, now_s)
 
 
-def lost_link(reader: Reader, endpoint: str) -> None:
+def record_link_lost(reader: Reader, endpoint: str) -> None:
     """Record that the link to an endpoint broke; its lease alone counts now."""
     reader.links.pop(endpoint, None)
 
@@ -142,14 +144,14 @@
     # old table back; it is known by the epoch that it was asked from, which has been
     # left since. The run that goes on always answers from the present epoch.
     if delta.epoch != view.epoch and delta.asked != view.epoch:
-        return Merged.OLD
+        return MergeResult.OLD
     if delta.epoch != view.epoch:
-        return Merged.TAKEN if delta.full else Merged.GAP
+        return MergeResult.TAKEN if delta.full else MergeResult.GAP
     if delta.version < view.version:
-        return Merged.OLD
+        return MergeResult.OLD
     if not delta.full and delta.since > view.version:
-        return Merged.GAP
-    return Merged.TAKEN
+        return MergeResult.GAP
+    return MergeResult.TAKEN
 
 
 def _change_epoch(view, epoch, now_s):
--- a/libs/membership/test/builders.py
+++ b/libs/membership/test/builders.py
@@ -50,7 +50,7 @@
 def naive_take(config, delta):
     """Follow whichever control VM answered last."""
     config.revision = min(config.revision, delta.revision - 1)
-    return configs.take(config, delta)
+    return configs.apply_delta(config, delta)
 
 
 def put(number, version, name):
--- a/libs/membership/test/test_config.py
+++ b/libs/membership/test/test_config.py
@@ -5,7 +5,7 @@
 from builders import SETTINGS, changes, configurations, naive_take, put
 from hypothesis import given, strategies as st
 
-from cherryrudder.membership.config import Config, Taken, is_ready, take
+from cherryrudder.membership.config import ApplyResult, Config, apply_delta, is_ready
 from cherryrudder.state.machine import apply, delta, encode_command, new_state
 
 histories = st.lists(changes, min_size=10, max_size=30)
@@ -29,7 +29,7 @@
         assert config.revision >= before
         expected = Config()
         accepted = max(s.applied_index for s in states if s.revision <= config.revision)
-        take(expected, delta(states[accepted], 0))
+        apply_delta(expected, delta(states[accepted], 0))
         assert not config.is_loaded or contents(config) == contents(expected)
 
 
@@ -44,7 +44,7 @@
         What is in force is exactly what was accepted at one revision. Going back would
         revive a retired contract; a delta over a gap would mix two revisions.
         """
-        check(take, history, answers)
+        check(apply_delta, history, answers)
 
     def test_following_the_last_answer_goes_back(self):
         history = [("put", "x", 0), ("put", "x", 1)]
@@ -59,12 +59,14 @@
         """
         config, state = Config(), new_state()
         self.assertFalse(is_ready(config, 0))
-        take(config, delta(state, 0))
+        apply_delta(config, delta(state, 0))
         self.assertTrue(is_ready(config, 0))
         self.assertFalse(is_ready(config, None))
         for number in range(500):
             apply(state, number + 1, encode_command(put(number, number, "x")))
         self.assertFalse(is_ready(config, state.revision))
-        self.assertEqual(take(config, delta(state, 400)), Taken.GAP)
-        self.assertEqual(take(config, delta(state, config.revision)), Taken.TAKEN)
+        self.assertEqual(apply_delta(config, delta(state, 400)), ApplyResult.GAP)
+        self.assertEqual(
+            apply_delta(config, delta(state, config.revision)), ApplyResult.TAKEN
+        )
         self.assertTrue(is_ready(config, 500))
--- a/libs/membership/test/test_reader.py
+++ b/libs/membership/test/test_reader.py
@@ -5,7 +5,7 @@
 from builders import an_announcement
 
 from cherryrudder.membership import reader as readers
-from cherryrudder.membership.reader import KEEP_S, LINK_S, STALE_S, Merged, Reader
+from cherryrudder.membership.reader import KEEP_S, LINK_S, STALE_S, MergeResult, Reader
 from cherryrudder.membership.table import Table, TableDelta, announce, delta_since
 
 
@@ -62,7 +62,9 @@
             self.hear("south", "desk-2", now_s=now_s, epoch="2", version=2)
         self.assertEqual(self.names(7.0), ["desk-2"])
         late = TableDelta("1", 9, True, (an_announcement("desk-1"),), asked="1")
-        self.assertEqual(readers.merge(self.reader, "north", late, 7.0), Merged.OLD)
+        self.assertEqual(
+            readers.merge(self.reader, "north", late, 7.0), MergeResult.OLD
+        )
         self.assertEqual(self.names(100.0), ["desk-2"])
 
     def test_a_late_answer_of_a_run_in_between_changes_nothing(self):
@@ -78,7 +80,9 @@
         for delta in (delta_since(last, *asked), late):
             readers.merge(self.reader, "north", delta, 0.1)
         again = delta_since(last, *readers.position(self.reader, "north"))
-        self.assertEqual(readers.merge(self.reader, "north", again, 0.2), Merged.TAKEN)
+        self.assertEqual(
+            readers.merge(self.reader, "north", again, 0.2), MergeResult.TAKEN
+        )
         self.assertEqual([*self.reader.views["north"].endpoints], ["desk-3"])
 
     def test_a_live_link_holds_an_endpoint_that_control_lost(self):
@@ -87,17 +91,21 @@
         All leases run out. An endpoint that still sends to this entry goes on serving,
         until its link breaks or falls silent.
         """
-        readers.saw_link(self.reader, "desk-1", an_announcement().incarnation, 1.0)
-        readers.saw_link(self.reader, "desk-2", "another life", 1.0)
+        readers.record_link_seen(
+            self.reader, "desk-1", an_announcement().incarnation, 1.0
+        )
+        readers.record_link_seen(self.reader, "desk-2", "another life", 1.0)
         for source in ("north", "south"):
             self.hear(source, now_s=1.0, version=2)
         self.assertEqual(self.names(1.0 + LINK_S), ["desk-1"])
         self.assertEqual(self.names(1.1 + LINK_S), [])
-        readers.lost_link(self.reader, "desk-1")
+        readers.record_link_lost(self.reader, "desk-1")
         self.assertEqual(self.names(1.0), [])
 
     def test_the_newest_of_two_sources_wins(self):
-        readers.saw_link(self.reader, "desk-1", an_announcement().incarnation, 0.0)
+        readers.record_link_seen(
+            self.reader, "desk-1", an_announcement().incarnation, 0.0
+        )
         self.hear("south", "desk-1", now_s=0.0, version=2, sequence=2, leaving=True)
         self.assertTrue(readers.endpoints(self.reader, 0.0)[0].leaving)
         self.hear("south", now_s=0.0, version=3)
@@ -109,5 +117,5 @@
         gaps = TableDelta("1", 9, False, since=5), TableDelta("2", 9, False, asked="1")
         for delta in gaps:
             verdict = readers.merge(self.reader, "north", delta, 1.0)
-            self.assertEqual(verdict, Merged.GAP)
+            self.assertEqual(verdict, MergeResult.GAP)
         self.assertEqual(readers.position(self.reader, "north"), ("1", 1))
--- a/libs/pipeline/src/cherryrudder/pipeline/handover.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/handover.py
@@ -7,7 +7,7 @@
 
 from cherryrudder.pipeline import stagerequest as requests, stagetable as tables
 from cherryrudder.pipeline.effects import ExportKv, FreeKv, ImportKv, SendTo
-from cherryrudder.pipeline.messages import HandOver, KvMove
+from cherryrudder.pipeline.messages import HandOver, KvTransfer
 
 # Exporting and moving the KV of a long prompt takes about a second on a gigabit link;
 # past a few, a rebuild by replay serves the caller sooner.
@@ -18,7 +18,7 @@
     """Stop a request here and export its KV as soon as the engine is done."""
     state = core.requests.get(message.request)
     if state is None:
-        none = KvMove(message.request, message.generation, 0, (), (), "")
+        none = KvTransfer(message.request, message.generation, 0, (), (), "")
         return [SendTo(message.address, none)]
     if message.generation <= state.start.generation:
         return []
@@ -41,7 +41,7 @@
     state = core.requests.get(request)
     if state is None or not state.leaving_to:
         return []
-    move = KvMove(
+    move = KvTransfer(
         request,
         state.start.generation,
         state.kept_from,
@@ -52,7 +52,7 @@
     return [SendTo(state.leaving_to, move), *tables.drop(core, request, now_s)]
 
 
-def take_kv(core, move: KvMove, now_s: float) -> list:
+def take_kv(core, move: KvTransfer, now_s: float) -> list:
     """Import what the relieved stage exported."""
     state = core.requests.get(move.request)
     if state is None:
--- a/libs/pipeline/src/cherryrudder/pipeline/messages.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/messages.py
@@ -74,7 +74,7 @@
     awaits_kv: bool = False
 
 
-class Held(NamedTuple):
+class ResumeReply(NamedTuple):
     """Stage to entry: it holds `next_position`; stage 0 adds tokens it has seen.
 
     `running` marks a first answer while the engine computes; the final one follows.
@@ -124,7 +124,7 @@
     address: str
 
 
-class KvMove(NamedTuple):
+class KvTransfer(NamedTuple):
     """Stage that stops to the one that relieves it; an empty `kv` says there is none.
 
     `kv` is the engine's export as JSON text. The kept outputs go along, so that the
@@ -165,11 +165,11 @@
     Token,
     Ack,
     Resume,
-    Held,
+    ResumeReply,
     Continue,
     Refused,
     Free,
     StageFailed,
     HandOver,
-    KvMove,
+    KvTransfer,
 )
--- a/libs/pipeline/src/cherryrudder/pipeline/request.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/request.py
@@ -24,9 +24,9 @@
     Ack,
     Free,
     HandOver,
-    Held,
     Refused,
     Resume,
+    ResumeReply,
     Stage,
     StageFailed,
     Start,
@@ -40,7 +40,7 @@
 
     # Well above one step of a loaded chain (some 0.1 s), and still the smaller part
     # of a recovery that also has to find a stage and rebuild its KV.
-    stall_s: float = 2.0
+    stall_timeout_s: float = 2.0
     # A living sidecar answers `Resume` from memory; two round trips and a retransmit
     # between regions fit.
     answer_s: float = 1.0
@@ -85,7 +85,7 @@
         # A planned stop: the stage to relieve, then the one that hands its KV over.
         self.leaving: Stage | None = None
         self.departing: Stage | None = None
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, ResumeReply] = {}
         self.idle_rounds = 0
         self.behind: resume.Behind | None = None
         # When the present wait began, whatever the phase.
@@ -116,7 +116,7 @@
     return handler(core, message, now_s)
 
 
-def consumed(core: RequestCore, count: int, now_s: float) -> list:
+def record_consumed(core: RequestCore, count: int, now_s: float) -> list:
     """Note that the caller has taken `count` tokens in all."""
     if core.phase == Phase.ENDED or count <= core.consumed:
         return []
@@ -200,7 +200,7 @@
     """Act on time that has passed; call it a few times a second."""
     waited_s = now_s - core.since_s
     if core.phase == Phase.RUNNING and resume.expects_token(core):
-        return _ask(core, now_s) if waited_s >= core.timing.stall_s else []
+        return _ask(core, now_s) if waited_s >= core.timing.stall_timeout_s else []
     if core.phase == Phase.ASKING:
         silent = [s for i, s in enumerate(core.plan) if _is_silent(core, i, waited_s)]
         return _lose(core, silent, now_s)
@@ -266,7 +266,7 @@
 
 HANDLERS = {
     Token: _token,
-    Held: _held,
+    ResumeReply: _held,
     StageFailed: _stage_failed,
     Refused: _refused,
 }
--- a/libs/pipeline/src/cherryrudder/pipeline/stage.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stage.py
@@ -18,7 +18,7 @@
     Continue,
     Free,
     HandOver,
-    KvMove,
+    KvTransfer,
     Refused,
     Resume,
     StageFailed,
@@ -227,7 +227,7 @@
     Free: _free,
     Refused: _refused,
     HandOver: handover.leave,
-    KvMove: handover.take_kv,
+    KvTransfer: handover.take_kv,
 }
 
 
--- a/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
@@ -4,7 +4,7 @@
 answer; the last stage's output at `p` is the token that becomes position `p + 1`.
 """
 
-from cherryrudder.pipeline.messages import Held, Start, Step, Token
+from cherryrudder.pipeline.messages import ResumeReply, Start, Step, Token
 
 
 class StageRequest:
@@ -96,11 +96,11 @@
     return gone
 
 
-def held(request: StageRequest) -> Held:
+def held(request: StageRequest) -> ResumeReply:
     """Return the answer to `Resume`."""
     start = request.start
     tokens = request.inputs[len(start.prompt) :] if start.stage == 0 else ()
-    return Held(
+    return ResumeReply(
         start.request,
         start.generation,
         start.stage,
--- a/libs/pipeline/src/cherryrudder/pipeline/stagetable.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stagetable.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from cherryrudder.pipeline.effects import FreeKv, SendTo
-from cherryrudder.pipeline.messages import NO_ROOM, KvMove, Refused, Step
+from cherryrudder.pipeline.messages import NO_ROOM, KvTransfer, Refused, Step
 from cherryrudder.pipeline.stagerequest import StageRequest, trim
 
 # An engine of today runs some tens of requests at once; this leaves room for those
@@ -31,7 +31,7 @@
 class Early(NamedTuple):
     """A message of another stage that came before its request's start."""
 
-    message: Step | KvMove
+    message: Step | KvTransfer
     arrived_s: float
 
 
@@ -88,7 +88,7 @@
         core.early.append(Early(message, now_s))
 
 
-def take_early(core, request: str) -> list[Step | KvMove]:
+def take_early(core, request: str) -> list[Step | KvTransfer]:
     """Return the messages that came before their request."""
     mine = [e.message for e in core.early if e.message.request == request]
     core.early = [e for e in core.early if e.message.request != request]
--- a/libs/pipeline/test/builders.py
+++ b/libs/pipeline/test/builders.py
@@ -239,7 +239,7 @@
             return
         message = self.links[what].popleft()
         if what[1] == CALLER:
-            self.tell(message.request, entry.consumed, message.count)
+            self.tell(message.request, entry.record_consumed, message.count)
         elif what[1] == ENTRY:
             self.tell(message.request, entry.receive, message)
         else:
--- a/libs/pipeline/test/test_handover.py
+++ b/libs/pipeline/test/test_handover.py
@@ -6,10 +6,10 @@
 
 from cherryrudder.pipeline import handover, stage as sidecar
 from cherryrudder.pipeline.effects import ExportKv, FreeKv, ImportKv
-from cherryrudder.pipeline.messages import HandOver, Held, KvMove, Resume
+from cherryrudder.pipeline.messages import HandOver, KvTransfer, Resume, ResumeReply
 
 ORDER = HandOver("r1", 2, "heir:1")
-MOVE = KvMove("r1", 2, 0, ("A", "B", "C", "D"), ("petra", "at", "dawn", "x"), "kv")
+MOVE = KvTransfer("r1", 2, 0, ("A", "B", "C", "D"), ("petra", "at", "dawn", "x"), "kv")
 
 
 class LeavingTests(unittest.TestCase):
@@ -24,7 +24,7 @@
         self.assertEqual([ExportKv("r1")], effects)
         self.assertEqual([], sidecar.receive(self.core, ORDER, 0.0))
         effects = handover.exported(self.core, "r1", "kv", 0.0)
-        self.assertEqual([KvMove("r1", 2, 0, ("A",), (), "kv")], sent(effects))
+        self.assertEqual([KvTransfer("r1", 2, 0, ("A",), (), "kv")], sent(effects))
         self.assertEqual(FreeKv("r1"), effects[-1])
 
     def test_a_failed_compute_is_no_fault_of_the_heir(self):
@@ -35,7 +35,7 @@
         """
         sidecar.receive(self.core, ORDER, 0.0)
         effects = sidecar.compute_failed(self.core, "r1", 0, "no memory", 0.0)
-        self.assertEqual([KvMove("r1", 2, 0, (), (), "")], sent(effects))
+        self.assertEqual([KvTransfer("r1", 2, 0, (), (), "")], sent(effects))
 
 
 class HeirTests(unittest.TestCase):
@@ -43,7 +43,7 @@
         self.core = sidecar.StageCore()
         resume = Resume(a_start()._replace(generation=2), awaits_kv=True)
         effects = sidecar.receive(self.core, resume, 0.0)
-        self.assertEqual([Held("r1", 2, 0, 0, (), True)], sent(effects))
+        self.assertEqual([ResumeReply("r1", 2, 0, 0, (), True)], sent(effects))
 
     def test_it_goes_on_where_the_old_stage_ended(self):
         effects = sidecar.receive(self.core, MOVE, 0.0)
@@ -53,15 +53,15 @@
             [], sidecar.receive(self.core, a_step(4, "y", generation=2), 0)
         )
         effects = handover.imported(self.core, "r1", True, 0.0)
-        self.assertEqual([Held("r1", 2, 0, 4, ("x", "y"))], sent(effects))
+        self.assertEqual([ResumeReply("r1", 2, 0, 4, ("x", "y"))], sent(effects))
 
     def test_it_holds_nothing_when_the_import_fails(self):
         sidecar.receive(self.core, MOVE, 0.0)
         effects = handover.imported(self.core, "r1", False, 0.0)
         self.assertEqual(FreeKv("r1"), effects[0])
-        self.assertEqual([Held("r1", 2, 0, 0)], sent(effects))
+        self.assertEqual([ResumeReply("r1", 2, 0, 0)], sent(effects))
 
     def test_it_waits_only_so_long(self):
         self.assertEqual([], sidecar.tick(self.core, handover.KV_WAIT_S - 0.1))
         effects = sidecar.tick(self.core, handover.KV_WAIT_S)
-        self.assertEqual([Held("r1", 2, 0, 0)], sent(effects))
+        self.assertEqual([ResumeReply("r1", 2, 0, 0)], sent(effects))
--- a/libs/pipeline/test/test_request.py
+++ b/libs/pipeline/test/test_request.py
@@ -15,7 +15,7 @@
 
 from cherryrudder.pipeline import request as entry, stage as sidecar
 from cherryrudder.pipeline.effects import ExportKv, Fail, ImportKv, NeedStage, SendTo
-from cherryrudder.pipeline.messages import Ack, Free, Held, StageFailed, Token
+from cherryrudder.pipeline.messages import Ack, Free, ResumeReply, StageFailed, Token
 
 
 def after(count):
@@ -236,7 +236,7 @@
         self.assertEqual([NeedStage(2, 4, ("s1a",))], needs)
         entry.replace(self.core, a_stage("heir", 2, 4), 1.0)
         for stage in range(3):
-            effects = entry.receive(self.core, Held("r1", 2, stage, 3), 1.0)
+            effects = entry.receive(self.core, ResumeReply("r1", 2, stage, 3), 1.0)
         self.assertIn(SendTo("s1a:1", Free("r1")), effects)
 
     def test_a_stage_that_does_not_fit(self):
@@ -270,11 +270,11 @@
         """
         self.core.tokens = ["a"] * self.core.start.window
         self.assertEqual([], entry.tick(self.core, 1000.0))
-        entry.consumed(self.core, 1, 1000.0)
+        entry.record_consumed(self.core, 1, 1000.0)
         self.assertEqual([], entry.tick(self.core, 1001.0))
         self.assertEqual(3, len(entry.tick(self.core, 1003.0)))
         # A new last stage must learn what the caller has taken.
         for stage in range(3):
-            held = Held("r1", 2, stage, 3)
+            held = ResumeReply("r1", 2, stage, 3)
             effects = entry.receive(self.core, held, 1003.0)
         self.assertEqual(Ack("r1", 1), effects[-1].message)
--- a/libs/pipeline/test/test_stage.py
+++ b/libs/pipeline/test/test_stage.py
@@ -13,8 +13,8 @@
     Ack,
     Continue,
     Free,
-    Held,
     Resume,
+    ResumeReply,
     Step,
     Token,
 )
@@ -92,9 +92,9 @@
         self.receive(a_step(2, "of the old plan"))
         resume = Resume(self.start._replace(generation=2))
         first = sent(self.receive(resume))[0]
-        self.assertEqual(Held("r1", 2, 1, 0, (), True), first)
+        self.assertEqual(ResumeReply("r1", 2, 1, 0, (), True), first)
         final = sent(self.computed(0, "A", "B"))
-        self.assertEqual([Held("r1", 2, 1, 2)], final)
+        self.assertEqual([ResumeReply("r1", 2, 1, 2)], final)
         effects = self.receive(Continue("r1", 2, 1))
         self.assertEqual([a_step(1, "B", generation=2)], sent(effects))
         effects = self.receive(a_step(2, "c", generation=2))
