--- a/libs/membership/src/cherryrudder/membership/reader.py
+++ b/libs/membership/src/cherryrudder/membership/reader.py
@@ -14,15 +14,15 @@
 
 # Watches are answered at least every second, also when nothing changed; three missed
 # answers mean that the control VM is frozen, dead or cut off.
-STALE_S = 3.0
+STALE_TIMEOUT_S = 3.0
 # What only a silent control VM held is kept for this long after its last answer. Its
 # sidecars announce every half second, notice within about two, and turn to another
 # control VM; so an endpoint that lives is held elsewhere by then, and one that died
 # together with the control VM still leaves within seconds.
-KEEP_S = 5.0
+RETENTION_S = 5.0
 # Credits and steps come over a live link many times a second; two seconds is the
 # lease that the announcements themselves have.
-LINK_S = 2.0
+LINK_TIMEOUT_S = 2.0
 
 
 class MergeResult(StrEnum):
@@ -37,7 +37,7 @@
     """An endpoint that this process itself heard from."""
 
     announcement: Announcement
-    seen_s: float
+    last_seen_s: float
 
 
 class View:
@@ -46,7 +46,7 @@
     def __init__(self):
         self.epoch = ""
         self.version = 0
-        self.heard_s = 0.0
+        self.last_seen_s = 0.0
         self.endpoints: dict[str, Announcement] = {}
         self.carried: dict[str, Announcement] = {}
         self.carried_s = 0.0
@@ -57,14 +57,14 @@
 
     def __init__(
         self,
-        stale_s: float = STALE_S,
-        keep_s: float = KEEP_S,
-        link_s: float = LINK_S,
+        stale_timeout_s: float = STALE_TIMEOUT_S,
+        retention_s: float = RETENTION_S,
+        link_timeout_s: float = LINK_TIMEOUT_S,
     ):
-        self.stale_s = stale_s
-        self.keep_s = keep_s
-        self.link_s = link_s
-        self.rejoined_s = 0.0
+        self.stale_timeout_s = stale_timeout_s
+        self.retention_s = retention_s
+        self.link_timeout_s = link_timeout_s
+        self.reconnected_s = 0.0
         self.views: dict[str, View] = {}
         self.links: dict[str, Link] = {}
 
@@ -72,14 +72,14 @@
 def merge(reader: Reader, source: str, delta: TableDelta, now_s: float) -> MergeResult:
     """Take in a control VM's delta; lost, doubled and reordered ones do no harm."""
     view = reader.views.setdefault(source, View())
-    verdict = _judge(view, delta)
+    verdict = _check_delta(view, delta)
     if verdict != MergeResult.TAKEN:
         return verdict
     # After a long cut the first control VM to answer must not wipe what the others,
     # which answer a moment later, still hold.
     if not _any_fresh(reader, now_s):
-        reader.rejoined_s = now_s
-    view.heard_s = now_s
+        reader.reconnected_s = now_s
+    view.last_seen_s = now_s
     if delta.epoch != view.epoch:
         _change_epoch(view, delta.epoch, now_s)
     if delta.full:
@@ -90,7 +90,7 @@
     for announcement in delta.announced:
         view.endpoints[announcement.endpoint] = announcement
         _update_link(reader, announcement)
-    _forget(reader, now_s)
+    _drop_expired(reader, now_s)
     return MergeResult.TAKEN
 
 
@@ -108,11 +108,11 @@
         # Without one answering control VM this process is itself cut off, and time
         # proves nothing against any endpoint. It keeps what it knows; links that fail
         # show which endpoints are dead, and a leaving one refuses work itself.
-        if not any_fresh or not _is_over(reader, view.heard_s, now_s):
+        if not any_fresh or not _is_expired(reader, view.last_seen_s, now_s):
             _take_newest(best, view.endpoints.values())
-        if not any_fresh or not _is_over(reader, view.carried_s, now_s):
+        if not any_fresh or not _is_expired(reader, view.carried_s, now_s):
             _take_newest(best, view.carried.values())
-    _take_newest(best, _linked(reader, now_s))
+    _take_newest(best, _live_links(reader, now_s))
     return tuple(best[name] for name in sorted(best))
 
 
@@ -139,7 +139,7 @@
     reader.links.pop(endpoint, None)
 
 
-def _judge(view, delta):
+def _check_delta(view, delta):
     # Epochs have no order. A late answer of a control VM's earlier run would bring its
     # old table back; it is known by the epoch that it was asked from, which has been
     # left since. The run that goes on always answers from the present epoch.
@@ -165,32 +165,34 @@
 
 def _any_fresh(reader, now_s):
     return any(
-        view.epoch and now_s - view.heard_s <= reader.stale_s
+        view.epoch and now_s - view.last_seen_s <= reader.stale_timeout_s
         for view in reader.views.values()
     )
 
 
-def _is_over(reader, since_s, now_s):
-    return now_s - max(since_s, reader.rejoined_s) > reader.keep_s
+def _is_expired(reader, since_s, now_s):
+    return now_s - max(since_s, reader.reconnected_s) > reader.retention_s
 
 
-def _forget(reader, now_s):
+def _drop_expired(reader, now_s):
     """Empty the views that no longer count, lest a later cut bring them back."""
     for view in reader.views.values():
-        if _is_over(reader, view.carried_s, now_s):
+        if _is_expired(reader, view.carried_s, now_s):
             view.carried = {}
-        if _is_over(reader, view.heard_s, now_s):
+        if _is_expired(reader, view.last_seen_s, now_s):
             view.endpoints = {}
             view.version = 0
-    limit_s = now_s - reader.link_s
-    for name in [n for n, link in reader.links.items() if link.seen_s < limit_s]:
+    limit_s = now_s - reader.link_timeout_s
+    for name in [n for n, link in reader.links.items() if link.last_seen_s < limit_s]:
         del reader.links[name]
 
 
-def _linked(reader, now_s):
-    limit_s = now_s - reader.link_s
+def _live_links(reader, now_s):
+    limit_s = now_s - reader.link_timeout_s
     return [
-        link.announcement for link in reader.links.values() if link.seen_s >= limit_s
+        link.announcement
+        for link in reader.links.values()
+        if link.last_seen_s >= limit_s
     ]
 
 
--- a/libs/membership/src/cherryrudder/membership/subset.py
+++ b/libs/membership/src/cherryrudder/membership/subset.py
@@ -7,12 +7,12 @@
 
 # One may be lost or frozen without an endpoint being lost with it; each further one
 # costs every sidecar another announcement every half second.
-ANNOUNCE_TO = 2
+ANNOUNCE_COUNT = 2
 
 
 # Control VMs that hold the table of endpoints. Every entry follows all of them, or it
 # would miss the endpoints that announce to the others; five bear two losses.
-TABLE_VMS = 5
+MAX_TABLE_VMS = 5
 
 
 class ControlVm(NamedTuple):
@@ -24,7 +24,7 @@
 
 def table_addresses(addresses: Collection[str]) -> list[str]:
     """Return the control VMs that hold the table, the same for every process."""
-    return sorted(addresses)[:TABLE_VMS]
+    return sorted(addresses)[:MAX_TABLE_VMS]
 
 
 def choose(
@@ -32,7 +32,7 @@
     region: str,
     endpoint: str,
     failing: Collection[str] = (),
-    count: int = ANNOUNCE_TO,
+    count: int = ANNOUNCE_COUNT,
 ) -> list[str]:
     """Return the addresses to announce to: own region first, then any other.
 
--- a/libs/membership/src/cherryrudder/membership/table.py
+++ b/libs/membership/src/cherryrudder/membership/table.py
@@ -13,10 +13,10 @@
 
 # How long a lost endpoint's last sequence is remembered. A packet that is held up for
 # longer than ten minutes has been given up by every transport in use.
-FORGET_S = 600.0
+LOST_RETENTION_S = 600.0
 # A table that was not looked at for this long was itself frozen: it could not hear
 # anyone. Call `expire` at least every half second, far below this.
-PAUSE_S = 2.0
+MIN_PAUSE_S = 2.0
 
 
 class Code(StrEnum):
@@ -58,7 +58,7 @@
     version: int
 
 
-class Gone(NamedTuple):
+class LostEndpoint(NamedTuple):
     """A lost endpoint's newest announcement, against late packets."""
 
     announcement: Announcement
@@ -77,8 +77,8 @@
         self.epoch = epoch
         self.version = 0
         self.rows: dict[str, Row] = {}
-        self.gone: dict[str, Gone] = {}
-        self.gone_floor = 0
+        self.gone: dict[str, LostEndpoint] = {}
+        self.oldest_version = 0
         self.checked_s: float | None = None
 
 
@@ -106,19 +106,19 @@
 
 def expire(table: Table, now_s: float) -> tuple[str, ...]:
     """Drop the endpoints whose lease has run out and return their names."""
-    _forgive_pause(table, now_s)
+    _extend_leases_after_pause(table, now_s)
     lost = [name for name, row in table.rows.items() if row.expires_s <= now_s]
     for name in lost:
         table.version += 1
         row = table.rows.pop(name)
-        table.gone[name] = Gone(row.announcement, now_s, table.version)
-    _forget(table, now_s)
+        table.gone[name] = LostEndpoint(row.announcement, now_s, table.version)
+    _drop_old_losses(table, now_s)
     return tuple(lost)
 
 
 def delta_since(table: Table, epoch: str, version: int) -> TableDelta:
     """Return what changed after a version, or everything where that is unknown."""
-    known = epoch == table.epoch and table.gone_floor <= version <= table.version
+    known = epoch == table.epoch and table.oldest_version <= version <= table.version
     if not known:
         everything = live(table)
         return TableDelta(table.epoch, table.version, True, everything, asked=epoch)
@@ -156,24 +156,24 @@
     return found[::-1]
 
 
-def _forgive_pause(table, now_s):
+def _extend_leases_after_pause(table, now_s):
     # A control VM that thaws after ten seconds finds every lease run out, though the
     # endpoints are well: it would tell all readers that the platform is empty. Leases
     # run only while the table listens; a dead endpoint then goes one lease later.
     pause_s = now_s - table.checked_s if table.checked_s is not None else 0.0
     table.checked_s = now_s
-    if pause_s < PAUSE_S:
+    if pause_s < MIN_PAUSE_S:
         return
     for name, row in table.rows.items():
         expires_s = min(row.expires_s + pause_s, now_s + row.lease_s)
         table.rows[name] = row._replace(expires_s=expires_s)
 
 
-def _forget(table, now_s):
+def _drop_old_losses(table, now_s):
     old = []
     for name, lost in table.gone.items():
-        if lost.at_s > now_s - FORGET_S:
+        if lost.at_s > now_s - LOST_RETENTION_S:
             break
         old.append(name)
     for name in old:
-        table.gone_floor = table.gone.pop(name).version
+        table.oldest_version = table.gone.pop(name).version
--- a/libs/membership/test/test_reader.py
+++ b/libs/membership/test/test_reader.py
@@ -5,7 +5,13 @@
 from builders import an_announcement
 
 from cherryrudder.membership import reader as readers
-from cherryrudder.membership.reader import KEEP_S, LINK_S, STALE_S, MergeResult, Reader
+from cherryrudder.membership.reader import (
+    LINK_TIMEOUT_S,
+    RETENTION_S,
+    STALE_TIMEOUT_S,
+    MergeResult,
+    Reader,
+)
 from cherryrudder.membership.table import Table, TableDelta, announce, delta_since
 
 
@@ -33,10 +39,10 @@
         """
         self.assertEqual(self.names(3600.0), ["desk-1", "desk-2"])
         self.hear("north", "desk-1", now_s=3600.0)
-        self.assertEqual(self.names(3600.0 + STALE_S), ["desk-1", "desk-2"])
-        for now_s in (3602.0, 3604.0, 3601.0 + KEEP_S):
+        self.assertEqual(self.names(3600.0 + STALE_TIMEOUT_S), ["desk-1", "desk-2"])
+        for now_s in (3602.0, 3604.0, 3601.0 + RETENTION_S):
             self.hear("north", "desk-1", now_s=now_s)
-        self.assertEqual(self.names(3601.0 + KEEP_S), ["desk-1"])
+        self.assertEqual(self.names(3601.0 + RETENTION_S), ["desk-1"])
 
     def test_what_only_a_silent_control_vm_held_leaves_after_a_while(self):
         """One control VM freezes. Its endpoints turn to another one in time.
@@ -45,12 +51,12 @@
         one that died at the same time still leaves within seconds, and a later cut
         does not bring it back.
         """
-        for now_s in (2.0, 4.0, KEEP_S):
+        for now_s in (2.0, 4.0, RETENTION_S):
             self.hear("north", "desk-1", now_s=now_s)
-        self.assertEqual(self.names(KEEP_S), ["desk-1", "desk-2"])
-        self.hear("north", "desk-1", now_s=KEEP_S + 0.1)
-        self.assertEqual(self.names(KEEP_S + 0.1), ["desk-1"])
-        self.assertEqual(self.names(KEEP_S + 100.0), ["desk-1"])
+        self.assertEqual(self.names(RETENTION_S), ["desk-1", "desk-2"])
+        self.hear("north", "desk-1", now_s=RETENTION_S + 0.1)
+        self.assertEqual(self.names(RETENTION_S + 0.1), ["desk-1"])
+        self.assertEqual(self.names(RETENTION_S + 100.0), ["desk-1"])
         self.assertEqual(readers.position(self.reader, "south"), ("1", 0))
 
     def test_a_restarted_control_vm_does_not_empty_the_table(self):
@@ -97,8 +103,8 @@
         readers.record_link_seen(self.reader, "desk-2", "another life", 1.0)
         for source in ("north", "south"):
             self.hear(source, now_s=1.0, version=2)
-        self.assertEqual(self.names(1.0 + LINK_S), ["desk-1"])
-        self.assertEqual(self.names(1.1 + LINK_S), [])
+        self.assertEqual(self.names(1.0 + LINK_TIMEOUT_S), ["desk-1"])
+        self.assertEqual(self.names(1.1 + LINK_TIMEOUT_S), [])
         readers.record_link_lost(self.reader, "desk-1")
         self.assertEqual(self.names(1.0), [])
 
--- a/libs/membership/test/test_table.py
+++ b/libs/membership/test/test_table.py
@@ -181,5 +181,5 @@
             expire(self.table, now_s)
         delta = tables.delta_since(self.table, "epoch-1", version)
         self.assertEqual((delta.gone, delta.full), (("desk-1",), False))
-        expire(self.table, LEASE_S * 2 + tables.FORGET_S)
+        expire(self.table, LEASE_S * 2 + tables.LOST_RETENTION_S)
         self.assertTrue(tables.delta_since(self.table, "epoch-1", version).full)
--- a/libs/pipeline/src/cherryrudder/pipeline/dump.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/dump.py
@@ -24,14 +24,14 @@
         "phase": str(core.phase),
         "generation": core.generation,
         "stages": [stage.endpoint for stage in core.stages],
-        "missing_layers": [list(hole) for hole in core.holes],
+        "missing_layers": [list(missing) for missing in core.missing_ranges],
         "excluded": list(core.excluded),
         "leaving": core.leaving.endpoint if core.leaving else "",
         "prompt_tokens": len(core.start.prompt),
         "tokens": len(core.tokens),
         "max_tokens": core.start.max_tokens,
         "consumed": core.consumed,
-        "waiting_since_s": core.since_s,
+        "waiting_since_s": core.waiting_since_s,
     }
 
 
--- a/libs/pipeline/src/cherryrudder/pipeline/handover.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/handover.py
@@ -11,15 +11,15 @@
 
 # Exporting and moving the KV of a long prompt takes about a second on a gigabit link;
 # past a few, a rebuild by replay serves the caller sooner.
-KV_WAIT_S = 5.0
+KV_TIMEOUT_S = 5.0
 
 
-def leave(core, message: HandOver, now_s: float) -> list:
+def start_handover(core, message: HandOver, now_s: float) -> list:
     """Stop a request here and export its KV as soon as the engine is done."""
     state = core.requests.get(message.request)
     if state is None:
-        none = KvTransfer(message.request, message.generation, 0, (), (), "")
-        return [SendTo(message.address, none)]
+        empty = KvTransfer(message.request, message.generation, 0, (), (), "")
+        return [SendTo(message.address, empty)]
     if message.generation <= state.start.generation:
         return []
     # From here on steps of the old plan are refused, so what is exported is final.
@@ -41,7 +41,7 @@
     state = core.requests.get(request)
     if state is None or not state.leaving_to:
         return []
-    move = KvTransfer(
+    transfer = KvTransfer(
         request,
         state.start.generation,
         state.kept_from,
@@ -49,24 +49,27 @@
         tuple(state.inputs),
         kv,
     )
-    return [SendTo(state.leaving_to, move), *tables.drop(core, request, now_s)]
+    return [
+        SendTo(state.leaving_to, transfer),
+        *tables.drop_request(core, request, now_s),
+    ]
 
 
-def take_kv(core, move: KvTransfer, now_s: float) -> list:
+def import_kv(core, transfer: KvTransfer, now_s: float) -> list:
     """Import what the relieved stage exported."""
-    state = core.requests.get(move.request)
+    state = core.requests.get(transfer.request)
     if state is None:
-        tables.keep_early(core, move, now_s)
+        tables.keep_early(core, transfer, now_s)
         return []
-    if state.awaits_kv_s is None or state.importing:
+    if state.kv_wait_since_s is None or state.importing:
         return []
-    if not move.kv:
-        return _settle(state)
+    if not transfer.kv:
+        return _stop_waiting(state)
     state.importing = True
-    state.next_position = move.kept_from
-    state.inputs.extend(move.inputs)
-    tables.keep(core, state, move.outputs)
-    return [ImportKv(move.request, move.kv)]
+    state.next_position = transfer.kept_from
+    state.inputs.extend(transfer.inputs)
+    tables.keep_outputs(core, state, transfer.outputs)
+    return [ImportKv(transfer.request, transfer.kv)]
 
 
 def imported(core, request: str, is_done: bool, now_s: float) -> list:
@@ -77,23 +80,23 @@
     if not state.importing:
         return []
     if is_done:
-        return _settle(state)
-    tables.forget_outputs(core, state)
-    return [FreeKv(request), *_settle(state)]
+        return _stop_waiting(state)
+    tables.clear_outputs(core, state)
+    return [FreeKv(request), *_stop_waiting(state)]
 
 
-def give_up_waiting(core, now_s: float) -> list:
+def expire_kv_waits(core, now_s: float) -> list:
     """Go on without KV that does not come."""
     effects = []
     for state in core.requests.values():
-        since_s = None if state.importing else state.awaits_kv_s
-        if since_s is not None and now_s - since_s >= KV_WAIT_S:
-            effects += _settle(state)
+        since_s = None if state.importing else state.kv_wait_since_s
+        if since_s is not None and now_s - since_s >= KV_TIMEOUT_S:
+            effects += _stop_waiting(state)
     return effects
 
 
-def _settle(state):
-    state.awaits_kv_s = None
+def _stop_waiting(state):
+    state.kv_wait_since_s = None
     state.importing = False
-    state.owes_held = False
-    return [SendTo(state.start.entry, requests.held(state))]
+    state.reply_pending = False
+    return [SendTo(state.start.entry, requests.resume_reply(state))]
--- a/libs/pipeline/src/cherryrudder/pipeline/plan.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/plan.py
@@ -8,7 +8,7 @@
 from cherryrudder.pipeline.messages import Stage
 
 
-class Hole(NamedTuple):
+class LayerRange(NamedTuple):
     """Layers that no stage of a plan holds; `end_layer` is exclusive."""
 
     first_layer: int
@@ -50,13 +50,13 @@
     )
 
 
-def fill(holes, stage: Stage) -> Result[list[Hole], PlanError]:
+def fill_missing(missing_ranges, stage: Stage) -> Result[list[LayerRange], PlanError]:
     """Return the holes that are left once a stage holds the first part of one."""
-    for hole in holes:
-        fits = stage.first_layer == hole.first_layer
-        if fits and stage.end_layer <= hole.end_layer:
-            others = [other for other in holes if other != hole]
-            rest = Hole(stage.end_layer, hole.end_layer)
+    for missing in missing_ranges:
+        fits = stage.first_layer == missing.first_layer
+        if fits and stage.end_layer <= missing.end_layer:
+            others = [other for other in missing_ranges if other != missing]
+            rest = LayerRange(stage.end_layer, missing.end_layer)
             return Ok([rest, *others] if rest.first_layer < rest.end_layer else others)
     return Error(
         PlanError(
@@ -66,11 +66,11 @@
     )
 
 
-def touches(holes, stage: Stage) -> bool:
+def overlaps_any(missing_ranges, stage: Stage) -> bool:
     """Tell whether a stage holds a layer of a hole."""
     return any(
-        stage.first_layer < hole.end_layer and hole.first_layer < stage.end_layer
-        for hole in holes
+        stage.first_layer < missing.end_layer and missing.first_layer < stage.end_layer
+        for missing in missing_ranges
     )
 
 
--- a/libs/pipeline/src/cherryrudder/pipeline/request.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/request.py
@@ -32,7 +32,7 @@
     Start,
     Token,
 )
-from cherryrudder.pipeline.plan import Hole, fill, touches
+from cherryrudder.pipeline.plan import LayerRange, fill_missing, overlaps_any
 
 
 class Timing(NamedTuple):
@@ -43,11 +43,11 @@
     stall_timeout_s: float = 2.0
     # A living sidecar answers `Resume` from memory; two round trips and a retransmit
     # between regions fit.
-    answer_s: float = 1.0
+    resume_timeout_s: float = 1.0
     # The longest compute of one step: a long prompt on a slow accelerator.
-    compute_s: float = 30.0
+    compute_timeout_s: float = 30.0
     # Past this no endpoint will turn up in time for the caller.
-    replace_s: float = 30.0
+    replace_timeout_s: float = 30.0
 
 
 # Each loss or stall takes one generation. More than this in one request means that
@@ -80,21 +80,21 @@
         self.generation = start.generation
         self.tokens = []
         self.consumed = 0
-        self.holes: list[Hole] = []
+        self.missing_ranges: list[LayerRange] = []
         self.excluded: list[str] = []
         # A planned stop: the stage to relieve, then the one that hands its KV over.
         self.leaving: Stage | None = None
-        self.departing: Stage | None = None
-        self.held: dict[int, ResumeReply] = {}
+        self.replaced: Stage | None = None
+        self.replies: dict[int, ResumeReply] = {}
         self.idle_rounds = 0
-        self.behind: resume.Behind | None = None
+        self.lagging: resume.LaggingStage | None = None
         # When the present wait began, whatever the phase.
-        self.since_s = 0.0
+        self.waiting_since_s = 0.0
 
 
 def begin(core: RequestCore, now_s: float) -> list:
     """Send the plan to each stage; stage 0 starts the prompt."""
-    core.since_s = now_s
+    core.waiting_since_s = now_s
     if not core.start.prompt or core.start.max_tokens < 1:
         return _fail(core, "a request needs a prompt and at least one token to make")
     # Stage 0 comes last: the others then mostly know the plan before its first step.
@@ -121,7 +121,7 @@
     if core.phase == Phase.ENDED or count <= core.consumed:
         return []
     if core.phase == Phase.RUNNING:
-        core.since_s = now_s
+        core.waiting_since_s = now_s
     core.consumed = count
     return _ack(core)
 
@@ -131,7 +131,7 @@
     if core.phase == Phase.ENDED:
         return []
     lost = [s for s in core.stages if name in (s.endpoint, s.address)]
-    return _lose(core, lost, now_s)
+    return _remove_stages(core, lost, now_s)
 
 
 def stage_leaving(core: RequestCore, name: str, now_s: float) -> list:
@@ -156,25 +156,25 @@
         return _hand_over(core, stage, now_s)
     if core.phase != Phase.REPLACING:
         return []
-    if not touches(core.holes, stage):
+    if not overlaps_any(core.missing_ranges, stage):
         # A late answer to a need that is gone.
         return []
-    left = fill(core.holes, stage)
+    left = fill_missing(core.missing_ranges, stage)
     if left.is_error():
         return _fail(core, str(left.error))
-    is_partial = len(left.ok) == len(core.holes)
-    core.holes = left.ok
+    is_partial = len(left.ok) == len(core.missing_ranges)
+    core.missing_ranges = left.ok
     core.stages.append(stage)
     core.stages.sort(key=lambda s: s.first_layer)
-    core.since_s = now_s
+    core.waiting_since_s = now_s
     if is_partial:
-        return [_need(core, core.holes[0])]
-    return [] if core.holes else _ask(core, now_s)
+        return [_stage_need(core, core.missing_ranges[0])]
+    return [] if core.missing_ranges else _start_resume(core, now_s)
 
 
 def needs(core: RequestCore) -> list[NeedStage]:
     """Return what is still sought, for a shell that finds nothing at first."""
-    return [_need(core, hole) for hole in core.holes]
+    return [_stage_need(core, missing) for missing in core.missing_ranges]
 
 
 def no_stage(core: RequestCore, now_s: float) -> list:
@@ -185,8 +185,10 @@
     core.leaving = None
     if core.phase != Phase.REPLACING:
         return []
-    hole = core.holes[0]
-    return _fail(core, f"no endpoint for layers {hole.first_layer} to {hole.end_layer}")
+    missing = core.missing_ranges[0]
+    return _fail(
+        core, f"no endpoint for layers {missing.first_layer} to {missing.end_layer}"
+    )
 
 
 def cancel(core: RequestCore, now_s: float) -> list:
@@ -198,22 +200,28 @@
 
 def tick(core: RequestCore, now_s: float) -> list:
     """Act on time that has passed; call it a few times a second."""
-    waited_s = now_s - core.since_s
+    waited_s = now_s - core.waiting_since_s
     if core.phase == Phase.RUNNING and resume.expects_token(core):
-        return _ask(core, now_s) if waited_s >= core.timing.stall_timeout_s else []
+        return (
+            _start_resume(core, now_s)
+            if waited_s >= core.timing.stall_timeout_s
+            else []
+        )
     if core.phase == Phase.ASKING:
-        silent = [s for i, s in enumerate(core.plan) if _is_silent(core, i, waited_s)]
-        return _lose(core, silent, now_s)
-    if core.phase == Phase.REPLACING and waited_s >= core.timing.replace_s:
+        unresponsive = [
+            s for i, s in enumerate(core.plan) if _is_unresponsive(core, i, waited_s)
+        ]
+        return _remove_stages(core, unresponsive, now_s)
+    if core.phase == Phase.REPLACING and waited_s >= core.timing.replace_timeout_s:
         return no_stage(core, now_s)
     return []
 
 
-def _is_silent(core, index, waited_s):
-    held = core.held.get(index)
-    if held is None:
-        return waited_s >= core.timing.answer_s
-    return held.running and waited_s >= core.timing.compute_s
+def _is_unresponsive(core, index, waited_s):
+    reply = core.replies.get(index)
+    if reply is None:
+        return waited_s >= core.timing.resume_timeout_s
+    return reply.running and waited_s >= core.timing.compute_timeout_s
 
 
 def _token(core, token, now_s):
@@ -230,62 +238,62 @@
     core.tokens.extend(fresh)
     core.idle_rounds = 0
     if core.phase == Phase.RUNNING:
-        core.since_s = now_s
+        core.waiting_since_s = now_s
     last = len(core.tokens) >= core.start.max_tokens
     deliver = [Deliver(tuple(fresh), last)]
     return deliver + _end(core) if last else deliver
 
 
-def _held(core, held, now_s):
-    known = core.held.get(held.stage)
-    settled = known is not None and not known.running
+def _resume_reply(core, reply, now_s):
+    previous = core.replies.get(reply.stage)
+    settled = previous is not None and not previous.running
     if core.phase != Phase.ASKING or settled:
         return []
-    core.held[held.stage] = held
-    answers = core.held.values()
-    if len(answers) < len(core.stages) or any(h.running for h in answers):
+    core.replies[reply.stage] = reply
+    replies = core.replies.values()
+    if len(replies) < len(core.stages) or any(r.running for r in replies):
         return []
-    return _go_on(core, now_s)
+    return _finish_resume(core, now_s)
 
 
 def _stage_failed(core, failed, now_s):
     if not failed.link_only:
-        return _lose(core, [core.plan[failed.stage]], now_s)
+        return _remove_stages(core, [core.plan[failed.stage]], now_s)
     # Only a link between two stages broke. Frames may be lost with it; the round
     # finds out which stage still answers and has the rest sent again.
-    return _ask(core, now_s) if core.phase == Phase.RUNNING else []
+    return _start_resume(core, now_s) if core.phase == Phase.RUNNING else []
 
 
 def _refused(core, refused, now_s):
     if refused.code == NO_ROOM:
-        return _lose(core, [core.plan[refused.stage]], now_s)
+        return _remove_stages(core, [core.plan[refused.stage]], now_s)
     # A late copy of an old resume is rightly refused and says nothing about the chain.
     is_gap = refused.code == GAP and core.phase == Phase.RUNNING
-    return _ask(core, now_s) if is_gap else []
+    return _start_resume(core, now_s) if is_gap else []
 
 
 HANDLERS = {
     Token: _token,
-    ResumeReply: _held,
+    ResumeReply: _resume_reply,
     StageFailed: _stage_failed,
     Refused: _refused,
 }
 
 
-def _lose(core, lost, now_s):
+def _remove_stages(core, lost, now_s):
     """Take stages out of the plan and ask for others."""
     lost = [stage for stage in lost if stage in core.stages]
     if not lost:
         return []
     core.phase = Phase.REPLACING
-    core.since_s = now_s
-    core.behind = None
+    core.waiting_since_s = now_s
+    core.lagging = None
     core.leaving = None
     effects = []
     for stage in lost:
         core.stages.remove(stage)
         core.excluded.append(stage.endpoint)
-        core.holes.append(Hole(stage.first_layer, stage.end_layer))
+        core.missing_ranges.append(LayerRange(stage.first_layer, stage.end_layer))
         # If it is only frozen or cut off, it lets go of the KV when it is back.
         effects.append(SendTo(stage.address, Free(core.start.request)))
     # A stage that is lost while another is sought changes what is excluded, so the
@@ -300,51 +308,51 @@
         return []
     core.stages[core.stages.index(old)] = stage
     core.excluded.append(old.endpoint)
-    core.departing = old
-    effects = _ask(core, now_s, heir=stage)
-    order = HandOver(core.start.request, core.generation, stage.address)
-    return effects + [SendTo(old.address, order)]
+    core.replaced = old
+    effects = _start_resume(core, now_s, replacement=stage)
+    message = HandOver(core.start.request, core.generation, stage.address)
+    return effects + [SendTo(old.address, message)]
 
 
-def _need(core, hole):
-    return NeedStage(hole.first_layer, hole.end_layer, tuple(core.excluded))
+def _stage_need(core, missing):
+    return NeedStage(missing.first_layer, missing.end_layer, tuple(core.excluded))
 
 
-def _ask(core, now_s, heir=None):
+def _start_resume(core, now_s, replacement=None):
     """Begin a new generation and ask each stage what it holds."""
     core.idle_rounds += 1
     if core.idle_rounds > MAX_IDLE_ROUNDS or core.generation >= MAX_GENERATIONS:
         return _fail(core, "the chain of stages could not be kept up")
     core.phase = Phase.ASKING
     core.leaving = None
-    core.since_s = now_s
+    core.waiting_since_s = now_s
     core.generation += 1
     core.plan = tuple(core.stages)
-    core.held = {}
+    core.replies = {}
     return [
-        SendTo(stage.address, Resume(_start_for(core, index), stage is heir))
+        SendTo(stage.address, Resume(_start_for(core, index), stage is replacement))
         for index, stage in enumerate(core.stages)
     ]
 
 
-def _go_on(core, now_s):
+def _finish_resume(core, now_s):
     """Tell each stage where to go on, now that all have answered."""
-    cut_off = resume.find_cut_off(core)
-    effects = _take_tokens(core, core.held[0].tokens[len(core.tokens) :], now_s)
+    unreachable = resume.find_unreachable(core)
+    effects = _take_tokens(core, core.replies[0].tokens[len(core.tokens) :], now_s)
     if core.phase == Phase.ENDED:
         return effects
-    if cut_off:
-        return effects + _lose(core, [cut_off], now_s)
-    useless = resume.stages_to_rebuild(core)
-    if useless:
+    if unreachable:
+        return effects + _remove_stages(core, [unreachable], now_s)
+    to_rebuild = resume.stages_to_rebuild(core)
+    if to_rebuild:
         freed = [
             SendTo(core.plan[index].address, Free(core.start.request))
-            for index in useless
+            for index in to_rebuild
         ]
-        return effects + freed + _ask(core, now_s)
+        return effects + freed + _start_resume(core, now_s)
     core.phase = Phase.RUNNING
-    core.since_s = now_s
-    effects += _free_departing(core)
+    core.waiting_since_s = now_s
+    effects += _free_replaced(core)
     effects += [
         SendTo(stage.address, resume.continue_for(core, index))
         for index, stage in enumerate(core.stages)
@@ -374,10 +382,10 @@
     core.phase = Phase.ENDED
     free = Free(core.start.request)
     freed = [SendTo(stage.address, free) for stage in core.stages]
-    return freed + _free_departing(core) + [Finished()]
+    return freed + _free_replaced(core) + [Finished()]
 
 
-def _free_departing(core):
+def _free_replaced(core):
     """Let go of a stage that handed over, should the order have missed it."""
-    stage, core.departing = core.departing, None
+    stage, core.replaced = core.replaced, None
     return [SendTo(stage.address, Free(core.start.request))] if stage else []
--- a/libs/pipeline/src/cherryrudder/pipeline/resume.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/resume.py
@@ -10,7 +10,7 @@
 from cherryrudder.pipeline.messages import Continue, Stage
 
 
-class Behind(NamedTuple):
+class LaggingStage(NamedTuple):
     """The stage that a round found behind what was sent to it, at a token count."""
 
     endpoint: str
@@ -22,16 +22,16 @@
     return len(core.tokens) - core.consumed < core.start.window
 
 
-def find_cut_off(core) -> Stage | None:
+def find_unreachable(core) -> Stage | None:
     """Return the stage that two rounds in a row found behind, if there is one.
 
     When the link between two stages is dead but both answer the entry, each round
     gets at most one token through (as stage 0's input in `Continue`) and the next
     stall follows. Giving up the one that receives nothing ends that.
     """
-    before = core.behind
-    stage = _first_behind(core)
-    core.behind = Behind(stage.endpoint, len(core.tokens)) if stage else None
+    before = core.lagging
+    stage = _first_lagging(core)
+    core.lagging = LaggingStage(stage.endpoint, len(core.tokens)) if stage else None
     if not before or not stage or before.endpoint != stage.endpoint:
         return None
     return stage if len(core.tokens) <= before.tokens + 1 else None
@@ -49,22 +49,22 @@
     if index == len(core.plan) - 1:
         send_from = len(start.prompt) + len(core.tokens) - 1
     else:
-        send_from = core.held[index + 1].next_position
+        send_from = core.replies[index + 1].next_position
     if index > 0:
         return Continue(request, generation, send_from)
-    position = core.held[0].next_position
+    position = core.replies[0].next_position
     inputs = (start.prompt + tuple(core.tokens))[position:]
     return Continue(request, generation, send_from, position, inputs)
 
 
-def _first_behind(core):
+def _first_lagging(core):
     if not expects_token(core):
         return None
     sent = len(core.start.prompt) + len(core.tokens)
     for index, stage in enumerate(core.plan):
-        if core.held[index].next_position < sent:
+        if core.replies[index].next_position < sent:
             return stage
-        sent = core.held[index].next_position
+        sent = core.replies[index].next_position
     return None
 
 
@@ -76,9 +76,9 @@
     text would silently rest on a token that isn't in it; so that stage starts over.
     """
     prompt = len(core.start.prompt)
-    last = core.held[len(core.plan) - 1].next_position
+    last = core.replies[len(core.plan) - 1].next_position
     known = prompt + max(len(core.tokens), last - prompt + 1)
-    return {i for i, held in core.held.items() if held.next_position > known}
+    return {i for i, reply in core.replies.items() if reply.next_position > known}
 
 
 def _stages_without_outputs(core):
@@ -86,5 +86,5 @@
     return {
         index
         for index in range(len(core.plan) - 1)
-        if core.held[index].kept_from > core.held[index + 1].next_position
+        if core.replies[index].kept_from > core.replies[index + 1].next_position
     }
--- a/libs/pipeline/src/cherryrudder/pipeline/stage.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stage.py
@@ -37,7 +37,7 @@
 def computed(core: StageCore, request: str, position: int, outputs, now_s: float):
     """Take the engine's outputs, one for each input of the `Compute`."""
     if request in core.draining:
-        return _drained(core, request)
+        return _discard_result(core, request)
     state = core.requests.get(request)
     if state is None:
         return [FreeKv(request)]
@@ -47,12 +47,12 @@
         message = f"{len(outputs)} outputs for {state.running} inputs"
         return compute_failed(core, request, position, message, now_s)
     state.touched_s = now_s
-    tables.keep(core, state, outputs)
+    tables.keep_outputs(core, state, outputs)
     state.running = 0
     effects = []
-    if state.owes_held:
-        state.owes_held = False
-        effects.append(SendTo(state.start.entry, requests.held(state)))
+    if state.reply_pending:
+        state.reply_pending = False
+        effects.append(SendTo(state.start.entry, requests.resume_reply(state)))
     effects += handover.export_when_idle(state)
     return effects + _advance(core, state)
 
@@ -63,7 +63,7 @@
     The KV is in an unknown state: going on with it could run a layer twice.
     """
     if request in core.draining:
-        return _drained(core, request)
+        return _discard_result(core, request)
     state = core.requests.get(request)
     if state is None or not state.running or position != state.next_position:
         return []
@@ -73,7 +73,7 @@
         return handover.exported(core, request, "", now_s)
     start = state.start
     failed = StageFailed(request, start.generation, start.stage, message)
-    return [SendTo(start.entry, failed)] + tables.drop(core, request, now_s)
+    return [SendTo(start.entry, failed)] + tables.drop_request(core, request, now_s)
 
 
 def link_lost(core: StageCore, address: str, now_s: float) -> list:
@@ -94,18 +94,18 @@
 
 def tick(core: StageCore, now_s: float) -> list:
     """Free what nobody will ask for again; call it about once a second."""
-    tables.forget_old(core, now_s)
-    effects = handover.give_up_waiting(core, now_s)
-    for request in tables.abandoned(core, now_s):
-        effects += tables.drop(core, request, now_s)
+    tables.drop_expired(core, now_s)
+    effects = handover.expire_kv_waits(core, now_s)
+    for request in tables.abandoned_requests(core, now_s):
+        effects += tables.drop_request(core, request, now_s)
     return effects
 
 
 def _neighbours(start):
     """Return the stages that a stage exchanges steps with, without itself."""
     count = len(start.stages)
-    around = {(start.stage - 1) % count, (start.stage + 1) % count}
-    return sorted(around - {start.stage})
+    neighbours = {(start.stage - 1) % count, (start.stage + 1) % count}
+    return sorted(neighbours - {start.stage})
 
 
 def _start(core, start, now_s):
@@ -129,7 +129,7 @@
         if state is None:
             return effects
         state.send_next = None
-        state.awaits_kv_s = now_s if resume.awaits_kv else None
+        state.kv_wait_since_s = now_s if resume.awaits_kv else None
     elif start.generation < state.start.generation:
         return [_refuse(state, start.entry, OLD_GENERATION)]
     elif start.generation > state.start.generation:
@@ -137,9 +137,9 @@
     elif state.send_next is not None:
         # A repeat of the resume that this stage has already continued from.
         return []
-    _touch(state, now_s)
-    state.owes_held = requests.is_busy(state)
-    effects = [SendTo(start.entry, requests.held(state))]
+    _record_entry_message(state, now_s)
+    state.reply_pending = requests.is_busy(state)
+    effects = [SendTo(start.entry, requests.resume_reply(state))]
     return effects + _take_early(core, state, now_s)
 
 
@@ -147,11 +147,11 @@
     state = core.requests.get(message.request)
     if state is None or message.generation != state.start.generation:
         return []
-    _touch(state, now_s)
+    _record_entry_message(state, now_s)
     start = state.start
     state.send_next = message.send_from
     if requests.is_last(start):
-        state.feed_next = message.send_from - requests.first_sent(start)
+        state.feedback_next = message.send_from - requests.first_sent(start)
     if start.stage == 0 and not requests.accept(
         state, message.position, message.inputs
     ):
@@ -165,8 +165,8 @@
         tables.keep_early(core, step, now_s)
         return []
     if step.generation < state.start.generation:
-        hop = state.previous_hops.get(step.generation)
-        return [_refuse(state, hop, OLD_GENERATION)] if hop else []
+        address = state.previous_hops.get(step.generation)
+        return [_refuse(state, address, OLD_GENERATION)] if address else []
     state.touched_s = now_s
     if not requests.accept(state, step.position, step.inputs):
         return [_refuse(state, requests.previous_hop(state.start), GAP)]
@@ -177,13 +177,13 @@
     state = core.requests.get(ack.request)
     if state is None:
         return []
-    _touch(state, now_s)
+    _record_entry_message(state, now_s)
     state.acked = max(state.acked, ack.count)
     return _advance(core, state)
 
 
 def _free(core, free, now_s):
-    return tables.drop(core, free.request, now_s)
+    return tables.drop_request(core, free.request, now_s)
 
 
 def _refused(core, refused, now_s):
@@ -215,7 +215,7 @@
         state.send_next = min(state.send_next, refused.next_position - 1)
     else:
         token = refused.next_position - len(start.prompt)
-        state.feed_next = min(state.feed_next, max(0, token))
+        state.feedback_next = min(state.feedback_next, max(0, token))
 
 
 HANDLERS = {
@@ -226,12 +226,12 @@
     Ack: _ack,
     Free: _free,
     Refused: _refused,
-    HandOver: handover.leave,
-    KvTransfer: handover.take_kv,
+    HandOver: handover.start_handover,
+    KvTransfer: handover.import_kv,
 }
 
 
-def _touch(state, now_s):
+def _record_entry_message(state, now_s):
     """Note a message from the entry."""
     state.touched_s = now_s
     state.orphaned_s = None
@@ -275,7 +275,7 @@
     return [Compute(start.request, start.model, position, inputs, start.priority)]
 
 
-def _drained(core, request):
+def _discard_result(core, request):
     """Throw away a result for a freed request; its compute may have made KV anew."""
     core.draining.discard(request)
     state = core.requests.get(request)
--- a/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
@@ -23,13 +23,13 @@
         # The next position to send on; None from `Resume` until `Continue`.
         self.send_next = first_sent(start)
         # Last stage only: the next token to feed back, and what the caller took.
-        self.feed_next = 0
+        self.feedback_next = 0
         self.acked = 0
-        self.owes_held = False
+        self.reply_pending = False
         self.previous_hops = {}
         # A planned stop: where the KV goes, or since when it is awaited.
         self.leaving_to = ""
-        self.awaits_kv_s = None
+        self.kv_wait_since_s = None
         self.importing = False
         self.orphaned_s = None
         self.touched_s = now_s
@@ -52,7 +52,7 @@
 
 def is_busy(request: StageRequest) -> bool:
     """Tell whether the engine works or waits on what the request holds."""
-    return request.running > 0 or request.awaits_kv_s is not None
+    return request.running > 0 or request.kv_wait_since_s is not None
 
 
 def previous_hop(start: Start) -> str:
@@ -86,17 +86,17 @@
     return True
 
 
-def trim(request: StageRequest) -> list:
+def trim_sent(request: StageRequest) -> list:
     """Let go of the outputs that were sent, and return them; tokens always stay."""
     if request.send_next is None or is_last(request.start):
         return []
     sent = min(request.send_next, request.next_position) - request.kept_from
-    gone = request.outputs[: max(0, sent)]
-    del request.outputs[: len(gone)]
-    return gone
+    trimmed = request.outputs[: max(0, sent)]
+    del request.outputs[: len(trimmed)]
+    return trimmed
 
 
-def held(request: StageRequest) -> ResumeReply:
+def resume_reply(request: StageRequest) -> ResumeReply:
     """Return the answer to `Resume`."""
     start = request.start
     tokens = request.inputs[len(start.prompt) :] if start.stage == 0 else ()
@@ -144,10 +144,10 @@
     start = request.start
     # The closing token is nobody's input.
     end = min(_token_count(request), start.max_tokens - 1, request.acked + start.window)
-    first = request.feed_next
+    first = request.feedback_next
     if end <= first:
         return None
-    request.feed_next = end
+    request.feedback_next = end
     offset = len(start.prompt) - 1
     values = tuple(request.outputs[offset + first : offset + end])
     return Step(start.request, start.generation, len(start.prompt) + first, values)
--- a/libs/pipeline/src/cherryrudder/pipeline/stagetable.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stagetable.py
@@ -4,7 +4,7 @@
 
 from cherryrudder.pipeline.effects import FreeKv, SendTo
 from cherryrudder.pipeline.messages import NO_ROOM, KvTransfer, Refused, Step
-from cherryrudder.pipeline.stagerequest import StageRequest, trim
+from cherryrudder.pipeline.stagerequest import StageRequest, trim_sent
 
 # An engine of today runs some tens of requests at once; this leaves room for those
 # that wait between two steps and still bounds the kept outputs.
@@ -14,21 +14,21 @@
 MAX_KEPT_BYTES = 64 * 2**20
 # A step overtakes its `Start` by the difference of two links' delays, which is
 # milliseconds inside a region; past this the start is lost and the entry resumes.
-EARLY_S = 2.0
+EARLY_TIMEOUT_S = 2.0
 # One early step per request that may start within EARLY_S.
 MAX_EARLY = MAX_REQUESTS
 # Long enough for an entry to reconnect after a broken link, short enough that the
 # requests of a dead entry don't fill an engine's KV.
-ORPHAN_S = 10.0
+ORPHAN_TIMEOUT_S = 10.0
 # A request that saw no message and no result this long has lost its entry without a
 # sign. Should its caller only be slow, the next resume rebuilds it.
-IDLE_S = 600.0
+IDLE_TIMEOUT_S = 600.0
 # Frames of a freed request may still be under way this long.
 TOMBSTONE_S = 30.0
 MAX_TOMBSTONES = 8192
 
 
-class Early(NamedTuple):
+class EarlyMessage(NamedTuple):
     """A message of another stage that came before its request's start."""
 
     message: Step | KvTransfer
@@ -54,7 +54,7 @@
         self.max_kept_bytes = max_kept_bytes
         self.kept_bytes = 0
         self.requests: dict[str, StageRequest] = {}
-        self.early: list[Early] = []
+        self.early: list[EarlyMessage] = []
         self.tombstones: dict[str, Tombstone] = {}
         # Requests freed while the engine computed for them.
         self.draining: set[str] = set()
@@ -78,24 +78,24 @@
 def keep_early(core, message, now_s):
     """Keep a message for its start, within bounds; others are lost like a frame."""
     tombstone = core.tombstones.get(message.request)
-    dead = tombstone and message.generation <= tombstone.generation
+    is_freed = tombstone and message.generation <= tombstone.generation
     # Bytes count too: a step can hold a whole prompt's hidden states.
     size_bytes = _early_bytes(message) + sum(
         _early_bytes(e.message) for e in core.early
     )
     fits = len(core.early) < MAX_EARLY and size_bytes <= core.max_kept_bytes
-    if fits and not dead:
-        core.early.append(Early(message, now_s))
+    if fits and not is_freed:
+        core.early.append(EarlyMessage(message, now_s))
 
 
 def take_early(core, request: str) -> list[Step | KvTransfer]:
     """Return the messages that came before their request."""
-    mine = [e.message for e in core.early if e.message.request == request]
+    messages = [e.message for e in core.early if e.message.request == request]
     core.early = [e for e in core.early if e.message.request != request]
-    return mine
+    return messages
 
 
-def drop(core, request, now_s):
+def drop_request(core, request, now_s):
     """Forget a request, leaving a tombstone for its late frames."""
     state = core.requests.pop(request, None)
     core.early = [e for e in core.early if e.message.request != request]
@@ -110,20 +110,20 @@
     return [FreeKv(request)]
 
 
-def forget_old(core, now_s):
+def drop_expired(core, now_s):
     """Drop early steps and tombstones whose time is over."""
-    core.early = [e for e in core.early if now_s - e.arrived_s < EARLY_S]
+    core.early = [e for e in core.early if now_s - e.arrived_s < EARLY_TIMEOUT_S]
     for request, tombstone in list(core.tombstones.items()):
         if now_s >= tombstone.until_s:
             del core.tombstones[request]
 
 
-def abandoned(core, now_s) -> list[str]:
+def abandoned_requests(core, now_s) -> list[str]:
     """Return the requests that nobody will ask for again."""
     return [r for r, state in core.requests.items() if _is_abandoned(state, now_s)]
 
 
-def keep(core, state, outputs):
+def keep_outputs(core, state, outputs):
     """Keep outputs for a successor's rebuild, as far as the memory goes.
 
     Hidden states of long prompts outgrow a small process: 16 KB a position make
@@ -135,13 +135,13 @@
     core.kept_bytes += _size_bytes(outputs)
     if core.kept_bytes <= core.max_kept_bytes:
         return
-    for other in sorted(core.requests.values(), key=_kept, reverse=True):
-        core.kept_bytes -= _size_bytes(trim(other))
+    for other in sorted(core.requests.values(), key=_output_count, reverse=True):
+        core.kept_bytes -= _size_bytes(trim_sent(other))
         if core.kept_bytes <= core.max_kept_bytes / 2:
             return
 
 
-def forget_outputs(core, state):
+def clear_outputs(core, state):
     """Drop every output of a request that is to start over."""
     core.kept_bytes -= _size_bytes(state.outputs)
     state.outputs.clear()
@@ -149,7 +149,7 @@
     state.next_position = 0
 
 
-def _kept(state):
+def _output_count(state):
     return len(state.outputs)
 
 
@@ -163,5 +163,7 @@
 
 
 def _is_abandoned(state, now_s):
-    orphaned = state.orphaned_s is not None and now_s - state.orphaned_s >= ORPHAN_S
-    return orphaned or now_s - state.touched_s >= IDLE_S
+    orphaned = (
+        state.orphaned_s is not None and now_s - state.orphaned_s >= ORPHAN_TIMEOUT_S
+    )
+    return orphaned or now_s - state.touched_s >= IDLE_TIMEOUT_S
--- a/libs/pipeline/test/test_handover.py
+++ b/libs/pipeline/test/test_handover.py
@@ -62,6 +62,6 @@
         self.assertEqual([ResumeReply("r1", 2, 0, 0)], sent(effects))
 
     def test_it_waits_only_so_long(self):
-        self.assertEqual([], sidecar.tick(self.core, handover.KV_WAIT_S - 0.1))
-        effects = sidecar.tick(self.core, handover.KV_WAIT_S)
+        self.assertEqual([], sidecar.tick(self.core, handover.KV_TIMEOUT_S - 0.1))
+        effects = sidecar.tick(self.core, handover.KV_TIMEOUT_S)
         self.assertEqual([ResumeReply("r1", 2, 0, 0)], sent(effects))
--- a/libs/pipeline/test/test_stage.py
+++ b/libs/pipeline/test/test_stage.py
@@ -78,7 +78,7 @@
         sidecar.receive(thawed, self.start._replace(stage=0), 0.0)
         sidecar.receive(thawed, refused, 0.0)
         self.assertEqual([], sent(sidecar.computed(thawed, "r1", 0, "abc", 0.0)))
-        effects = sidecar.tick(thawed, stagetable.ORPHAN_S)
+        effects = sidecar.tick(thawed, stagetable.ORPHAN_TIMEOUT_S)
         self.assertEqual([FreeKv("r1")], effects)
 
     def test_a_resume_during_a_compute(self):
@@ -153,7 +153,7 @@
         for number in range(2 * stagetable.MAX_EARLY):
             sidecar.receive(core, Step(f"other{number}", 1, 0, ("a",)), 1.0)
         self.assertEqual(stagetable.MAX_EARLY, len(core.early))
-        sidecar.tick(core, 1.0 + stagetable.EARLY_S)
+        sidecar.tick(core, 1.0 + stagetable.EARLY_TIMEOUT_S)
         self.assertEqual([], core.early)
         sidecar.receive(core, Step("r2", 1, 0, ("a" * 2**26, "a")), 9.0)
         self.assertEqual([], core.early)
