--- a/libs/pipeline/src/cherryrudder/pipeline/request.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/request.py
@@ -1,9 +1,9 @@
-"""The entry's part of the pipeline: one request over a chain of stages.
+"""The entry's state machine for one request over a chain of pipeline stages.
 
-The entry keeps the small record of the request (prompt, tokens, plan, generation);
-activations go from stage to stage and never through it. After a loss it asks every
-stage what it holds and tells each where to go on, so that only the lost range of
-layers is computed anew.
+The entry stores the request's prompt, tokens, plan and generation. Activations are
+sent from stage to stage and never pass through it. After a stage is lost, the entry
+queries the progress of every stage and sends each the position to continue from, so
+that only the lost range of layers is recomputed.
 """
 
 from enum import StrEnum
@@ -36,29 +36,30 @@
 
 
 class Timing(NamedTuple):
-    """How long the entry waits before it takes a stage for lost."""
+    """Timeouts after which the entry considers a stage lost."""
 
-    # Well above one step of a loaded chain (some 0.1 s), and still the smaller part
-    # of a recovery that also has to find a stage and rebuild its KV.
+    # Time without an expected token before all stages are queried. Well above one
+    # step of a loaded chain (about 0.1 s), and still the smaller part of a recovery,
+    # which also has to find a stage and rebuild its KV.
     stall_timeout_s: float = 2.0
-    # A living sidecar answers `Resume` from memory; two round trips and a retransmit
-    # between regions fit.
+    # A live sidecar answers `Resume` from memory. This allows for two round trips and
+    # a retransmit between regions.
     resume_timeout_s: float = 1.0
-    # The longest compute of one step: a long prompt on a slow accelerator.
+    # Longest compute of one step: a long prompt on a slow accelerator.
     compute_timeout_s: float = 30.0
-    # Past this no endpoint will turn up in time for the caller.
+    # An endpoint found later than this would be too late for the caller.
     replace_timeout_s: float = 30.0
 
 
-# Each loss or stall takes one generation. More than this in one request means that
-# the chain cannot be kept up, and an honest failure serves the caller better.
+# Each loss or stall starts a new generation. A request that needs more than this has
+# an unstable chain, and an explicit failure serves the caller better.
 MAX_GENERATIONS = 32
-# Rounds in a row that bring no token: a replay after two losses takes three.
+# Resume rounds in a row without a new token. A replay after two losses takes three.
 MAX_IDLE_ROUNDS = 8
 
 
 class Phase(StrEnum):
-    """What the entry is waiting for."""
+    """What the entry is waiting for; ASKING means the replies to `Resume`."""
 
     RUNNING = "running"
     ASKING = "asking"
@@ -67,28 +68,29 @@
 
 
 class RequestCore:
-    """One request at its entry; `start` is the message for stage 0."""
+    """State of a request at its entry; `start` is the message for stage 0."""
 
     def __init__(self, start: Start, timing: Timing | None = None):
         self.start = start
         self.timing = timing or Timing()
         self.phase = Phase.RUNNING
         self.stages = list(start.stages)
-        # The plan that the stages of the present generation know; messages name
-        # stages by their place in it, also while one of them is being replaced.
+        # The plan of the current generation. Messages identify stages by their index
+        # in it, also while one of them is being replaced.
         self.plan = start.stages
         self.generation = start.generation
         self.tokens = []
         self.consumed = 0
         self.missing_ranges: list[LayerRange] = []
         self.excluded: list[str] = []
-        # A planned stop: the stage to relieve, then the one that hands its KV over.
+        # Planned stop: the stage that needs a replacement, and the replaced stage
+        # that still has to transfer its KV.
         self.leaving: Stage | None = None
         self.replaced: Stage | None = None
         self.replies: dict[int, ResumeReply] = {}
         self.idle_rounds = 0
         self.lagging: resume.LaggingStage | None = None
-        # When the present wait began, whatever the phase.
+        # Start of the current wait, in any phase.
         self.waiting_since_s = 0.0
 
 
@@ -97,7 +99,7 @@
     core.waiting_since_s = now_s
     if not core.start.prompt or core.start.max_tokens < 1:
         return _fail(core, "a request needs a prompt and at least one token to make")
-    # Stage 0 comes last: the others then mostly know the plan before its first step.
+    # Stage 0 comes last, so that the others usually have the plan before its step.
     return [
         SendTo(stage.address, _start_for(core, index))
         for index, stage in reversed(list(enumerate(core.stages)))
@@ -105,19 +107,19 @@
 
 
 def receive(core: RequestCore, message, now_s: float) -> list:
-    """Take a message from a stage and return the effects."""
+    """Handle a message from a stage and return the effects."""
     handler = HANDLERS.get(type(message))
     if core.phase == Phase.ENDED or handler is None:
         return []
     if message.generation != core.generation:
-        # A stage that was frozen or cut off still speaks for an old generation. Its
-        # tokens may differ from those of the stage that took its place.
+        # A stage that was frozen or partitioned still sends messages of an old
+        # generation. Its tokens may differ from those of its replacement.
         return []
     return handler(core, message, now_s)
 
 
 def record_consumed(core: RequestCore, count: int, now_s: float) -> list:
-    """Note that the caller has taken `count` tokens in all."""
+    """Record that the caller has taken `count` tokens in total."""
     if core.phase == Phase.ENDED or count <= core.consumed:
         return []
     if core.phase == Phase.RUNNING:
@@ -127,7 +129,7 @@
 
 
 def stage_lost(core: RequestCore, name: str, now_s: float) -> list:
-    """Give up the stage with an endpoint name or address and ask for another."""
+    """Remove the stage with an endpoint name or address and request another."""
     if core.phase == Phase.ENDED:
         return []
     lost = [s for s in core.stages if name in (s.endpoint, s.address)]
@@ -135,10 +137,11 @@
 
 
 def stage_leaving(core: RequestCore, name: str, now_s: float) -> list:
-    """Ask for a stage to relieve one that is to stop; until then it works on.
+    """Request a replacement for a stage that is going to stop.
 
-    Give the answer before any other event. Without one, or while a resume is under
-    way (call again then), the stage works on to the request's end.
+    The stage keeps working until it is replaced. Answer the returned `NeedStage`
+    before any other event; without an answer the stage works to the request's end.
+    Nothing is requested while a resume is in progress; call again later.
     """
     if core.phase != Phase.RUNNING or core.leaving:
         return []
@@ -151,13 +154,13 @@
 
 
 def replace(core: RequestCore, stage: Stage, now_s: float) -> list:
-    """Put a stage into a hole; it may hold the hole's first part only."""
+    """Add a stage for a missing range; it may hold only the first part of it."""
     if core.phase == Phase.RUNNING and core.leaving:
         return _hand_over(core, stage, now_s)
     if core.phase != Phase.REPLACING:
         return []
     if not overlaps_any(core.missing_ranges, stage):
-        # A late answer to a need that is gone.
+        # A late answer to a `NeedStage` that no longer applies.
         return []
     left = fill_missing(core.missing_ranges, stage)
     if left.is_error():
@@ -173,14 +176,14 @@
 
 
 def needs(core: RequestCore) -> list[NeedStage]:
-    """Return what is still sought, for a shell that finds nothing at first."""
+    """Return the ranges still missing, for a daemon that retries its search."""
     return [_stage_need(core, missing) for missing in core.missing_ranges]
 
 
 def no_stage(core: RequestCore, now_s: float) -> list:
-    """End the request since no endpoint can take the lost range.
+    """Fail the request because no endpoint can take the lost range.
 
-    A stage that is to stop and cannot be relieved works on to the request's end.
+    A stopping stage without a replacement keeps working to the request's end.
     """
     core.leaving = None
     if core.phase != Phase.REPLACING:
@@ -192,14 +195,14 @@
 
 
 def cancel(core: RequestCore, now_s: float) -> list:
-    """Free every stage; the caller went away."""
+    """End the request and free every stage because the caller disconnected."""
     if core.phase == Phase.ENDED:
         return []
     return _end(core)
 
 
 def tick(core: RequestCore, now_s: float) -> list:
-    """Act on time that has passed; call it a few times a second."""
+    """Check the timeouts; call it a few times a second."""
     waited_s = now_s - core.waiting_since_s
     if core.phase == Phase.RUNNING and resume.expects_token(core):
         return (
@@ -259,15 +262,16 @@
 def _stage_failed(core, failed, now_s):
     if not failed.link_only:
         return _remove_stages(core, [core.plan[failed.stage]], now_s)
-    # Only a link between two stages broke. Frames may be lost with it; the round
-    # finds out which stage still answers and has the rest sent again.
+    # Only a link between two stages broke, and frames may be lost. The resume finds
+    # the stages that still answer and has the missing outputs sent again.
     return _start_resume(core, now_s) if core.phase == Phase.RUNNING else []
 
 
 def _refused(core, refused, now_s):
     if refused.code == NO_ROOM:
         return _remove_stages(core, [core.plan[refused.stage]], now_s)
-    # A late copy of an old resume is rightly refused and says nothing about the chain.
+    # Refusals of an old generation are caused by late copies of a resume and don't
+    # indicate a fault in the chain.
     is_gap = refused.code == GAP and core.phase == Phase.RUNNING
     return _start_resume(core, now_s) if is_gap else []
 
@@ -281,7 +285,7 @@
 
 
 def _remove_stages(core, lost, now_s):
-    """Take stages out of the plan and ask for others."""
+    """Remove lost stages from the plan and request others."""
     lost = [stage for stage in lost if stage in core.stages]
     if not lost:
         return []
@@ -294,15 +298,15 @@
         core.stages.remove(stage)
         core.excluded.append(stage.endpoint)
         core.missing_ranges.append(LayerRange(stage.first_layer, stage.end_layer))
-        # If it is only frozen or cut off, it lets go of the KV when it is back.
+        # If the stage was only frozen or partitioned, it frees the KV once it is back.
         effects.append(SendTo(stage.address, Free(core.start.request)))
-    # A stage that is lost while another is sought changes what is excluded, so the
-    # whole need is told again.
+    # A loss during the search for another stage changes the excluded endpoints, so
+    # all needs are sent again.
     return effects + needs(core)
 
 
 def _hand_over(core, stage, now_s):
-    """Put a stage in the place of one that is to stop."""
+    """Replace a stage that is going to stop and start the hand-over of its KV."""
     old, core.leaving = core.leaving, None
     if stage[3:] != old[3:]:
         return []
@@ -319,7 +323,7 @@
 
 
 def _start_resume(core, now_s, replacement=None):
-    """Begin a new generation and ask each stage what it holds."""
+    """Begin a new generation and query the progress of each stage."""
     core.idle_rounds += 1
     if core.idle_rounds > MAX_IDLE_ROUNDS or core.generation >= MAX_GENERATIONS:
         return _fail(core, "the chain of stages could not be kept up")
@@ -336,7 +340,7 @@
 
 
 def _finish_resume(core, now_s):
-    """Tell each stage where to go on, now that all have answered."""
+    """Send each stage its position to continue from, after all have answered."""
     unreachable = resume.find_unreachable(core)
     effects = _take_tokens(core, core.replies[0].tokens[len(core.tokens) :], now_s)
     if core.phase == Phase.ENDED:
@@ -367,8 +371,8 @@
 
 
 def _ack(core):
-    # While stages are sought or asked, the last one may be new and not know the
-    # request; the count goes out after `Continue`.
+    # Outside of RUNNING the last stage may be new and not have the request yet. The
+    # count is sent after `Continue`.
     if core.phase != Phase.RUNNING or not core.consumed:
         return []
     return [SendTo(core.stages[-1].address, Ack(core.start.request, core.consumed))]
@@ -386,6 +390,6 @@
 
 
 def _free_replaced(core):
-    """Let go of a stage that handed over, should the order have missed it."""
+    """Free the replaced stage, in case `HandOver` did not reach it."""
     stage, core.replaced = core.replaced, None
     return [SendTo(stage.address, Free(core.start.request))] if stage else []
--- a/libs/pipeline/src/cherryrudder/pipeline/resume.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/resume.py
@@ -1,8 +1,8 @@
-"""What the entry reads from the stages' answers once all of them have answered.
+"""Evaluation of the stages' replies to `Resume`, once all have replied.
 
-Position `p` below the prompt's length is a token of the prompt, the rest are tokens of
-the answer, so a chain of which the entry knows `n` tokens has run at most
-`prompt + n` positions, and one more for each token that the last stage still holds.
+Positions below the prompt's length are tokens of the prompt, the rest are tokens of
+the answer. If the entry has received `n` tokens, the chain has run at most
+`prompt + n` positions, and one more for each token that only the last stage holds.
 """
 
 from typing import NamedTuple
@@ -11,23 +11,23 @@
 
 
 class LaggingStage(NamedTuple):
-    """The stage that a round found behind what was sent to it, at a token count."""
+    """A stage that had not received all its inputs when the entry had `tokens`."""
 
     endpoint: str
     tokens: int
 
 
 def expects_token(core) -> bool:
-    """Tell whether the chain owes a token, and isn't stopped by the caller's window."""
+    """Return whether a token is due, that is the caller's window isn't full."""
     return len(core.tokens) - core.consumed < core.start.window
 
 
 def find_unreachable(core) -> Stage | None:
-    """Return the stage that two rounds in a row found behind, if there is one.
+    """Return the stage that lags in two resumes in a row, if there is one.
 
-    When the link between two stages is dead but both answer the entry, each round
-    gets at most one token through (as stage 0's input in `Continue`) and the next
-    stall follows. Giving up the one that receives nothing ends that.
+    When the link between two stages is dead but both answer the entry, each resume
+    lets at most one token through (as stage 0's input in `Continue`) before the chain
+    stalls again. Replacing the stage that receives nothing ends this.
     """
     before = core.lagging
     stage = _first_lagging(core)
@@ -38,12 +38,12 @@
 
 
 def stages_to_rebuild(core) -> list[int]:
-    """Return the stages whose KV is of no more use, though they are alive."""
+    """Return the indexes of live stages whose KV can no longer be used."""
     return sorted(_stages_ahead(core) | _stages_without_outputs(core))
 
 
 def continue_for(core, index: int) -> Continue:
-    """Return the message that tells a stage where to go on."""
+    """Return the message with the position from which a stage continues."""
     start = core.start
     request, generation = start.request, core.generation
     if index == len(core.plan) - 1:
@@ -69,11 +69,12 @@
 
 
 def _stages_ahead(core):
-    """Return the stages that ran a token which nobody knows any more.
+    """Return the stages that ran a token which no other process has any more.
 
-    The last stage and stage 0 are lost together, and a stage between has run a token
-    that never reached the entry. A new last stage may choose another one, and the
-    text would silently rest on a token that isn't in it; so that stage starts over.
+    This happens when the last stage and stage 0 are lost together and a stage between
+    them has run a token that never reached the entry. A new last stage may sample
+    another token, and later tokens would silently depend on one that isn't in the
+    text. So the stage between has to start over.
     """
     prompt = len(core.start.prompt)
     last = core.replies[len(core.plan) - 1].next_position
@@ -82,7 +83,7 @@
 
 
 def _stages_without_outputs(core):
-    """Return the stages that no longer keep what their successor lacks."""
+    """Return the stages that dropped outputs which their successor needs."""
     return {
         index
         for index in range(len(core.plan) - 1)
