--- a/libs/membership/src/cherryrudder/membership/__init__.py
+++ b/libs/membership/src/cherryrudder/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Announcements, endpoint leases and dissemination of revisions."""
+"""Endpoint announcements and leases, and distribution of configuration revisions."""
--- a/libs/membership/src/cherryrudder/membership/config.py
+++ b/libs/membership/src/cherryrudder/membership/config.py
@@ -1,4 +1,4 @@
-"""The configuration that an entry or sidecar has in force; it only moves up."""
+"""The configuration in force in an entry or sidecar; its revision never decreases."""
 
 from enum import StrEnum
 
@@ -11,7 +11,7 @@
 
 
 class ApplyResult(StrEnum):
-    """What became of a delta; after `gap` ask again from the held revision."""
+    """Outcome of a delta; after `gap`, request again from the revision in force."""
 
     TAKEN = "taken"
     OLD = "old"
@@ -19,7 +19,7 @@
 
 
 class Config:
-    """Contracts by customer, stops by id and settings by name, as of `revision`."""
+    """Contracts by customer, stops by id and settings by name, at `revision`."""
 
     def __init__(self):
         self.revision = 0
@@ -30,9 +30,9 @@
 
 
 def apply_delta(config: Config, delta: ConfigDelta) -> ApplyResult:
-    """Put a delta in force unless it is old or leaves revisions out."""
-    # A control VM that was cut off for hours answers with what it held then. Taking
-    # it would bring a retired contract back, so a lower revision is never taken.
+    """Apply a delta unless it is old or revisions before it are missing."""
+    # A control VM that was disconnected for hours answers with an outdated state, which
+    # would restore retired contracts. So a lower revision is never applied.
     if config.is_loaded and delta.revision <= config.revision:
         return ApplyResult.OLD
     if not delta.full and (not config.is_loaded or delta.since > config.revision):
@@ -41,25 +41,25 @@
         config.contracts.clear()
         config.stops.clear()
         config.settings.clear()
-    for held in delta.contracts:
-        config.contracts[held.contract.customer] = held
-    for held in delta.stops:
-        config.stops[held.stop.stop_id] = held
+    for record in delta.contracts:
+        config.contracts[record.contract.customer] = record
+    for record in delta.stops:
+        config.stops[record.stop.stop_id] = record
     for stop_id in delta.cancelled:
         config.stops.pop(stop_id, None)
-    for held in delta.settings:
-        config.settings[held.name] = held
+    for record in delta.settings:
+        config.settings[record.name] = record
     config.revision = delta.revision
     config.is_loaded = True
     return ApplyResult.TAKEN
 
 
 def is_ready(config: Config, confirmed_revision: int | None) -> bool:
-    """Tell whether the process has caught up with a revision the leader confirmed.
+    """Return whether the process has caught up with a revision the leader confirmed.
 
-    `confirmed_revision` comes from a read at the leader made after this process
-    started; None while there was none. Without it a process that restarts beside a
-    control VM that was cut off would serve under contracts that have changed since.
+    `confirmed_revision` comes from a read at the leader after this process started, and
+    is None before that. Without this check, a process that restarts and is answered by
+    a disconnected control VM would serve under outdated contracts.
     """
     if confirmed_revision is None or not config.is_loaded:
         return False
--- a/libs/membership/src/cherryrudder/membership/incarnation.py
+++ b/libs/membership/src/cherryrudder/membership/incarnation.py
@@ -1,19 +1,19 @@
-"""The name of one life of a sidecar process, which sorts by its start."""
+"""Incarnations: ids of a sidecar process's runs, which sort by start time."""
 
 import random
 
 from cherryrudder.model.endpoints import Announcement
 
 # Milliseconds since 1970 have 13 digits until the year 2286; padded, they sort as text.
-# Every incarnation must be padded alike, those that the daemon makes itself too.
+# All incarnations need the same padding, also those that the daemon makes itself.
 START_DIGITS = 14
 
 
 def make_incarnation(start_ms: int, rng: random.Random, after: str = "") -> str:
-    """Return the incarnation of a process that starts now, sorted past `after`.
+    """Return the incarnation of a process that starts now, sorting after `after`.
 
-    A VM whose clock went back would otherwise be refused as its own past life until
-    the control VMs have forgotten that one.
+    Otherwise a process on a VM whose clock was set back would be refused as older than
+    its previous run, until the control VMs have dropped that run's record.
     """
     if after:
         start_ms = max(start_ms, int(after.partition("-")[0]) + 1)
@@ -21,5 +21,5 @@
 
 
 def age_key(announcement: Announcement) -> tuple[str, int]:
-    """Return what sorts announcements of one endpoint from oldest to newest."""
+    """Return the key that sorts announcements of an endpoint from oldest to newest."""
     return announcement.incarnation, announcement.sequence
--- a/libs/membership/src/cherryrudder/membership/reader.py
+++ b/libs/membership/src/cherryrudder/membership/reader.py
@@ -1,7 +1,7 @@
-"""Endpoints as an entry or sidecar knows them, over several control VMs.
+"""Merges the endpoint tables of several control VMs in an entry or sidecar.
 
-An endpoint is live if any control VM that still answers holds it. What is only held
-by a silent one is kept for a while, and the rules below say for how long.
+An endpoint is live if any control VM that still answers lists it. Endpoints listed only
+by a control VM that stopped answering are kept for a limited time, see below.
 """
 
 from enum import StrEnum
@@ -12,21 +12,21 @@
 from .incarnation import age_key
 from .table import TableDelta
 
-# Watches are answered at least every second, also when nothing changed; three missed
-# answers mean that the control VM is frozen, dead or cut off.
+# Watches are answered at least every second, also when nothing changed. Three missed
+# answers mean that the control VM is frozen, dead or unreachable.
 STALE_TIMEOUT_S = 3.0
-# What only a silent control VM held is kept for this long after its last answer. Its
-# sidecars announce every half second, notice within about two, and turn to another
-# control VM; so an endpoint that lives is held elsewhere by then, and one that died
-# together with the control VM still leaves within seconds.
+# Endpoints of a control VM are kept for this long after its last answer. Its sidecars
+# announce every half second, detect the failure within about two seconds, and switch to
+# another control VM. So a live endpoint is listed elsewhere by then, and one that died
+# together with the control VM is still dropped within seconds.
 RETENTION_S = 5.0
-# Credits and steps come over a live link many times a second; two seconds is the
-# lease that the announcements themselves have.
+# Credits and steps arrive over a live link many times a second. Two seconds is also the
+# lease of the announcements.
 LINK_TIMEOUT_S = 2.0
 
 
 class MergeResult(StrEnum):
-    """What became of a delta; after `gap` ask again from `position`."""
+    """Outcome of a delta; after `gap`, request again from `position`."""
 
     TAKEN = "taken"
     OLD = "old"
@@ -34,14 +34,14 @@
 
 
 class Link(NamedTuple):
-    """An endpoint that this process itself heard from."""
+    """An endpoint that this process receives messages from directly."""
 
     announcement: Announcement
     last_seen_s: float
 
 
 class View:
-    """One control VM's table as last heard; `carried` is from before its restart."""
+    """A control VM's table as last received; `carried` is from before its restart."""
 
     def __init__(self):
         self.epoch = ""
@@ -70,13 +70,13 @@
 
 
 def merge(reader: Reader, source: str, delta: TableDelta, now_s: float) -> MergeResult:
-    """Take in a control VM's delta; lost, doubled and reordered ones do no harm."""
+    """Merge a control VM's delta; deltas may be lost, duplicated or reordered."""
     view = reader.views.setdefault(source, View())
     verdict = _check_delta(view, delta)
     if verdict != MergeResult.TAKEN:
         return verdict
-    # After a long cut the first control VM to answer must not wipe what the others,
-    # which answer a moment later, still hold.
+    # After a long disconnection, the first answer must not drop the endpoints of other
+    # control VMs that will answer shortly after.
     if not _any_fresh(reader, now_s):
         reader.reconnected_s = now_s
     view.last_seen_s = now_s
@@ -95,19 +95,19 @@
 
 
 def position(reader: Reader, source: str) -> tuple[str, int]:
-    """Return the epoch and version from which to ask a control VM on."""
+    """Return the epoch and version from which to request a control VM's changes."""
     view = reader.views.get(source)
     return (view.epoch, view.version) if view else ("", 0)
 
 
 def endpoints(reader: Reader, now_s: float) -> tuple[Announcement, ...]:
-    """Return the newest announcement of each endpoint that counts as live."""
+    """Return the newest announcement of each endpoint considered live."""
     best: dict[str, Announcement] = {}
     any_fresh = _any_fresh(reader, now_s)
     for view in reader.views.values():
-        # Without one answering control VM this process is itself cut off, and time
-        # proves nothing against any endpoint. It keeps what it knows; links that fail
-        # show which endpoints are dead, and a leaving one refuses work itself.
+        # If no control VM answers, this process is itself disconnected, and the age of
+        # an announcement doesn't show that the endpoint is dead. All are kept then:
+        # failing links show which endpoints are dead, and leaving ones refuse work.
         if not any_fresh or not _is_expired(reader, view.last_seen_s, now_s):
             _take_newest(best, view.endpoints.values())
         if not any_fresh or not _is_expired(reader, view.carried_s, now_s):
@@ -119,10 +119,10 @@
 def record_link_seen(
     reader: Reader, endpoint: str, incarnation: str, now_s: float
 ) -> None:
-    """Record that an incarnation of an endpoint was heard directly.
+    """Record a message received directly from an incarnation of an endpoint.
 
-    Where the sidecars are cut off from the control VMs but not from this process, all
-    leases run out at once; what still answers here goes on serving.
+    If the sidecars are disconnected from the control VMs but not from this process, all
+    leases expire at once; endpoints with a live link keep serving here.
     """
     found: dict[str, Announcement] = {}
     for view in reader.views.values():
@@ -135,14 +135,14 @@
 
 
 def record_link_lost(reader: Reader, endpoint: str) -> None:
-    """Record that the link to an endpoint broke; its lease alone counts now."""
+    """Record that the link to an endpoint broke, so that only its lease counts."""
     reader.links.pop(endpoint, None)
 
 
 def _check_delta(view, delta):
-    # Epochs have no order. A late answer of a control VM's earlier run would bring its
-    # old table back; it is known by the epoch that it was asked from, which has been
-    # left since. The run that goes on always answers from the present epoch.
+    # Epochs have no order. A late answer of a control VM's earlier run must not restore
+    # its old table. It is detected by the epoch of its request, which is no longer the
+    # view's; answers of the current run are to requests from the view's epoch.
     if delta.epoch != view.epoch and delta.asked != view.epoch:
         return MergeResult.OLD
     if delta.epoch != view.epoch:
@@ -155,8 +155,8 @@
 
 
 def _change_epoch(view, epoch, now_s):
-    # A control VM that restarted begins with an empty table. Its endpoints announce
-    # again within a second; until then they would all be missing here.
+    # A restarted control VM begins with an empty table. Its endpoints announce again
+    # within a second and would be missing here until then.
     if view.epoch:
         view.carried = view.carried | view.endpoints
         view.carried_s = now_s
@@ -175,7 +175,7 @@
 
 
 def _drop_expired(reader, now_s):
-    """Empty the views that no longer count, lest a later cut bring them back."""
+    """Clear expired views, so that a later disconnection doesn't restore them."""
     for view in reader.views.values():
         if _is_expired(reader, view.carried_s, now_s):
             view.carried = {}
@@ -204,6 +204,6 @@
 
 def _take_newest(best, announcements):
     for announcement in announcements:
-        held = best.get(announcement.endpoint)
-        if held is None or age_key(announcement) > age_key(held):
+        known = best.get(announcement.endpoint)
+        if known is None or age_key(announcement) > age_key(known):
             best[announcement.endpoint] = announcement
--- a/libs/membership/src/cherryrudder/membership/table.py
+++ b/libs/membership/src/cherryrudder/membership/table.py
@@ -1,7 +1,7 @@
 """A control VM's table of announced endpoints: leases in memory, no log, no disk.
 
-Its version rises with each change that readers need to hear of. A lease that is only
-renewed is none, so that an idle platform sends nothing but empty deltas.
+The table's version rises with each change that readers need. A mere renewal of a lease
+doesn't count as a change, so an idle platform sends only empty deltas.
 """
 
 from enum import StrEnum
@@ -11,16 +11,16 @@
 
 from .incarnation import age_key
 
-# How long a lost endpoint's last sequence is remembered. A packet that is held up for
-# longer than ten minutes has been given up by every transport in use.
+# How long a lost endpoint's last sequence is kept, to refuse delayed packets. No
+# transport in use delivers a packet more than ten minutes late.
 LOST_RETENTION_S = 600.0
-# A table that was not looked at for this long was itself frozen: it could not hear
-# anyone. Call `expire` at least every half second, far below this.
+# If `expire` was not called for this long, the process was frozen and could not receive
+# announcements. Call `expire` at least every half second, far below this.
 MIN_PAUSE_S = 2.0
 
 
 class Code(StrEnum):
-    """What became of an announcement."""
+    """Outcome of an announcement."""
 
     OK = "ok"
     OLD = "old"
@@ -28,16 +28,16 @@
 
 
 class Announced(NamedTuple):
-    """Answer to an announcement; `incarnation` is the newest that is known."""
+    """Answer to an announcement; `incarnation` is the newest in the table."""
 
     code: Code
     incarnation: str
 
 
 class TableDelta(NamedTuple):
-    """What changed after version `since` of an epoch; `full` replaces everything.
+    """Changes after version `since` of an epoch; `full` replaces the whole table.
 
-    `asked` is the epoch that the reader asked from.
+    `asked` is the epoch in the reader's request.
     """
 
     epoch: str
@@ -50,7 +50,7 @@
 
 
 class Row(NamedTuple):
-    """A live endpoint; `version` is the table's when it last changed."""
+    """A live endpoint; `version` is the table version of its last change."""
 
     announcement: Announcement
     lease_s: float
@@ -59,7 +59,7 @@
 
 
 class LostEndpoint(NamedTuple):
-    """A lost endpoint's newest announcement, against late packets."""
+    """A lost endpoint's newest announcement, kept to refuse late packets."""
 
     announcement: Announcement
     at_s: float
@@ -69,8 +69,8 @@
 class Table:
     """The endpoints that one control VM holds; both dicts are in version order.
 
-    The epoch is a random id of one run of the process: versions of another run mean
-    nothing here.
+    The epoch is a random id of one run of the process, because versions of different
+    runs can't be compared.
     """
 
     def __init__(self, epoch: str):
@@ -85,17 +85,17 @@
 def announce(
     table: Table, announcement: Announcement, lease_s: float, now_s: float
 ) -> Announced:
-    """Renew an endpoint's lease with an announcement newer than all before it.
+    """Start or renew an endpoint's lease if the announcement is its newest.
 
     The sequence must rise with each announcement, also with a mere renewal.
     """
     name = announcement.endpoint
-    held = table.rows.get(name)
-    newest = held or table.gone.get(name)
+    row = table.rows.get(name)
+    newest = row or table.gone.get(name)
     if newest and age_key(announcement) <= age_key(newest.announcement):
         return _refuse(newest.announcement, announcement)
-    version = held.version if held else 0
-    if held is None or _differs(held.announcement, announcement):
+    version = row.version if row else 0
+    if row is None or _differs(row.announcement, announcement):
         table.version += 1
         version = table.version
         table.rows.pop(name, None)
@@ -117,11 +117,13 @@
 
 
 def delta_since(table: Table, epoch: str, version: int) -> TableDelta:
-    """Return what changed after a version, or everything where that is unknown."""
-    known = epoch == table.epoch and table.oldest_version <= version <= table.version
-    if not known:
-        everything = live(table)
-        return TableDelta(table.epoch, table.version, True, everything, asked=epoch)
+    """Return the changes after a version, or the whole table if that is too old."""
+    is_available = (
+        epoch == table.epoch and table.oldest_version <= version <= table.version
+    )
+    if not is_available:
+        announced_all = live(table)
+        return TableDelta(table.epoch, table.version, True, announced_all, asked=epoch)
     announced = tuple(row.announcement for row in _newer(table.rows, version))
     gone = tuple(lost.announcement.endpoint for lost in _newer(table.gone, version))
     return TableDelta(
@@ -130,13 +132,13 @@
 
 
 def live(table: Table) -> tuple[Announcement, ...]:
-    """Return the announcements whose lease runs, those that are leaving too."""
+    """Return the announcements with a running lease, including leaving endpoints."""
     return tuple(row.announcement for row in table.rows.values())
 
 
 def _refuse(newest, announcement):
-    # A delayed packet from before a planned stop must not undo `leaving`, and a frozen
-    # process that thaws must not take its endpoint back from the one that followed.
+    # A delayed packet from before a planned stop must not reset `leaving`, and a
+    # process that was frozen must not take its endpoint back from its successor.
     superseded = announcement.incarnation < newest.incarnation
     code = Code.SUPERSEDED if superseded else Code.OLD
     return Announced(code, newest.incarnation)
@@ -146,10 +148,10 @@
     return old._replace(sequence=new.sequence) != new
 
 
-def _newer(table, version):
-    """Return the records past a version, newest last, at the cost of these alone."""
+def _newer(records, version):
+    """Return the records after a version, newest last, without scanning the others."""
     found = []
-    for record in reversed(table.values()):
+    for record in reversed(records.values()):
         if record.version <= version:
             break
         found.append(record)
@@ -157,9 +159,9 @@
 
 
 def _extend_leases_after_pause(table, now_s):
-    # A control VM that thaws after ten seconds finds every lease run out, though the
-    # endpoints are well: it would tell all readers that the platform is empty. Leases
-    # run only while the table listens; a dead endpoint then goes one lease later.
+    # After a freeze of ten seconds, every lease would have expired although the
+    # endpoints are live, and all readers would be sent an empty table. So leases don't
+    # run during a pause; an endpoint that died meanwhile is dropped one lease later.
     pause_s = now_s - table.checked_s if table.checked_s is not None else 0.0
     table.checked_s = now_s
     if pause_s < MIN_PAUSE_S:
--- a/libs/pipeline/src/cherryrudder/pipeline/__init__.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""Layer plan, token steps, duplicate and gap refusal, resume."""
+"""Pipelines over several endpoints: layer plans, token steps, resume, hand-over."""
--- a/libs/pipeline/src/cherryrudder/pipeline/dump.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/dump.py
@@ -1,4 +1,4 @@
-"""What the two cores hold, for the dump of a process."""
+"""Dump of the entry's and the sidecar's pipeline state for operators."""
 
 from cherryrudder.pipeline.request import RequestCore
 from cherryrudder.pipeline.stage import StageCore
@@ -6,7 +6,7 @@
 
 
 def dump_sidecar(core: StageCore) -> dict:
-    """Return a sidecar's requests and the fill of its bounded tables."""
+    """Return a sidecar's requests and the sizes and limits of its tables."""
     return {
         "requests": {name: _dump_request(r) for name, r in core.requests.items()},
         "max_requests": core.max_requests,
@@ -19,7 +19,7 @@
 
 
 def dump_entry(core: RequestCore) -> dict:
-    """Return a request as its entry sees it; the text itself is left out."""
+    """Return the state of a request at its entry, without its text."""
     return {
         "phase": str(core.phase),
         "generation": core.generation,
--- a/libs/pipeline/src/cherryrudder/pipeline/effects.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/effects.py
@@ -1,21 +1,21 @@
-"""What the two cores ask the daemon to do.
+"""Effects that the entry's and the sidecar's state machines return to the daemon.
 
-The daemon carries out the effects of one request in the order given: an engine that
-saw a `Compute` before the `FreeKv` ahead of it would lose the new KV.
+The daemon must carry out the effects of one request in the given order. If a `Compute`
+ran before the `FreeKv` ahead of it, the engine would lose the new KV.
 """
 
 from typing import NamedTuple
 
 
 class SendTo(NamedTuple):
-    """Send a message over the frame link to an address, in order per address."""
+    """Send a message over the frame link to an address, in order for each address."""
 
     address: str
     message: NamedTuple
 
 
 class Compute(NamedTuple):
-    """Run the engine's layers; answer with `stage.computed` or `compute_failed`."""
+    """Run the engine's layers; call `stage.computed` or `stage.compute_failed`."""
 
     request: str
     model: str
@@ -25,33 +25,33 @@
 
 
 class FreeKv(NamedTuple):
-    """Drop the engine's KV of a request; harmless if it has none."""
+    """Drop the engine's KV of a request, if it has any."""
 
     request: str
 
 
 class ExportKv(NamedTuple):
-    """Export the engine's KV; answer with `handover.exported`, empty if it failed."""
+    """Export the engine's KV; call `handover.exported`, with "" if it failed."""
 
     request: str
 
 
 class ImportKv(NamedTuple):
-    """Import KV into the engine; answer with `handover.imported`."""
+    """Import KV into the engine; call `handover.imported`."""
 
     request: str
     kv: str
 
 
 class Deliver(NamedTuple):
-    """Give tokens to the caller; `last` closes the answer."""
+    """Pass tokens to the caller; `last` ends the answer."""
 
     tokens: tuple[str, ...]
     last: bool
 
 
 class NeedStage(NamedTuple):
-    """Find an endpoint for a range; answer with `request.replace` or `no_stage`."""
+    """Find an endpoint for a range; call `request.replace` or `request.no_stage`."""
 
     first_layer: int
     end_layer: int
@@ -63,6 +63,6 @@
 
 
 class Fail(NamedTuple):
-    """Tell the caller that the answer ends here; `Finished` follows."""
+    """Report to the caller that the request failed; `Finished` follows."""
 
     message: str
--- a/libs/pipeline/src/cherryrudder/pipeline/errors.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/errors.py
@@ -1,10 +1,10 @@
-"""The errors of the pipeline."""
+"""Errors of the pipeline library."""
 
 from cherryrudder.model.errors import CherryrudderError
 
 
 class PipelineError(CherryrudderError):
-    """Base of the errors of this library."""
+    """Base class of the errors of this library."""
 
 
 class PlanError(PipelineError):
--- a/libs/pipeline/src/cherryrudder/pipeline/handover.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/handover.py
@@ -1,28 +1,28 @@
-"""A planned stop of a stage: its KV moves to the stage that relieves it.
+"""Hand-over of a request at a planned stop: the KV moves to the replacement stage.
 
-Nothing is computed anew when it works. When any part of it fails (no export, no
-import, a stage that dies on the way) the new stage holds nothing and is rebuilt like
-that of a lost one, so a hand-over can cost time but never a token.
+When it succeeds, nothing is recomputed. When any part of it fails (export, import, or
+one of the stages), the replacement starts empty and is rebuilt like that of a lost
+stage, so a hand-over can cost time but never a token.
 """
 
 from cherryrudder.pipeline import stagerequest as requests, stagetable as tables
 from cherryrudder.pipeline.effects import ExportKv, FreeKv, ImportKv, SendTo
 from cherryrudder.pipeline.messages import HandOver, KvTransfer
 
-# Exporting and moving the KV of a long prompt takes about a second on a gigabit link;
-# past a few, a rebuild by replay serves the caller sooner.
+# Exporting and sending the KV of a long prompt takes about a second on a gigabit link.
+# After a few seconds a rebuild by replay is faster.
 KV_TIMEOUT_S = 5.0
 
 
 def start_handover(core, message: HandOver, now_s: float) -> list:
-    """Stop a request here and export its KV as soon as the engine is done."""
+    """Stop a request at this stage and export its KV once the engine is idle."""
     state = core.requests.get(message.request)
     if state is None:
         empty = KvTransfer(message.request, message.generation, 0, (), (), "")
         return [SendTo(message.address, empty)]
     if message.generation <= state.start.generation:
         return []
-    # From here on steps of the old plan are refused, so what is exported is final.
+    # Steps of the old plan are refused from now on, so the exported KV is final.
     requests.adopt(state, state.start._replace(generation=message.generation))
     state.leaving_to = message.address
     state.touched_s = now_s
@@ -30,14 +30,14 @@
 
 
 def export_when_idle(state) -> list:
-    """Export a leaving request's KV unless a compute is in flight."""
+    """Export the KV of a request being handed over unless a compute is in flight."""
     if not state.leaving_to or state.running:
         return []
     return [ExportKv(state.start.request)]
 
 
 def exported(core, request: str, kv: str, now_s: float) -> list:
-    """Send the engine's export on, empty if it failed, and drop the request."""
+    """Send the exported KV, empty if that failed, and drop the request."""
     state = core.requests.get(request)
     if state is None or not state.leaving_to:
         return []
@@ -56,7 +56,7 @@
 
 
 def import_kv(core, transfer: KvTransfer, now_s: float) -> list:
-    """Import what the relieved stage exported."""
+    """Import the KV that the replaced stage exported."""
     state = core.requests.get(transfer.request)
     if state is None:
         tables.keep_early(core, transfer, now_s)
@@ -73,7 +73,7 @@
 
 
 def imported(core, request: str, is_done: bool, now_s: float) -> list:
-    """Answer the entry with what the engine now holds."""
+    """Reply to the entry's `Resume` after the engine's import succeeded or failed."""
     state = core.requests.get(request)
     if state is None:
         return [FreeKv(request)]
@@ -86,7 +86,7 @@
 
 
 def expire_kv_waits(core, now_s: float) -> list:
-    """Go on without KV that does not come."""
+    """Stop waiting for KV transfers that are overdue; those stages start empty."""
     effects = []
     for state in core.requests.values():
         since_s = None if state.importing else state.kv_wait_since_s
--- a/libs/pipeline/src/cherryrudder/pipeline/messages.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/messages.py
@@ -1,7 +1,7 @@
-"""The messages between the entry and the stages of one request's pipeline.
+"""Messages between the entry and the stages of one request's pipeline.
 
-An address names the frame listener of a process. `generation` rises by one each time
-the entry rebuilds the chain after a lost stage.
+An address is that of a process's frame listener. `generation` rises by one with each
+resume, that is each time the entry changes the plan or restarts a stalled chain.
 """
 
 from typing import NamedTuple
@@ -9,12 +9,12 @@
 GAP = "gap"
 OLD_GENERATION = "old generation"
 NO_ROOM = "no room"
-# The entry is no stage; `Refused.stage` needs a number for it all the same.
+# Value of `Refused.stage` when the entry refuses, as the entry is not a stage.
 ENTRY_STAGE = -1
 
 
 class Stage(NamedTuple):
-    """One endpoint's part of a plan; `end_layer` is exclusive."""
+    """An endpoint and its layer range in a plan; `end_layer` is exclusive."""
 
     endpoint: str
     incarnation: str
@@ -24,7 +24,7 @@
 
 
 class Start(NamedTuple):
-    """Entry to each stage: the plan. Stage 0 starts the prompt at position 0."""
+    """Entry to each stage: the plan. Stage 0 runs the prompt from position 0."""
 
     request: str
     generation: int
@@ -39,7 +39,7 @@
 
 
 class Step(NamedTuple):
-    """Stage to next stage (the last one's goes to stage 0 as tokens)."""
+    """Stage to next stage: outputs. The last stage sends tokens to stage 0."""
 
     request: str
     generation: int
@@ -65,9 +65,9 @@
 
 
 class Resume(NamedTuple):
-    """Entry to each stage: adopt a generation and its plan, then answer `Held`.
+    """Entry to each stage: adopt a new generation and plan, then send `ResumeReply`.
 
-    With `awaits_kv` a new stage first waits for the KV of the one it relieves.
+    With `awaits_kv` a new stage first waits for the KV of the stage that it replaces.
     """
 
     start: Start
@@ -75,9 +75,9 @@
 
 
 class ResumeReply(NamedTuple):
-    """Stage to entry: it holds `next_position`; stage 0 adds tokens it has seen.
+    """Stage to entry: the next position to compute, and for stage 0 received tokens.
 
-    `running` marks a first answer while the engine computes; the final one follows.
+    `running` marks a first reply while the engine computes; the final one follows.
     The stage can send its outputs again from position `kept_from` on.
     """
 
@@ -91,9 +91,9 @@
 
 
 class Continue(NamedTuple):
-    """Entry to stage: send what you kept from `send_from` on.
+    """Entry to stage: send the kept outputs from position `send_from` on.
 
-    Stage 0 also gets `inputs` from `position` on, to run what it has not.
+    Stage 0 also receives the `inputs` from `position` on that it has not run.
     """
 
     request: str
@@ -106,7 +106,7 @@
 class Refused(NamedTuple):
     """Receiver to sender: a gap, an old generation or no room (see the codes above).
 
-    `stage` is the one that refuses, `next_position` the input it waits for.
+    `stage` is the index of the refusing stage, `next_position` the input it expects.
     """
 
     request: str
@@ -117,7 +117,7 @@
 
 
 class HandOver(NamedTuple):
-    """Entry to a stage that is to stop: export the KV to the stage that relieves it."""
+    """Entry to a stopping stage: export the KV and send it to the replacement."""
 
     request: str
     generation: int
@@ -125,10 +125,10 @@
 
 
 class KvTransfer(NamedTuple):
-    """Stage that stops to the one that relieves it; an empty `kv` says there is none.
+    """Stopping stage to its replacement: the KV, empty if there is none.
 
-    `kv` is the engine's export as JSON text. The kept outputs go along, so that the
-    new stage can serve a successor's rebuild, and stage 0's inputs.
+    `kv` is the engine's export as JSON text. The kept outputs are included, so that
+    the replacement can rebuild the next stage, and for stage 0 the inputs.
     """
 
     request: str
@@ -140,7 +140,7 @@
 
 
 class Free(NamedTuple):
-    """Entry to each stage: drop the request, finished or cancelled."""
+    """Entry to each stage: drop the request, which is finished or cancelled."""
 
     request: str
 
@@ -149,7 +149,7 @@
     """Stage to entry: the engine behind `stage` failed.
 
     With `link_only` a neighbour reports that its link to `stage` broke; the stage
-    itself may be well.
+    itself may still work.
     """
 
     request: str
--- a/libs/pipeline/src/cherryrudder/pipeline/plan.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/plan.py
@@ -1,4 +1,4 @@
-"""Chain endpoints whose layer ranges cover the model exactly once, in order."""
+"""Planning of chains: endpoints whose layer ranges cover a model exactly once."""
 
 from typing import NamedTuple
 
@@ -9,16 +9,17 @@
 
 
 class LayerRange(NamedTuple):
-    """Layers that no stage of a plan holds; `end_layer` is exclusive."""
+    """A range of layers without a stage in a plan; `end_layer` is exclusive."""
 
     first_layer: int
     end_layer: int
 
 
 def cover(announcements, model_layers: int) -> Result[tuple[Stage, ...], PlanError]:
-    """Return the shortest exact cover; among equals the earlier announcements win.
+    """Return the shortest chain that covers each layer exactly once, in order.
 
-    Each hop more costs every token a link's latency, hence the shortest.
+    Among equally short chains, earlier announcements win. The shortest is preferred
+    because each hop adds a link's latency to every token.
     """
     usable = [a for a in announcements if is_usable(a, model_layers)]
     best = {0: ()}
@@ -31,7 +32,7 @@
 
 
 def is_usable(announcement, model_layers: int) -> bool:
-    """Tell whether an endpoint may take part in a new plan."""
+    """Return whether an endpoint may be part of a new plan."""
     return (
         not announcement.leaving
         and announcement.model_layers == model_layers
@@ -40,7 +41,7 @@
 
 
 def stage_of(announcement) -> Stage:
-    """Return an announced endpoint as a stage."""
+    """Return the stage for an endpoint's announcement."""
     return Stage(
         announcement.endpoint,
         announcement.incarnation,
@@ -51,7 +52,7 @@
 
 
 def fill_missing(missing_ranges, stage: Stage) -> Result[list[LayerRange], PlanError]:
-    """Return the holes that are left once a stage holds the first part of one."""
+    """Return the ranges still missing after a stage takes the first part of one."""
     for missing in missing_ranges:
         fits = stage.first_layer == missing.first_layer
         if fits and stage.end_layer <= missing.end_layer:
@@ -61,13 +62,13 @@
     return Error(
         PlanError(
             f"endpoint {stage.endpoint} holds layers {stage.first_layer} to "
-            f"{stage.end_layer}, which fit no part of the plan that is missing"
+            f"{stage.end_layer}, which match no missing part of the plan"
         )
     )
 
 
 def overlaps_any(missing_ranges, stage: Stage) -> bool:
-    """Tell whether a stage holds a layer of a hole."""
+    """Return whether a stage holds a layer of any missing range."""
     return any(
         stage.first_layer < missing.end_layer and missing.first_layer < stage.end_layer
         for missing in missing_ranges
--- a/libs/pipeline/src/cherryrudder/pipeline/request.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/request.py
@@ -98,7 +98,7 @@
     """Send the plan to each stage; stage 0 starts the prompt."""
     core.waiting_since_s = now_s
     if not core.start.prompt or core.start.max_tokens < 1:
-        return _fail(core, "a request needs a prompt and at least one token to make")
+        return _fail(core, "a request needs a prompt and max_tokens of at least 1")
     # Stage 0 comes last, so that the others usually have the plan before its step.
     return [
         SendTo(stage.address, _start_for(core, index))
@@ -249,8 +249,8 @@
 
 def _resume_reply(core, reply, now_s):
     previous = core.replies.get(reply.stage)
-    settled = previous is not None and not previous.running
-    if core.phase != Phase.ASKING or settled:
+    is_final = previous is not None and not previous.running
+    if core.phase != Phase.ASKING or is_final:
         return []
     core.replies[reply.stage] = reply
     replies = core.replies.values()
@@ -326,7 +326,7 @@
     """Begin a new generation and query the progress of each stage."""
     core.idle_rounds += 1
     if core.idle_rounds > MAX_IDLE_ROUNDS or core.generation >= MAX_GENERATIONS:
-        return _fail(core, "the chain of stages could not be kept up")
+        return _fail(core, "too many lost or stalled stages in this request")
     core.phase = Phase.ASKING
     core.leaving = None
     core.waiting_since_s = now_s
--- a/libs/pipeline/src/cherryrudder/pipeline/stage.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stage.py
@@ -1,7 +1,8 @@
-"""The sidecar's part of the pipeline: many requests, one stage of each.
+"""The sidecar's state machine of the pipeline: one stage of each of many requests.
 
-A step's inputs are taken once, by position: a repeat is dropped, a gap or an old
-generation is refused, so that every layer runs once per token whatever the links do.
+Inputs are accepted once, by position. Repeats are dropped, and gaps and old
+generations are refused, so that every layer runs once per token although links may
+lose, duplicate or reorder frames.
 """
 
 from cherryrudder.pipeline import (
@@ -29,13 +30,13 @@
 
 
 def receive(core: StageCore, message, now_s: float) -> list:
-    """Take a message and return the effects."""
+    """Handle a message from the entry or another stage and return the effects."""
     handler = HANDLERS.get(type(message))
     return handler(core, message, now_s) if handler else []
 
 
 def computed(core: StageCore, request: str, position: int, outputs, now_s: float):
-    """Take the engine's outputs, one for each input of the `Compute`."""
+    """Handle the engine's outputs, one for each input of the `Compute`."""
     if request in core.draining:
         return _discard_result(core, request)
     state = core.requests.get(request)
@@ -58,9 +59,9 @@
 
 
 def compute_failed(core: StageCore, request, position, message: str, now_s: float):
-    """Report a failed compute to the entry and drop what the engine holds.
+    """Report a failed compute to the entry and free the engine's KV.
 
-    The KV is in an unknown state: going on with it could run a layer twice.
+    The KV is in an unknown state; continuing with it could run a layer twice.
     """
     if request in core.draining:
         return _discard_result(core, request)
@@ -69,7 +70,7 @@
         return []
     state.running = 0
     if state.leaving_to:
-        # The entry's plan has the heir in this place, which is well.
+        # The entry's plan already has the replacement, so no failure is reported.
         return handover.exported(core, request, "", now_s)
     start = state.start
     failed = StageFailed(request, start.generation, start.stage, message)
@@ -77,7 +78,7 @@
 
 
 def link_lost(core: StageCore, address: str, now_s: float) -> list:
-    """Report lost links to neighbours; requests of a lost entry wait for `tick`."""
+    """Report lost links to neighbours, and mark requests of a lost entry orphaned."""
     effects = []
     for state in core.requests.values():
         start = state.start
@@ -93,7 +94,7 @@
 
 
 def tick(core: StageCore, now_s: float) -> list:
-    """Free what nobody will ask for again; call it about once a second."""
+    """Free abandoned requests and expired records; call it about once a second."""
     tables.drop_expired(core, now_s)
     effects = handover.expire_kv_waits(core, now_s)
     for request in tables.abandoned_requests(core, now_s):
@@ -102,16 +103,16 @@
 
 
 def _neighbours(start):
-    """Return the stages that a stage exchanges steps with, without itself."""
+    """Return the indexes of the other stages that a stage exchanges steps with."""
     count = len(start.stages)
-    neighbours = {(start.stage - 1) % count, (start.stage + 1) % count}
-    return sorted(neighbours - {start.stage})
+    adjacent = {(start.stage - 1) % count, (start.stage + 1) % count}
+    return sorted(adjacent - {start.stage})
 
 
 def _start(core, start, now_s):
     state = core.requests.get(start.request)
     if state is not None:
-        # A repeat, or one that a newer generation overtook.
+        # A repeat, or a start that arrived after a newer generation.
         return []
     state, effects = tables.open_request(core, start, now_s)
     if state is None:
@@ -135,7 +136,7 @@
     elif start.generation > state.start.generation:
         requests.adopt(state, start)
     elif state.send_next is not None:
-        # A repeat of the resume that this stage has already continued from.
+        # A repeat of a resume whose `Continue` has already arrived.
         return []
     _record_entry_message(state, now_s)
     state.reply_pending = requests.is_busy(state)
@@ -192,9 +193,9 @@
         return []
     start = state.start
     if refused.code == OLD_GENERATION and refused.generation > start.generation:
-        # Either this process was frozen or cut off while the entry replaced it, or
-        # its own `Resume` is still under way on another link. Dropping the KV at
-        # once would have a surviving stage rebuilt, so it falls silent and waits.
+        # Either this process was frozen or partitioned while the entry replaced it, or
+        # its own `Resume` is still in flight on another link. Dropping the KV at once
+        # could force a rebuild of a live stage, so it stops sending and waits.
         state.send_next = None
         state.orphaned_s = now_s
         return []
@@ -207,7 +208,7 @@
 
 
 def _rewind(state, refused):
-    """Go back to what the refusing side waits for."""
+    """Send again from the position that the refusing side expects."""
     start = state.start
     if not requests.is_last(start):
         state.send_next = min(state.send_next, refused.next_position)
@@ -232,7 +233,7 @@
 
 
 def _record_entry_message(state, now_s):
-    """Note a message from the entry."""
+    """Record that the entry has sent a message for this request."""
     state.touched_s = now_s
     state.orphaned_s = None
 
@@ -245,7 +246,7 @@
 
 
 def _advance(core, state):
-    """Send what is due and give the engine what waits."""
+    """Send unsent outputs and start a compute for waiting inputs."""
     start = state.start
     if not requests.is_last(start):
         step = requests.take_step(state)
@@ -276,7 +277,7 @@
 
 
 def _discard_result(core, request):
-    """Throw away a result for a freed request; its compute may have made KV anew."""
+    """Discard a freed request's result and free KV that its compute recreated."""
     core.draining.discard(request)
     state = core.requests.get(request)
     return [FreeKv(request)] + (_run(core, state) if state else [])
--- a/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
@@ -1,7 +1,7 @@
-"""One request as one stage holds it: what is computed, kept, waiting and sent.
+"""State of one request at one stage: computed, kept, waiting and sent positions.
 
-Position `p` of the chain is the prompt's token `p`, or token `p - len(prompt)` of the
-answer; the last stage's output at `p` is the token that becomes position `p + 1`.
+Position `p` of the chain is token `p` of the prompt, or token `p - len(prompt)` of the
+answer. The last stage's output at `p` is the token for position `p + 1`.
 """
 
 from cherryrudder.pipeline.messages import ResumeReply, Start, Step, Token
@@ -12,22 +12,24 @@
 
     def __init__(self, start: Start, now_s: float):
         self.start = start
-        # The outputs just before `next_position`, the first that is not computed. Kept
-        # after they are sent, because a successor that dies is rebuilt from these.
+        # Outputs up to `next_position`, the first position not computed yet. They are
+        # kept after sending, to rebuild the next stage's KV if that stage is lost.
         self.outputs = []
         self.next_position = 0
-        # Stage 0 only: the accepted input of each position, run or not.
+        # Stage 0 only: the accepted input of each position, computed or not.
         self.inputs = []
         self.waiting = []
         self.running = 0
-        # The next position to send on; None from `Resume` until `Continue`.
+        # The next position to send; None from `Resume` until `Continue`.
         self.send_next = first_sent(start)
-        # Last stage only: the next token to feed back, and what the caller took.
+        # Last stage only: index of the next token to send to stage 0, and the count of
+        # tokens that the caller has taken.
         self.feedback_next = 0
         self.acked = 0
         self.reply_pending = False
         self.previous_hops = {}
-        # A planned stop: where the KV goes, or since when it is awaited.
+        # Planned stop: the address that the KV is sent to, or at the replacement the
+        # time since when it waits for the KV.
         self.leaving_to = ""
         self.kv_wait_since_s = None
         self.importing = False
@@ -46,27 +48,27 @@
 
 
 def is_last(start: Start) -> bool:
-    """Tell whether a stage is the last of its plan."""
+    """Return whether a stage is the last of its plan."""
     return start.stage == len(start.stages) - 1
 
 
 def is_busy(request: StageRequest) -> bool:
-    """Tell whether the engine works or waits on what the request holds."""
+    """Return whether a compute is in flight or a KV transfer is awaited."""
     return request.running > 0 or request.kv_wait_since_s is not None
 
 
 def previous_hop(start: Start) -> str:
-    """Return the address that a stage's steps come from."""
+    """Return the address of the stage that sends steps to this one."""
     return start.stages[start.stage - 1].address
 
 
 def first_sent(start: Start) -> int:
-    """Return the first position whose output leaves a stage."""
+    """Return the first position whose output a stage sends."""
     return len(start.prompt) - 1 if is_last(start) else 0
 
 
 def adopt(request: StageRequest, start: Start):
-    """Take a newer generation's plan; the outputs computed so far stay valid."""
+    """Switch to a newer generation's plan, keeping the computed outputs."""
     old = request.start
     request.previous_hops[old.generation] = previous_hop(old)
     request.start = start
@@ -75,7 +77,7 @@
 
 
 def accept(request: StageRequest, position: int, values) -> bool:
-    """Queue the inputs not seen yet; False for a gap before them."""
+    """Queue the inputs not accepted yet; return False if there is a gap before them."""
     seen = request.expected - position
     if seen < 0:
         return False
@@ -87,7 +89,7 @@
 
 
 def trim_sent(request: StageRequest) -> list:
-    """Let go of the outputs that were sent, and return them; tokens always stay."""
+    """Drop and return the outputs already sent, except for the last stage's tokens."""
     if request.send_next is None or is_last(request.start):
         return []
     sent = min(request.send_next, request.next_position) - request.kept_from
@@ -112,7 +114,7 @@
 
 
 def take_step(request: StageRequest) -> Step | None:
-    """Return the outputs that the next stage lacks as one step."""
+    """Return the outputs not sent yet as one step, or None if there are none."""
     values = _take_unsent(request)
     if not values:
         return None
@@ -122,7 +124,7 @@
 
 
 def take_tokens(request: StageRequest) -> Token | None:
-    """Return the tokens that the entry lacks."""
+    """Return the tokens not sent to the entry yet, or None if there are none."""
     values = _take_unsent(request)
     if not values:
         return None
@@ -133,16 +135,16 @@
 
 
 def take_feedback(request: StageRequest) -> Step | None:
-    """Return the tokens that stage 0 lacks and the caller's window lets through.
+    """Return the tokens that stage 0 needs next, as far as the caller's window allows.
 
-    Without the window a caller that reads slowly lets the whole answer pile up at the
-    entry. Withholding the input of the next round stops the whole chain, and only
-    for this request.
+    Without the window, the whole answer for a slow caller would be buffered at the
+    entry. Withholding stage 0's next input stops the whole chain, and only for this
+    request.
     """
     if request.send_next is None:
         return None
     start = request.start
-    # The closing token is nobody's input.
+    # The last token of the answer is not an input of any stage.
     end = min(_token_count(request), start.max_tokens - 1, request.acked + start.window)
     first = request.feedback_next
     if end <= first:
--- a/libs/pipeline/src/cherryrudder/pipeline/stagetable.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stagetable.py
@@ -1,4 +1,4 @@
-"""The bounded tables of a sidecar: requests, early messages, tombstones, outputs."""
+"""Bounded tables of a sidecar: requests, early messages, tombstones, outputs."""
 
 from typing import NamedTuple
 
@@ -6,44 +6,44 @@
 from cherryrudder.pipeline.messages import NO_ROOM, KvTransfer, Refused, Step
 from cherryrudder.pipeline.stagerequest import StageRequest, trim_sent
 
-# An engine of today runs some tens of requests at once; this leaves room for those
-# that wait between two steps and still bounds the kept outputs.
+# An engine runs some tens of requests at once. This leaves room for requests that wait
+# between two steps, and still bounds the kept outputs.
 MAX_REQUESTS = 512
-# The hidden states (16 KB each) of one prompt of 4000 tokens. The daemon sets it from
-# what its VM has to spare.
+# The hidden states (16 KB each) of one prompt of 4000 tokens. The daemon sets its own
+# limit from the memory that its VM can spare.
 MAX_KEPT_BYTES = 64 * 2**20
-# A step overtakes its `Start` by the difference of two links' delays, which is
-# milliseconds inside a region; past this the start is lost and the entry resumes.
+# A step can arrive before its `Start` by the difference of two links' delays, which is
+# milliseconds inside a region. After this time the start is lost and the entry resumes.
 EARLY_TIMEOUT_S = 2.0
-# One early step per request that may start within EARLY_S.
+# One early message for each request that can start within EARLY_TIMEOUT_S.
 MAX_EARLY = MAX_REQUESTS
 # Long enough for an entry to reconnect after a broken link, short enough that the
 # requests of a dead entry don't fill an engine's KV.
 ORPHAN_TIMEOUT_S = 10.0
-# A request that saw no message and no result this long has lost its entry without a
-# sign. Should its caller only be slow, the next resume rebuilds it.
+# A request without a message or result for this long has lost its entry without a link
+# error. If its caller is only slow, the next resume rebuilds it.
 IDLE_TIMEOUT_S = 600.0
-# Frames of a freed request may still be under way this long.
+# Frames of a freed request can still be in flight for this long.
 TOMBSTONE_S = 30.0
 MAX_TOMBSTONES = 8192
 
 
 class EarlyMessage(NamedTuple):
-    """A message of another stage that came before its request's start."""
+    """A message of another stage that arrived before its request's start."""
 
     message: Step | KvTransfer
     arrived_s: float
 
 
 class Tombstone(NamedTuple):
-    """The generation at which a request was freed, and until when to know it."""
+    """The generation at which a request was freed; kept until `until_s`."""
 
     generation: int
     until_s: float
 
 
 class StageCore:
-    """The requests that one sidecar's engine takes part in."""
+    """State of all requests of one sidecar's engine."""
 
     def __init__(
         self,
@@ -56,15 +56,15 @@
         self.requests: dict[str, StageRequest] = {}
         self.early: list[EarlyMessage] = []
         self.tombstones: dict[str, Tombstone] = {}
-        # Requests freed while the engine computed for them.
+        # Requests that were freed while a compute was in flight.
         self.draining: set[str] = set()
 
 
 def open_request(core, start, now_s):
-    """Return a new request's state, or None and the effects of refusing it."""
+    """Return a new request's state, or None and the effects if it is refused."""
     tombstone = core.tombstones.get(start.request)
-    # A start that was doubled or late must not bring a freed request back: nobody
-    # would free it again. A real return has a newer generation.
+    # A duplicated or late start must not reopen a freed request, which would never be
+    # freed again. A stage that is really used again gets a newer generation.
     if tombstone and start.generation <= tombstone.generation:
         return None, []
     if len(core.requests) >= core.max_requests:
@@ -76,10 +76,10 @@
 
 
 def keep_early(core, message, now_s):
-    """Keep a message for its start, within bounds; others are lost like a frame."""
+    """Keep a message until its request starts; drop it if the table is full."""
     tombstone = core.tombstones.get(message.request)
     is_freed = tombstone and message.generation <= tombstone.generation
-    # Bytes count too: a step can hold a whole prompt's hidden states.
+    # The bytes are bounded too, as a step can hold a whole prompt's hidden states.
     size_bytes = _early_bytes(message) + sum(
         _early_bytes(e.message) for e in core.early
     )
@@ -89,14 +89,14 @@
 
 
 def take_early(core, request: str) -> list[Step | KvTransfer]:
-    """Return the messages that came before their request."""
+    """Remove and return the messages that arrived before their request."""
     messages = [e.message for e in core.early if e.message.request == request]
     core.early = [e for e in core.early if e.message.request != request]
     return messages
 
 
 def drop_request(core, request, now_s):
-    """Forget a request, leaving a tombstone for its late frames."""
+    """Drop a request and leave a tombstone against its late frames."""
     state = core.requests.pop(request, None)
     core.early = [e for e in core.early if e.message.request != request]
     if state is None:
@@ -111,7 +111,7 @@
 
 
 def drop_expired(core, now_s):
-    """Drop early steps and tombstones whose time is over."""
+    """Drop expired early messages and tombstones."""
     core.early = [e for e in core.early if now_s - e.arrived_s < EARLY_TIMEOUT_S]
     for request, tombstone in list(core.tombstones.items()):
         if now_s >= tombstone.until_s:
@@ -119,16 +119,17 @@
 
 
 def abandoned_requests(core, now_s) -> list[str]:
-    """Return the requests that nobody will ask for again."""
+    """Return the requests whose entry is considered lost."""
     return [r for r, state in core.requests.items() if _is_abandoned(state, now_s)]
 
 
 def keep_outputs(core, state, outputs):
-    """Keep outputs for a successor's rebuild, as far as the memory goes.
+    """Keep outputs to rebuild the next stage from, within `max_kept_bytes`.
 
-    Hidden states of long prompts outgrow a small process: 16 KB a position make
-    64 MB of one prompt of 4000 tokens. Past the bound the largest request's sent
-    outputs go; should its successor die, this stage is rebuilt along with it.
+    Hidden states of long prompts can exceed a small process's memory: at 16 KB per
+    position, one prompt of 4000 tokens takes 64 MB. Above the limit, sent outputs are
+    dropped, those of the largest requests first. If the next stage of such a request
+    is lost, this stage is rebuilt along with it.
     """
     state.outputs.extend(outputs)
     state.next_position += len(outputs)
@@ -142,7 +143,7 @@
 
 
 def clear_outputs(core, state):
-    """Drop every output of a request that is to start over."""
+    """Drop every output and input of a request that starts over."""
     core.kept_bytes -= _size_bytes(state.outputs)
     state.outputs.clear()
     state.inputs.clear()
