--- a/libs/membership/test/test_config.py
+++ b/libs/membership/test/test_config.py
@@ -36,9 +36,7 @@
 class ConfigTest(unittest.TestCase):
     @SETTINGS
     @given(histories, st.lists(answer, min_size=10))
-    def test_it_is_always_some_accepted_revision_and_never_an_older_one(
-        self, history, answers
-    ):
+    def test_config_is_an_accepted_revision_and_never_goes_back(self, history, answers):
         """Control VMs answer late, twice, out of order, or hours behind the others.
 
         What is in force is exactly what was accepted at one revision. Going back would
@@ -46,7 +44,7 @@
         """
         check(apply_delta, history, answers)
 
-    def test_following_the_last_answer_goes_back(self):
+    def test_applying_the_last_answer_goes_back(self):
         history = [("put", "x", 0), ("put", "x", 1)]
         with self.assertRaises(AssertionError):
             check(naive_take, history, [(2, 0, True), (-1, 0, True)])
--- a/libs/membership/test/test_reader.py
+++ b/libs/membership/test/test_reader.py
@@ -18,10 +18,10 @@
 class ReaderTest(unittest.TestCase):
     def setUp(self):
         self.reader = Reader()
-        self.hear("north", "desk-1", now_s=0.0)
-        self.hear("south", "desk-2", now_s=0.0)
+        self.receive("north", "desk-1", now_s=0.0)
+        self.receive("south", "desk-2", now_s=0.0)
 
-    def hear(self, source, *names, now_s, epoch="1", version=1, **changes):
+    def receive(self, source, *names, now_s, epoch="1", version=1, **changes):
         announced = tuple(an_announcement(name, **changes) for name in names)
         asked, _ = readers.position(self.reader, source)
         delta = TableDelta(epoch, version, True, announced, asked=asked)
@@ -30,7 +30,7 @@
     def names(self, now_s):
         return [a.endpoint for a in readers.endpoints(self.reader, now_s)]
 
-    def test_an_entry_that_is_cut_off_keeps_what_it_knows(self):
+    def test_disconnected_entry_keeps_its_endpoints(self):
         """An entry loses all control VMs for an hour, then one answers again.
 
         Emptying its table would turn a cut of control into a cut of service. Nor may
@@ -38,13 +38,13 @@
         few seconds to answer too.
         """
         self.assertEqual(self.names(3600.0), ["desk-1", "desk-2"])
-        self.hear("north", "desk-1", now_s=3600.0)
+        self.receive("north", "desk-1", now_s=3600.0)
         self.assertEqual(self.names(3600.0 + STALE_TIMEOUT_S), ["desk-1", "desk-2"])
         for now_s in (3602.0, 3604.0, 3601.0 + RETENTION_S):
-            self.hear("north", "desk-1", now_s=now_s)
+            self.receive("north", "desk-1", now_s=now_s)
         self.assertEqual(self.names(3601.0 + RETENTION_S), ["desk-1"])
 
-    def test_what_only_a_silent_control_vm_held_leaves_after_a_while(self):
+    def test_endpoints_of_a_silent_control_vm_expire(self):
         """One control VM freezes. Its endpoints turn to another one in time.
 
         Until then they are kept, or a third of the platform would vanish for a moment;
@@ -52,9 +52,9 @@
         does not bring it back.
         """
         for now_s in (2.0, 4.0, RETENTION_S):
-            self.hear("north", "desk-1", now_s=now_s)
+            self.receive("north", "desk-1", now_s=now_s)
         self.assertEqual(self.names(RETENTION_S), ["desk-1", "desk-2"])
-        self.hear("north", "desk-1", now_s=RETENTION_S + 0.1)
+        self.receive("north", "desk-1", now_s=RETENTION_S + 0.1)
         self.assertEqual(self.names(RETENTION_S + 0.1), ["desk-1"])
         self.assertEqual(self.names(RETENTION_S + 100.0), ["desk-1"])
         self.assertEqual(readers.position(self.reader, "south"), ("1", 0))
@@ -62,10 +62,10 @@
     def test_a_restarted_control_vm_does_not_empty_the_table(self):
         """All control VMs restart and answer at once, before any endpoint announces."""
         for source in ("north", "south"):
-            self.hear(source, now_s=1.0, epoch="2", version=0)
+            self.receive(source, now_s=1.0, epoch="2", version=0)
         self.assertEqual(self.names(1.0), ["desk-1", "desk-2"])
         for now_s in (3.0, 5.0, 7.0):
-            self.hear("south", "desk-2", now_s=now_s, epoch="2", version=2)
+            self.receive("south", "desk-2", now_s=now_s, epoch="2", version=2)
         self.assertEqual(self.names(7.0), ["desk-2"])
         late = TableDelta("1", 9, True, (an_announcement("desk-1"),), asked="1")
         self.assertEqual(
@@ -73,7 +73,7 @@
         )
         self.assertEqual(self.names(100.0), ["desk-2"])
 
-    def test_a_late_answer_of_a_run_in_between_changes_nothing(self):
+    def test_late_answer_of_an_earlier_run_is_ignored(self):
         """A control VM restarts twice; an answer of the run in between comes last.
 
         Taking it would bring that run's table back, and the answers of the run that
@@ -91,7 +91,7 @@
         )
         self.assertEqual([*self.reader.views["north"].endpoints], ["desk-3"])
 
-    def test_a_live_link_holds_an_endpoint_that_control_lost(self):
+    def test_live_link_keeps_an_endpoint_without_lease(self):
         """A cut parts the endpoints from the control VMs but not from the entries.
 
         All leases run out. An endpoint that still sends to this entry goes on serving,
@@ -102,7 +102,7 @@
         )
         readers.record_link_seen(self.reader, "desk-2", "another life", 1.0)
         for source in ("north", "south"):
-            self.hear(source, now_s=1.0, version=2)
+            self.receive(source, now_s=1.0, version=2)
         self.assertEqual(self.names(1.0 + LINK_TIMEOUT_S), ["desk-1"])
         self.assertEqual(self.names(1.1 + LINK_TIMEOUT_S), [])
         readers.record_link_lost(self.reader, "desk-1")
@@ -112,14 +112,14 @@
         readers.record_link_seen(
             self.reader, "desk-1", an_announcement().incarnation, 0.0
         )
-        self.hear("south", "desk-1", now_s=0.0, version=2, sequence=2, leaving=True)
+        self.receive("south", "desk-1", now_s=0.0, version=2, sequence=2, leaving=True)
         self.assertTrue(readers.endpoints(self.reader, 0.0)[0].leaving)
-        self.hear("south", now_s=0.0, version=3)
+        self.receive("south", now_s=0.0, version=3)
         self.assertTrue(readers.endpoints(self.reader, 0.0)[0].leaving)
-        self.hear("north", "desk-1", now_s=0.0, version=2, start=2)
+        self.receive("north", "desk-1", now_s=0.0, version=2, start=2)
         self.assertFalse(readers.endpoints(self.reader, 0.0)[0].leaving)
 
-    def test_a_gap_is_asked_for_again(self):
+    def test_gap_is_reported(self):
         gaps = TableDelta("1", 9, False, since=5), TableDelta("2", 9, False, asked="1")
         for delta in gaps:
             verdict = readers.merge(self.reader, "north", delta, 1.0)
--- a/libs/membership/test/test_subset.py
+++ b/libs/membership/test/test_subset.py
@@ -30,7 +30,7 @@
             self.assertEqual(choose(VMS, "west", key, [first])[0], second)
             self.assertEqual(len(choose(VMS, "north", key)), 2)
 
-    def test_an_incarnation_sorts_past_its_past_life(self):
+    def test_incarnation_sorts_after_the_previous_run(self):
         """A VM's clock went back, so its new process seems older than the last one."""
         rng = random.Random(1)
         old = make_incarnation(1_700_000_000_000, rng)
--- a/libs/membership/test/test_table.py
+++ b/libs/membership/test/test_table.py
@@ -121,7 +121,7 @@
         announcement = an_announcement(*arguments, **changes)
         return announce(self.table, announcement, LEASE_S, now_s).code
 
-    def test_late_and_doubled_messages_leave_the_newest_in_force(self):
+    def test_late_and_duplicated_messages_are_ignored(self):
         """An endpoint announces that it is leaving, and an older packet comes after.
 
         Work that is sent to it then would be cut off. Tables refuse what is older by
@@ -129,7 +129,7 @@
         """
         fuzz(TableMachine)
 
-    def test_believing_the_last_message_fails(self):
+    def test_naive_versions_fail(self):
         """The naive versions undo `leaving`, and bring lost endpoints back."""
         for naive in ({"announce": naive_announce}, {"merge": naive_merge}):
             with self.subTest(naive), self.assertRaises(AssertionError):
@@ -164,14 +164,14 @@
         self.assertEqual(expire(self.table, 61.5), ("desk-2",))
         self.assertEqual(expire(self.table, 62.0), ("desk-1",))
 
-    def test_a_renewal_is_no_change(self):
+    def test_renewal_is_not_a_change(self):
         self.announce()
         version = self.table.version
         self.announce("desk-1", 1, 2)
         delta = tables.delta_since(self.table, "epoch-1", version)
         self.assertEqual((delta.version, delta.announced), (version, ()))
 
-    def test_losses_are_named_until_they_are_forgotten(self):
+    def test_losses_are_sent_until_they_expire(self):
         self.announce("desk-1")
         self.announce("desk-2")
         expire(self.table, LEASE_S)
--- a/libs/pipeline/test/builders.py
+++ b/libs/pipeline/test/builders.py
@@ -85,7 +85,7 @@
         self.layers = range(stage.first_layer, stage.end_layer)
         self.kv = {}
         self.next_position = Counter()
-        self.ledger = Counter()
+        self.run_counts = Counter()
         # How often a request's KV was dropped; a run after that is a rebuild.
         self.freed = Counter()
 
@@ -101,7 +101,7 @@
                 value, kv[layer] = fold.run_layer(MODEL, layer, kv[layer], value)
                 position = self.next_position[request]
                 life = self.freed[request]
-                self.ledger[request, life, layer, position] += 1
+                self.run_counts[request, life, layer, position] += 1
             self.next_position[request] += 1
             is_last = self.layers.stop == LAYERS
             outputs.append(pick_token(value, self.salt) if is_last else value)
@@ -148,7 +148,7 @@
         # Stages whose KV did not come from the text that the caller got.
         self.wrong_kv = []
         # Links that lose every frame without a sign.
-        self.deaf = set()
+        self.lossy_links = set()
         self.now_s = 0.0
         for salt, stage in enumerate(fleet or a_fleet()):
             core = sidecar.StageCore(**limits)
@@ -158,9 +158,9 @@
         """Start a request at the entry."""
         self.cores[start.request] = entry.RequestCore(start)
         self.texts[start.request] = []
-        self.tell(start.request, entry.begin)
+        self.call_entry(start.request, entry.begin)
 
-    def tell(self, request, function, *values):
+    def call_entry(self, request, function, *values):
         """Call a function of a request's core and carry out the effects."""
         core = self.cores[request]
         for effect in function(core, *values, self.now_s):
@@ -170,13 +170,13 @@
                 case Deliver():
                     self.deliver(core, effect)
                 case NeedStage():
-                    self.tell(request, *self.find(effect))
+                    self.call_entry(request, *self.answer_need(effect))
                 case Fail():
                     self.failures[request] = effect.message
                 case Finished():
                     self.finished.add(request)
 
-    def tell_stage(self, address, function, *values):
+    def call_stage(self, address, function, *values):
         """Call a function of a sidecar's core and carry out the effects."""
         node = self.nodes[address]
         for effect in function(node.core, *values, self.now_s):
@@ -209,7 +209,7 @@
             if any(kv[layer] != want[layer] for layer in kv):
                 self.wrong_kv.append((request, stage.endpoint))
 
-    def find(self, need):
+    def answer_need(self, need):
         """Return how to answer a need: with a stage of the range, if there is one."""
         for stage in [node.stage for node in self.nodes.values()]:
             fits = stage[3:] == (need.first_layer, need.end_layer)
@@ -220,7 +220,7 @@
     def send(self, sender, effect):
         """Queue a frame; a dead receiver's frames are lost."""
         link = (sender, effect.address)
-        if link not in self.deaf and effect.address in {ENTRY, *self.nodes}:
+        if link not in self.lossy_links and effect.address in {ENTRY, *self.nodes}:
             self.links.setdefault(link, deque()).append(effect.message)
 
     def ready(self):
@@ -232,36 +232,36 @@
             address for address in busy if address not in frozen
         ]
 
-    def happen(self, what):
+    def process(self, what):
         """Deliver a link's next frame or finish an engine's next job."""
         if isinstance(what, str):
             self.finish_job(self.nodes[what])
             return
         message = self.links[what].popleft()
         if what[1] == CALLER:
-            self.tell(message.request, entry.record_consumed, message.count)
+            self.call_entry(message.request, entry.record_consumed, message.count)
         elif what[1] == ENTRY:
-            self.tell(message.request, entry.receive, message)
+            self.call_entry(message.request, entry.receive, message)
         else:
-            self.tell_stage(what[1], self.sidecar.receive, message)
+            self.call_stage(what[1], self.sidecar.receive, message)
 
     def finish_job(self, node, fails=False):
         """Give the outcome of an engine's next job to the sidecar."""
         job, address = node.jobs.popleft(), node.stage.address
         if isinstance(job, ExportKv):
             kv = "" if fails else node.engine.export(job.request)
-            self.tell_stage(address, handover.exported, job.request, kv)
+            self.call_stage(address, handover.exported, job.request, kv)
         elif isinstance(job, ImportKv):
             if not fails:
                 node.engine.load(job.request, job.kv)
-            self.tell_stage(address, handover.imported, job.request, not fails)
+            self.call_stage(address, handover.imported, job.request, not fails)
         else:
             key = (job.request, job.position)
             outputs = None if fails else node.engine.run(job)
             if outputs is None:
-                self.tell_stage(address, self.sidecar.compute_failed, *key, "gap")
+                self.call_stage(address, self.sidecar.compute_failed, *key, "gap")
             else:
-                self.tell_stage(address, self.sidecar.computed, *key, outputs)
+                self.call_stage(address, self.sidecar.computed, *key, outputs)
 
     def run(self, until=lambda: False, rng=None):
         """Let things happen, in turn or at random, and time pass when nothing does."""
@@ -272,7 +272,7 @@
                 return
             if ready:
                 idle_s = 0
-                self.happen(rng.choice(ready) if rng else ready[0])
+                self.process(rng.choice(ready) if rng else ready[0])
             else:
                 idle_s += 1
                 self.pass_time(1.0)
@@ -282,40 +282,40 @@
         """Move the clock on and tick every core."""
         self.now_s += wait_s
         for request in self.cores:
-            self.tell(request, entry.tick)
+            self.call_entry(request, entry.tick)
         for address, node in self.nodes.items():
             if not node.frozen:
-                self.tell_stage(address, self.sidecar.tick)
+                self.call_stage(address, self.sidecar.tick)
 
-    def cut(self, a, b, silently=False):
+    def break_link(self, a, b, silently=False):
         """Break the link between two processes; frames under way are lost."""
         self.links.pop((a, b), None)
         self.links.pop((b, a), None)
         for one, other in () if silently else ((a, b), (b, a)):
             if one in self.nodes:
-                self.tell_stage(one, self.sidecar.link_lost, other)
+                self.call_stage(one, self.sidecar.link_lost, other)
             elif one == ENTRY:
                 for request in self.cores:
-                    self.tell(request, entry.stage_lost, other)
+                    self.call_entry(request, entry.stage_lost, other)
 
     def kill(self, address, silently=False):
         """End a sidecar and its engine; the KV is gone."""
         del self.nodes[address]
         peers = {one for key in self.links for one in key if address in key}
         for peer in sorted(peers - {address}):
-            self.cut(peer, address, silently)
+            self.break_link(peer, address, silently)
 
-    def doing(self, kind):
+    def node_running(self, kind):
         """Return the node whose engine's next job is of a kind, or None."""
         busy = (node for node in self.nodes.values() if node.jobs)
         return next((node for node in busy if type(node.jobs[0]) is kind), None)
 
-    def runs_twice(self):
+    def repeated_runs(self):
         """Return the layer runs that a KV saw twice; there should be none."""
-        ledgers = [node.engine.ledger for node in self.nodes.values()]
-        return [key for ledger in ledgers for key, n in ledger.items() if n > 1]
+        ledgers = [node.engine.run_counts for node in self.nodes.values()]
+        return [key for run_counts in ledgers for key, n in run_counts.items() if n > 1]
 
-    def leftovers(self):
+    def remaining(self):
         """Return the requests that any sidecar or engine still holds."""
         held = []
         for node in self.nodes.values():
--- a/libs/pipeline/test/test_chainfaults.py
+++ b/libs/pipeline/test/test_chainfaults.py
@@ -19,12 +19,12 @@
         self.all = (
             self.pass_time,
             self.kill,
-            self.leave,
+            self.announce_stop,
             self.freeze,
             self.thaw,
-            self.cut,
+            self.break_link,
             self.lose_frames,
-            self.keep_frames,
+            self.stop_losing_frames,
             self.fail_job,
         )
 
@@ -41,11 +41,11 @@
         if address := self.pick(number, used & set(self.world.nodes)):
             self.world.kill(address, silently=number % 7 > 3)
 
-    def leave(self, number):
+    def announce_stop(self, number):
         request = self.pick(number, self.world.cores)
         stages = self.world.cores[request].stages
         if address := self.pick(number // 4, [stage.address for stage in stages]):
-            self.world.tell(request, entry.stage_leaving, address)
+            self.world.call_entry(request, entry.stage_leaving, address)
 
     def freeze(self, number):
         if address := self.pick(number, self.world.nodes):
@@ -55,18 +55,18 @@
         for node in self.world.nodes.values():
             node.frozen = False
 
-    def cut(self, number):
+    def break_link(self, number):
         links = [link for link in self.world.links if CALLER not in link]
         if link := self.pick(number, links):
-            self.world.cut(*link)
+            self.world.break_link(*link)
 
     def lose_frames(self, number):
         between = [link for link in self.world.links if ENTRY not in link]
         if link := self.pick(number, between):
-            self.world.deaf.add(link)
+            self.world.lossy_links.add(link)
 
-    def keep_frames(self, number):
-        self.world.deaf.clear()
+    def stop_losing_frames(self, number):
+        self.world.lossy_links.clear()
 
     def fail_job(self, number):
         busy = [a for a, node in self.world.nodes.items() if node.jobs]
@@ -102,14 +102,14 @@
             self.world.begin(start)
 
     @rule(count=st.integers(1, 40), seed=numbers)
-    def happen(self, count, seed):
+    def process(self, count, seed):
         rng = random.Random(seed)
         for _ in range(count):
             if ready := self.world.ready():
-                self.world.happen(rng.choice(ready))
+                self.world.process(rng.choice(ready))
 
     @rule(count=st.integers(1, 40), seed=numbers)
-    def happen_disturbed(self, count, seed):
+    def process_disturbed(self, count, seed):
         """Let frames be doubled, held back or swapped all the while."""
         rng = random.Random(seed)
         for _ in range(count):
@@ -121,7 +121,7 @@
                 # The entry's own frames stay in order: its links are streams, and
                 # `Free` closes a request for good.
                 frames.rotate(rng.randint(0, link[0] != ENTRY))
-            self.happen(3, rng.random())
+            self.process(3, rng.random())
 
     @rule(number=numbers, place=numbers)
     def fail(self, number, place):
@@ -134,34 +134,34 @@
         rng = random.Random(seed)
         for _ in range(rng.randint(1, 12)):
             rng.choice(self.faults.all)(rng.getrandbits(16))
-            self.happen_disturbed(rng.randint(0, 6), rng.random())
+            self.process_disturbed(rng.randint(0, 6), rng.random())
 
     @rule(number=numbers)
     def cancel(self, number):
         if number % 4 == 0:
             request = self.faults.pick(number // 4, self.starts)
-            self.world.tell(request, entry.cancel)
+            self.world.call_entry(request, entry.cancel)
             self.cancelled.add(request)
 
     @invariant()
-    def nothing_is_wrong(self):
+    def results_are_correct(self):
         for request, start in self.starts.items():
             text = self.world.texts[request]
             assert self.varied or text == oracle(start)[: len(text)], request
         assert not self.world.wrong_kv
-        assert not self.world.runs_twice()
+        assert not self.world.repeated_runs()
 
     def teardown(self):
         world = self.world
         self.faults.thaw()
         world.run(until=lambda: world.finished == set(self.starts))
         world.run()
-        self.nothing_is_wrong()
+        self.results_are_correct()
         for request, start in self.starts.items():
             whole = len(world.texts[request]) == start.max_tokens
             assert whole or request in self.cancelled | set(world.failures)
             assert request in world.finished
-        assert not world.leftovers(), world.leftovers()
+        assert not world.remaining(), world.remaining()
 
 
 ChainFaultsTests = ChainFaults.TestCase
--- a/libs/pipeline/test/test_dump.py
+++ b/libs/pipeline/test/test_dump.py
@@ -9,7 +9,7 @@
 
 
 class DumpTests(unittest.TestCase):
-    def test_a_request_shows_while_it_runs(self):
+    def test_dump_shows_a_running_request(self):
         world = World()
         start = a_start()
         world.begin(start)
--- a/libs/pipeline/test/test_plan.py
+++ b/libs/pipeline/test/test_plan.py
@@ -20,7 +20,7 @@
 class CoverTests(unittest.TestCase):
     @settings(derandomize=True, database=None, deadline=None)
     @given(st.lists(bounds.map(sorted), max_size=8))
-    def test_each_layer_once_and_in_order(self, ranges):
+    def test_cover_has_each_layer_once_and_in_order(self, ranges):
         announcements = [
             an_announcement(f"e{index}", *layers) for index, layers in enumerate(ranges)
         ]
@@ -39,6 +39,6 @@
         )
         self.assertIn("overlap others: b (2-6)", str(overlap.error))
 
-    def test_an_endpoint_that_leaves_is_not_planned(self):
+    def test_leaving_endpoint_is_not_planned(self):
         leaving = an_announcement("a", 0, 6, leaving=True)
         self.assertTrue(cover([leaving], LAYERS).is_error())
--- a/libs/pipeline/test/test_stage.py
+++ b/libs/pipeline/test/test_stage.py
@@ -81,7 +81,7 @@
         effects = sidecar.tick(thawed, stagetable.ORPHAN_TIMEOUT_S)
         self.assertEqual([FreeKv("r1")], effects)
 
-    def test_a_resume_during_a_compute(self):
+    def test_resume_keeps_the_compute_in_flight(self):
         """A compute in flight is neither lost nor repeated by a resume.
 
         The stage answers at once that it is running, so that a long prompt doesn't
@@ -130,7 +130,7 @@
         held = (self.core.requests, self.core.early, self.core.tombstones)
         self.assertEqual(({}, [], {}), held)
 
-    def test_a_dead_entry(self):
+    def test_requests_of_a_dead_entry_are_freed(self):
         """The engine's KV is not held for an entry that is gone.
 
         The link to the entry breaks and no message of the request follows within the
@@ -144,7 +144,7 @@
 
 
 class BoundsTests(unittest.TestCase):
-    def test_early_steps_wait_briefly(self):
+    def test_early_steps_are_kept_within_bounds(self):
         core = sidecar.StageCore()
         start = a_start()._replace(stage=1)
         sidecar.receive(core, a_step(0, "a"), 0.0)
@@ -158,7 +158,7 @@
         sidecar.receive(core, Step("r2", 1, 0, ("a" * 2**26, "a")), 9.0)
         self.assertEqual([], core.early)
 
-    def test_no_room(self):
+    def test_request_is_refused_when_full(self):
         core = sidecar.StageCore(max_requests=1)
         sidecar.receive(core, a_start("r1"), 0.0)
         effects = sidecar.receive(core, a_start("r2"), 0.0)
@@ -166,7 +166,7 @@
 
 
 class LastStageTests(unittest.TestCase):
-    def test_the_window_withholds_the_next_round(self):
+    def test_full_window_withholds_the_next_input(self):
         """A caller that stops reading stops its own chain and no more.
 
         Tokens still go to the entry, but the input of the next round is kept back
