--- a/libs/membership/test/builders.py
+++ b/libs/membership/test/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the membership's tests, and its naive versions."""
+"""Test data for the membership tests, and naive versions of its functions."""
 
 from hypothesis import Phase, settings, stateful, strategies as st
 
@@ -21,7 +21,7 @@
 
 
 def find_failure(make_machine):
-    """Run a naive version until it fails; its failure need not be reduced."""
+    """Run a naive version until it fails, without shrinking the failure."""
     quick = {"phases": [Phase.generate], "report_multiple_bugs": False}
     unshrunk = settings(SETTINGS, max_examples=1000, **quick)
     stateful.run_state_machine_as_test(make_machine, settings=unshrunk)
@@ -33,14 +33,14 @@
 
 
 def naive_announce(table, announcement, lease_s, now_s):
-    """Believe whatever arrives last."""
+    """Accept every announcement, in order of arrival."""
     table.rows.pop(announcement.endpoint, None)
     table.gone.pop(announcement.endpoint, None)
     return tables.announce(table, announcement, lease_s, now_s)
 
 
 def naive_merge(reader, source, delta, now_s):
-    """Lay every delta over what is known, whichever is newer."""
+    """Merge every delta, even if it is older than the view."""
     view = reader.views[source]
     view.epoch = delta.asked if delta.full else delta.epoch
     view.version = delta.since
@@ -48,7 +48,7 @@
 
 
 def naive_take(config, delta):
-    """Follow whichever control VM answered last."""
+    """Apply every delta, even if it is older than the configuration."""
     config.revision = min(config.revision, delta.revision - 1)
     return configs.apply_delta(config, delta)
 
@@ -59,7 +59,7 @@
 
 
 def configurations(changes):
-    """Return the state of a control VM after each of some changes."""
+    """Return the states of a control VM before and after each of some changes."""
     states = [machine.new_state()]
     for number, (kind, name, version) in enumerate(changes):
         command = {
--- a/libs/membership/test/test_config.py
+++ b/libs/membership/test/test_config.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration in force: it only moves up."""
+"""Tests of the configuration in force: its revision never decreases."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 def check(taking, history, answers):
-    """Ask control VMs that are ahead or behind, from around the held revision."""
+    """Request deltas from control VMs that are ahead or behind, around the revision."""
     states = configurations(history)
     config = Config()
     position = 0
@@ -39,8 +39,8 @@
     def test_config_is_an_accepted_revision_and_never_goes_back(self, history, answers):
         """Control VMs answer late, twice, out of order, or hours behind the others.
 
-        What is in force is exactly what was accepted at one revision. Going back would
-        revive a retired contract; a delta over a gap would mix two revisions.
+        The configuration always equals one accepted revision. Going back would restore
+        a retired contract; a delta over a gap would mix two revisions.
         """
         check(apply_delta, history, answers)
 
@@ -50,10 +50,10 @@
             check(naive_take, history, [(2, 0, True), (-1, 0, True)])
 
     def test_a_process_is_ready_once_it_reached_a_confirmed_revision(self):
-        """A restarted entry is answered first by a control VM that was cut off.
+        """A restarted entry is answered first by a disconnected control VM.
 
-        It must not serve under those contracts: it waits for the revision that the
-        leader confirmed after its start, 500 changes further on.
+        It must not serve under the outdated contracts, but wait for the revision that
+        the leader confirmed after its start, which is 500 changes later.
         """
         config, state = Config(), new_state()
         self.assertFalse(is_ready(config, 0))
--- a/libs/membership/test/test_reader.py
+++ b/libs/membership/test/test_reader.py
@@ -1,4 +1,4 @@
-"""Tests of what a reader keeps when control VMs fall silent."""
+"""Tests of the endpoints that a reader keeps when control VMs stop answering."""
 
 import unittest
 
@@ -33,9 +33,9 @@
     def test_disconnected_entry_keeps_its_endpoints(self):
         """An entry loses all control VMs for an hour, then one answers again.
 
-        Emptying its table would turn a cut of control into a cut of service. Nor may
-        the first control VM to answer wipe what the other alone holds; that one has a
-        few seconds to answer too.
+        An empty table would turn a control outage into a service outage. The first
+        answer must not drop the endpoints that only the other control VM lists, which
+        has a few seconds to answer too.
         """
         self.assertEqual(self.names(3600.0), ["desk-1", "desk-2"])
         self.receive("north", "desk-1", now_s=3600.0)
@@ -45,11 +45,11 @@
         self.assertEqual(self.names(3601.0 + RETENTION_S), ["desk-1"])
 
     def test_endpoints_of_a_silent_control_vm_expire(self):
-        """One control VM freezes. Its endpoints turn to another one in time.
+        """One control VM freezes, and its endpoints switch to another one.
 
-        Until then they are kept, or a third of the platform would vanish for a moment;
-        one that died at the same time still leaves within seconds, and a later cut
-        does not bring it back.
+        Until then they are kept, or a third of the platform would be dropped for a
+        moment. An endpoint that died at the same time is still dropped within seconds,
+        and a later disconnection does not restore it.
         """
         for now_s in (2.0, 4.0, RETENTION_S):
             self.receive("north", "desk-1", now_s=now_s)
@@ -74,10 +74,10 @@
         self.assertEqual(self.names(100.0), ["desk-2"])
 
     def test_late_answer_of_an_earlier_run_is_ignored(self):
-        """A control VM restarts twice; an answer of the run in between comes last.
+        """A control VM restarts twice; an answer of the run in between arrives last.
 
-        Taking it would bring that run's table back, and the answers of the run that
-        goes on would then seem to be old ones: the view would stand still for ever.
+        Merging it would restore that run's table, and answers of the current run would
+        then be refused as old, so that the view would never change again.
         """
         between, last = Table("2"), Table("3")
         announce(last, an_announcement("desk-3"), 2.0, 0.0)
@@ -92,15 +92,15 @@
         self.assertEqual([*self.reader.views["north"].endpoints], ["desk-3"])
 
     def test_live_link_keeps_an_endpoint_without_lease(self):
-        """A cut parts the endpoints from the control VMs but not from the entries.
+        """A partition separates endpoints from the control VMs but not from the entry.
 
-        All leases run out. An endpoint that still sends to this entry goes on serving,
-        until its link breaks or falls silent.
+        All leases expire. An endpoint that still sends to this entry keeps serving
+        until its link breaks or times out.
         """
         readers.record_link_seen(
             self.reader, "desk-1", an_announcement().incarnation, 1.0
         )
-        readers.record_link_seen(self.reader, "desk-2", "another life", 1.0)
+        readers.record_link_seen(self.reader, "desk-2", "other incarnation", 1.0)
         for source in ("north", "south"):
             self.receive(source, now_s=1.0, version=2)
         self.assertEqual(self.names(1.0 + LINK_TIMEOUT_S), ["desk-1"])
--- a/libs/membership/test/test_subset.py
+++ b/libs/membership/test/test_subset.py
@@ -31,7 +31,7 @@
             self.assertEqual(len(choose(VMS, "north", key)), 2)
 
     def test_incarnation_sorts_after_the_previous_run(self):
-        """A VM's clock went back, so its new process seems older than the last one."""
+        """A VM's clock was set back, so its new process seems older than the last."""
         rng = random.Random(1)
         old = make_incarnation(1_700_000_000_000, rng)
         for _ in range(20):
--- a/libs/membership/test/test_table.py
+++ b/libs/membership/test/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the table and of its readers under lost, doubled and late messages."""
+"""Tests of the table and its readers under lost, duplicated and late messages."""
 
 import unittest
 
@@ -21,12 +21,12 @@
 
 
 def contents(announcements):
-    """Return what readers act on; a renewal alone raises the sequence."""
+    """Return the announcements without the sequence, which a renewal raises."""
     return {announcement._replace(sequence=0) for announcement in announcements}
 
 
 class TableMachine(stateful.RuleBasedStateMachine):
-    """Two endpoints, two control VMs and a reader; the oracle knows the newest."""
+    """Two endpoints, two control VMs, a reader, and an oracle with the newest."""
 
     def __init__(self, announce=announce, merge=readers.merge):
         super().__init__()
@@ -122,24 +122,24 @@
         return announce(self.table, announcement, LEASE_S, now_s).code
 
     def test_late_and_duplicated_messages_are_ignored(self):
-        """An endpoint announces that it is leaving, and an older packet comes after.
+        """An older packet arrives after an endpoint announced that it is leaving.
 
-        Work that is sent to it then would be cut off. Tables refuse what is older by
-        incarnation and sequence, readers what is older by epoch and version.
+        Work sent to the endpoint after that would be interrupted. Tables refuse older
+        incarnations and sequences, readers refuse older epochs and versions.
         """
         fuzz(TableMachine)
 
     def test_naive_versions_fail(self):
-        """The naive versions undo `leaving`, and bring lost endpoints back."""
+        """The naive versions reset `leaving` and restore lost endpoints."""
         for naive in ({"announce": naive_announce}, {"merge": naive_merge}):
             with self.subTest(naive), self.assertRaises(AssertionError):
                 find_failure(lambda naive=naive: TableMachine(**naive))
 
     def test_a_superseded_process_cannot_come_back(self):
-        """A frozen sidecar thaws after its VM was started again.
+        """A frozen sidecar continues after its VM has started a new process.
 
-        Its announcements would take the endpoint away from the new process. It is
-        told so, also when the new process has gone meanwhile.
+        Its announcements must not take the endpoint from the new process. They are
+        refused as superseded, also after the new process has been lost.
         """
         self.announce("desk-1", 2)
         self.assertEqual(self.announce("desk-1", 1, 9), Code.SUPERSEDED)
@@ -152,8 +152,8 @@
     def test_a_thawed_control_vm_does_not_lose_its_endpoints(self):
         """A control VM is frozen for a minute, longer than every lease.
 
-        The endpoints went on announcing, which it could not hear. It gives them a
-        lease's time to be heard again; the one that died in between leaves then.
+        It could not receive the endpoints' announcements meanwhile, so it extends the
+        leases by up to one lease. An endpoint that died meanwhile is dropped then.
         """
         self.announce("desk-1")
         self.announce("desk-2")
--- a/libs/pipeline/test/builders.py
+++ b/libs/pipeline/test/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the pipeline's tests: stages, a fold engine, a world."""
+"""Test data and simulation for the pipeline's tests: stages, engines, a network."""
 
 from ast import literal_eval
 from collections import Counter, deque
@@ -26,12 +26,12 @@
 
 
 def a_stage(name, first_layer=0, end_layer=LAYERS):
-    """Return a stage whose address follows from its name."""
+    """Return a stage with an address derived from its name."""
     return Stage(name, "1", f"{name}:1", first_layer, end_layer)
 
 
 def a_fleet(copies=4, ranges=RANGES):
-    """Return several stages for each range, the first of each range first."""
+    """Return several stages for each range, beginning with one copy of each."""
     return [
         a_stage(f"s{index}{'abcdef'[copy]}", *layers)
         for copy in range(copies)
@@ -40,7 +40,7 @@
 
 
 def a_start(request="r1", stages=None, prompt="petra at dawn", max_tokens=6, window=2):
-    """Return the start of a request, as its entry holds it."""
+    """Return a request's `Start` message for stage 0."""
     stages = tuple(a_fleet(1)) if stages is None else tuple(stages)
     words = tuple(fold.tokenize(prompt))
     return Start(
@@ -49,12 +49,12 @@
 
 
 def a_step(position, *inputs, generation=1):
-    """Return a step of the first request."""
+    """Return a step of request r1."""
     return Step("r1", generation, position, inputs)
 
 
 def sent(effects, kind=object):
-    """Return the messages of a type among effects."""
+    """Return the sent messages of a type among effects."""
     messages = [e.message for e in effects if isinstance(e, SendTo)]
     return [message for message in messages if isinstance(message, kind)]
 
@@ -70,12 +70,12 @@
 
 
 def pick_token(value, salt):
-    """Return the token that an engine with a salt samples."""
+    """Return the token that an engine with a salt samples from an output."""
     return fold.pick_token(f"{int(value, 16) + salt:x}")
 
 
 class FoldEngine:
-    """An engine of a layer range; the ledger counts each layer's run per position.
+    """An engine of a layer range that counts each layer's runs per position.
 
     Engines of different `salt` sample different tokens from the same output.
     """
@@ -86,11 +86,11 @@
         self.kv = {}
         self.next_position = Counter()
         self.run_counts = Counter()
-        # How often a request's KV was dropped; a run after that is a rebuild.
+        # How often a request's KV was dropped; runs after that are rebuilds.
         self.freed = Counter()
 
     def run(self, compute):
-        """Return the outputs, or None for a gap as the engine's interface has it."""
+        """Return the outputs, or None if there is a gap before the inputs."""
         request = compute.request
         if compute.position != self.next_position[request]:
             return None
@@ -112,7 +112,7 @@
         return repr((self.next_position[request], self.kv.get(request, {})))
 
     def load(self, request, text):
-        """Take KV that another engine exported."""
+        """Import KV that another engine exported."""
         self.next_position[request], kv = literal_eval(text)
         self.kv[request] = kv or dict.fromkeys(self.layers, fold.EMPTY_KV)
 
@@ -135,7 +135,7 @@
 
 
 class World:
-    """An entry and sidecars over links that the test may disturb."""
+    """An entry and sidecars over links in which a test can inject faults."""
 
     def __init__(self, fleet=None, stages=sidecar, varied=False, **limits):
         self.sidecar = stages
@@ -145,9 +145,9 @@
         self.texts = {}
         self.failures = {}
         self.finished = set()
-        # Stages whose KV did not come from the text that the caller got.
+        # Stages whose KV was not computed from the text that the caller received.
         self.wrong_kv = []
-        # Links that lose every frame without a sign.
+        # Links that lose every frame without an error.
         self.lossy_links = set()
         self.now_s = 0.0
         for salt, stage in enumerate(fleet or a_fleet()):
@@ -161,7 +161,7 @@
         self.call_entry(start.request, entry.begin)
 
     def call_entry(self, request, function, *values):
-        """Call a function of a request's core and carry out the effects."""
+        """Call a function on a request's state at the entry and apply the effects."""
         core = self.cores[request]
         for effect in function(core, *values, self.now_s):
             match effect:
@@ -177,7 +177,7 @@
                     self.finished.add(request)
 
     def call_stage(self, address, function, *values):
-        """Call a function of a sidecar's core and carry out the effects."""
+        """Call a function on a sidecar's state and apply the effects."""
         node = self.nodes[address]
         for effect in function(node.core, *values, self.now_s):
             match effect:
@@ -189,7 +189,7 @@
                     node.jobs.append(effect)
 
     def deliver(self, core, effect):
-        """Pass tokens to the caller, who takes them some time later."""
+        """Queue tokens to the caller, who takes them later."""
         request = core.start.request
         self.texts[request] += effect.tokens
         taken = Ack(request, len(self.texts[request]))
@@ -198,19 +198,19 @@
             self.check_kv(core)
 
     def check_kv(self, core):
-        """Compare the plan's KV with that of the prompt and the text."""
+        """Compare the KV of the plan's stages with that of the prompt and the text."""
         request = core.start.request
         inputs = core.start.prompt + tuple(self.texts[request][:-1])
         for stage in core.plan:
             node = self.nodes.get(stage.address)
             kv = node.engine.kv.get(request, {}) if node else {}
-            # A stage being rebuilt may not have run the last positions yet.
+            # A stage that is being rebuilt may lack the last positions.
             want = kv_of(inputs[: node.engine.next_position[request]]) if kv else ()
             if any(kv[layer] != want[layer] for layer in kv):
                 self.wrong_kv.append((request, stage.endpoint))
 
     def answer_need(self, need):
-        """Return how to answer a need: with a stage of the range, if there is one."""
+        """Return the call that answers a need, with a stage if there is one."""
         for stage in [node.stage for node in self.nodes.values()]:
             fits = stage[3:] == (need.first_layer, need.end_layer)
             if fits and stage.endpoint not in need.exclude:
@@ -218,13 +218,13 @@
         return (entry.no_stage,)
 
     def send(self, sender, effect):
-        """Queue a frame; a dead receiver's frames are lost."""
+        """Queue a frame; frames to a dead receiver are lost."""
         link = (sender, effect.address)
         if link not in self.lossy_links and effect.address in {ENTRY, *self.nodes}:
             self.links.setdefault(link, deque()).append(effect.message)
 
     def ready(self):
-        """Return what may happen next: links with a frame, engines with a job."""
+        """Return the possible next events: links with a frame, engines with a job."""
         frozen = {address for address, node in self.nodes.items() if node.frozen}
         links = [key for key, frames in self.links.items() if frames]
         busy = [address for address, node in self.nodes.items() if node.jobs]
@@ -246,7 +246,7 @@
             self.call_stage(what[1], self.sidecar.receive, message)
 
     def finish_job(self, node, fails=False):
-        """Give the outcome of an engine's next job to the sidecar."""
+        """Finish an engine's next job and pass its result to the sidecar."""
         job, address = node.jobs.popleft(), node.stage.address
         if isinstance(job, ExportKv):
             kv = "" if fails else node.engine.export(job.request)
@@ -264,7 +264,7 @@
                 self.call_stage(address, self.sidecar.computed, *key, outputs)
 
     def run(self, until=lambda: False, rng=None):
-        """Let things happen, in turn or at random, and time pass when nothing does."""
+        """Process events in order or at random; advance time if there are none."""
         idle_s = 0
         for _ in range(100_000):
             ready = self.ready()
@@ -276,10 +276,10 @@
             else:
                 idle_s += 1
                 self.pass_time(1.0)
-        raise AssertionError("the chain did not come to rest")
+        raise AssertionError("events still pending after 100000 rounds")
 
     def pass_time(self, wait_s):
-        """Move the clock on and tick every core."""
+        """Advance the clock and tick the entry and the sidecars."""
         self.now_s += wait_s
         for request in self.cores:
             self.call_entry(request, entry.tick)
@@ -288,7 +288,7 @@
                 self.call_stage(address, self.sidecar.tick)
 
     def break_link(self, a, b, silently=False):
-        """Break the link between two processes; frames under way are lost."""
+        """Break the link between two processes; frames in flight are lost."""
         self.links.pop((a, b), None)
         self.links.pop((b, a), None)
         for one, other in () if silently else ((a, b), (b, a)):
@@ -299,24 +299,24 @@
                     self.call_entry(request, entry.stage_lost, other)
 
     def kill(self, address, silently=False):
-        """End a sidecar and its engine; the KV is gone."""
+        """Kill a sidecar and its engine; the KV is lost."""
         del self.nodes[address]
         peers = {one for key in self.links for one in key if address in key}
         for peer in sorted(peers - {address}):
             self.break_link(peer, address, silently)
 
     def node_running(self, kind):
-        """Return the node whose engine's next job is of a kind, or None."""
+        """Return a node whose engine's next job is of a kind, or None."""
         busy = (node for node in self.nodes.values() if node.jobs)
         return next((node for node in busy if type(node.jobs[0]) is kind), None)
 
     def repeated_runs(self):
-        """Return the layer runs that a KV saw twice; there should be none."""
+        """Return the layer runs that were repeated on the same KV."""
         ledgers = [node.engine.run_counts for node in self.nodes.values()]
         return [key for run_counts in ledgers for key, n in run_counts.items() if n > 1]
 
     def remaining(self):
-        """Return the requests that any sidecar or engine still holds."""
+        """Return the requests and bytes that sidecars and engines still hold."""
         held = []
         for node in self.nodes.values():
             held += [*node.core.requests, *node.engine.kv, *node.core.draining]
@@ -325,7 +325,7 @@
 
 
 def kv_of(inputs):
-    """Return every layer's KV after a single process ran the inputs."""
+    """Return every layer's KV after a single process has run the inputs."""
     kv = [fold.EMPTY_KV] * LAYERS
     for value in inputs:
         for layer in range(LAYERS):
@@ -340,7 +340,7 @@
 
 
 class NaiveStages:
-    """The sidecar without positions and generations: each step is the next one."""
+    """A sidecar that ignores positions and generations of steps."""
 
     def __getattr__(self, name):
         return getattr(sidecar, name)
--- a/libs/pipeline/test/test_chainfaults.py
+++ b/libs/pipeline/test/test_chainfaults.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of whole chains against the fold of a single process."""
+"""Stateful fuzzing of whole chains against the result of a single process."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class Faults:
-    """What may go wrong in a world; `number` picks where."""
+    """Faults to inject into a world; `number` picks the place."""
 
     def __init__(self, world):
         self.world = world
@@ -29,7 +29,7 @@
         )
 
     def pick(self, number, choices):
-        """Return one of several choices, or None if there is none."""
+        """Return one of the choices, or None if there are none."""
         choices = sorted(choices)
         return choices[number % len(choices)] if choices else None
 
@@ -77,10 +77,10 @@
 class ChainFaults(RuleBasedStateMachine):
     """Requests over chains whose processes and links fail in any order.
 
-    A caller may see an explicit failure, but never a token that the oracle doesn't
-    have at that place. No KV sees a layer run twice for a position, and when all is
-    over no process holds anything. Where engines sample differently, each KV must
-    have come from the very text that the caller got.
+    A caller may get an explicit failure, but never a token that differs from the
+    oracle's at that position. No layer runs twice for a position on the same KV, and
+    at the end no process holds any state. When engines sample differently, each KV
+    must have been computed from the text that the caller received.
     """
 
     @initialize(count=st.integers(1, 3), seed=numbers, varied=st.booleans())
@@ -110,7 +110,7 @@
 
     @rule(count=st.integers(1, 40), seed=numbers)
     def process_disturbed(self, count, seed):
-        """Let frames be doubled, held back or swapped all the while."""
+        """Process events while frames are duplicated, delayed or reordered."""
         rng = random.Random(seed)
         for _ in range(count):
             links = [link for link, frames in self.world.links.items() if frames]
@@ -118,8 +118,8 @@
                 link = rng.choice(links)
                 frames = self.world.links[link]
                 frames.insert(rng.randint(1, len(frames)), frames[0])
-                # The entry's own frames stay in order: its links are streams, and
-                # `Free` closes a request for good.
+                # The entry's own frames stay in order, because its links are streams
+                # and `Free` ends a request finally.
                 frames.rotate(rng.randint(0, link[0] != ENTRY))
             self.process(3, rng.random())
 
@@ -130,7 +130,7 @@
 
     @rule(seed=numbers)
     def fail_often(self, seed):
-        """Let many faults happen a few events apart."""
+        """Inject many faults a few events apart."""
         rng = random.Random(seed)
         for _ in range(rng.randint(1, 12)):
             rng.choice(self.faults.all)(rng.getrandbits(16))
--- a/libs/pipeline/test/test_dump.py
+++ b/libs/pipeline/test/test_dump.py
@@ -1,4 +1,4 @@
-"""Tests of the dump."""
+"""Tests of the dump of the pipeline's state."""
 
 import json
 import unittest
--- a/libs/pipeline/test/test_handover.py
+++ b/libs/pipeline/test/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of the hand-over at a planned stop, one sidecar at a time."""
+"""Tests of the hand-over at a planned stop, with one sidecar at a time."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from cherryrudder.pipeline.effects import ExportKv, FreeKv, ImportKv
 from cherryrudder.pipeline.messages import HandOver, KvTransfer, Resume, ResumeReply
 
-HAND_OVER = HandOver("r1", 2, "heir:1")
+HAND_OVER = HandOver("r1", 2, "replacement:1")
 TRANSFER = KvTransfer(
     "r1", 2, 0, ("A", "B", "C", "D"), ("petra", "at", "dawn", "x"), "kv"
 )
@@ -30,10 +30,10 @@
         self.assertEqual(FreeKv("r1"), effects[-1])
 
     def test_failed_compute_sends_empty_kv_to_the_replacement(self):
-        """The caller's chain keeps the new stage although the old one's engine fails.
+        """A failure of the old stage's engine must not cause another replacement.
 
-        The entry's plan has the heir in the old one's place; a report of the failure
-        would have it replaced too. The heir is told that there is no KV.
+        The entry's plan already has the replacement in its place, and would remove it
+        on a reported failure. The replacement receives an empty KV instead.
         """
         sidecar.receive(self.core, HAND_OVER, 0.0)
         effects = sidecar.compute_failed(self.core, "r1", 0, "no memory", 0.0)
--- a/libs/pipeline/test/test_plan.py
+++ b/libs/pipeline/test/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the layer plan."""
+"""Tests of the planning of chains."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def has_cover(ranges, layer=0):
-    """Tell by trying every chain whether ranges can be joined."""
+    """Return whether any chain of ranges covers the layers, by brute force."""
     return layer == LAYERS or any(
         has_cover(ranges, end) for first, end in ranges if first == layer
     )
--- a/libs/pipeline/test/test_request.py
+++ b/libs/pipeline/test/test_request.py
@@ -1,4 +1,4 @@
-"""Tests of the entry's part, over whole chains."""
+"""Tests of the entry's state machine, mostly over whole simulated chains."""
 
 import random
 import unittest
@@ -19,13 +19,13 @@
 
 
 def after(count):
-    """Return a condition that holds once it was asked `count` times."""
+    """Return a condition that holds from its call number `count + 1` on."""
     left = iter(range(count))
     return lambda: next(left, None) is None
 
 
 def begin(until=None, seed=None, **options):
-    """Return a world with one request, at a moment of its run."""
+    """Return a world with one request, run until a condition holds."""
     rng = None if seed is None else random.Random(seed)
     world = World(**options)
     start = a_start(stages=options.get("fleet", a_fleet(1))[:3])
@@ -40,7 +40,7 @@
 
 
 def each_moment(every=1):
-    """Give a request after each number of events, with each of its stages."""
+    """Yield a request after each number of events, with each of its stages."""
     for stage in range(3):
         for when in range(0, 60, every):
             world, start = begin(until=after(when), seed=when)
@@ -57,11 +57,10 @@
             self.assertEqual([], world.remaining())
 
     def test_text_is_complete_when_a_stage_is_killed(self):
-        """The caller sees the whole text although a stage dies and loses its KV.
+        """The text is complete when any stage is killed after any event.
 
-        At every single event of the request, each stage in turn is killed. The entry
-        finds another endpoint for the range and the others keep what they computed:
-        they run each position once, in one life of their KV.
+        The entry finds another endpoint for the range. The other stages keep their KV
+        and run each position once.
         """
         for world, start, lost in each_moment():
             world.kill(lost)
@@ -69,16 +68,16 @@
             self.assertEqual({}, world.failures)
             self.assertEqual(oracle(start), text)
             self.assertEqual([], world.repeated_runs())
-            self.assertEqual(0.0, world.now_s, "the recovery waited for a timeout")
+            self.assertEqual(0.0, world.now_s, "recovery waited for a timeout")
             for address in {stage.address for stage in start.stages} - {lost}:
-                # 3 prompt tokens and 5 fed back, 2 layers, none again.
+                # 3 prompt and 5 generated tokens, 2 layers, no repeats.
                 self.assertEqual(16, world.nodes[address].engine.run_counts.total())
 
     def test_text_is_complete_when_two_stages_are_killed(self):
-        """The caller sees the whole text although two stages die, near each other.
+        """The text is complete when a second stage is killed near the first.
 
-        The second dies after the first and before, during or after the round in which
-        the entry asks what is held; then another generation begins.
+        It dies before, during or after the resume that the first loss starts, which
+        then has to start over with another generation.
         """
         for when in range(0, 48, 4):
             for later in range(0, 16, 2):
@@ -91,10 +90,10 @@
                     self.assertEqual([], world.repeated_runs())
 
     def test_broken_link_recovers_without_timeout(self):
-        """The caller's text goes on at once although a link lost its frames.
+        """Frames lost with a broken link between two stages are sent again at once.
 
-        Both stages are well and tell the entry; it asks what each holds and has the
-        lost outputs sent again, without a timeout and without computing them anew.
+        Both stages report the broken link to the entry, which starts a resume, without
+        a timeout and without recomputing anything.
         """
         for world, start, address in each_moment():
             addresses = [stage.address for stage in start.stages]
@@ -104,10 +103,10 @@
             self.assertEqual([], world.repeated_runs())
 
     def test_frozen_stage_is_replaced(self):
-        """The caller's text goes on although a stage stops without a sign.
+        """A stage that freezes without a broken link is replaced.
 
-        No link breaks; the entry sees no token for the stall time, asks every stage
-        and takes the one that doesn't answer for lost. Thawed, it is refused.
+        After the stall timeout the entry queries every stage and replaces the one that
+        doesn't answer. When it runs again, its messages are refused.
         """
         for world, start, address in each_moment(every=3):
             node = world.nodes[address]
@@ -120,10 +119,10 @@
             self.assertEqual([], world.remaining())
 
     def test_planned_stop_recomputes_nothing(self):
-        """The caller's text is whole although a stage stops in the middle of it.
+        """A planned stop in the middle of a request doesn't repeat any compute.
 
-        The stage finishes its compute and its KV moves to another endpoint, which goes
-        on where it ended: between them they run each position once.
+        The stage finishes its compute and its KV moves to another endpoint, which
+        continues from there. Together they run each position once.
         """
         for world, start, address in each_moment():
             world.call_entry("r1", entry.stage_leaving, address)
@@ -134,10 +133,10 @@
             self.assertEqual([], world.remaining())
 
     def test_text_is_complete_when_a_hand_over_fails(self):
-        """The caller's text is whole although the KV never arrives.
+        """The text is complete although the KV is lost in a hand-over.
 
-        The export fails, the import fails, or the stage dies in between; the new
-        stage then holds nothing and is rebuilt from what its neighbour keeps.
+        The export fails, the import fails, or the stopping stage dies. The replacement
+        then starts empty and is rebuilt from the outputs that its neighbour keeps.
         """
         for fault in (ExportKv, ImportKv, None):
             world, start = begin(until=after(20))
@@ -154,10 +153,10 @@
             self.assertEqual([], world.repeated_runs())
 
     def test_stage_that_ran_a_lost_token_starts_over(self):
-        """The caller's text is one that a single process could have written.
+        """The KV of every stage matches the text when engines sample differently.
 
-        Stage 0 and the last stage die together after the last one fed back a token
-        that the entry never got. The new last stage samples another token, and the
+        Stage 0 and the last stage die together after the last one sent stage 0 a token
+        that never reached the entry. The new last stage samples another token, but the
         stage between has run the old one, so it has to start over.
         """
         ahead = 0
@@ -175,13 +174,13 @@
                 self.assertEqual([], world.wrong_kv)
             middle = world.nodes[start.stages[1].address].engine
             ahead += any(life for _, life, _, _ in middle.run_counts)
-        self.assertGreater(ahead, 0, "the case did not arise")
+        self.assertGreater(ahead, 0, "no stage ran a lost token in any run")
 
     def test_unreachable_stage_is_replaced(self):
-        """The caller's text goes on although two stages lost sight of each other.
+        """A stage that no longer receives another stage's frames is replaced.
 
-        Both answer the entry, so no one is silent. The second round in which the same
-        stage is behind what was sent to it gives that stage up.
+        Both stages still answer the entry, so neither times out. The stage is replaced
+        when it lags behind what was sent to it in two resumes in a row.
         """
         for pair in ((0, 1), (1, 2), (2, 0)):
             world, start = begin(until=after(20))
@@ -190,10 +189,10 @@
             self.assertLess(world.now_s, 8.0)
 
     def test_stage_without_kept_outputs_is_rebuilt(self):
-        """The caller sees the whole text although a stage ran out of memory.
+        """The text is complete although a stage dropped outputs at its memory limit.
 
-        The stage before the killed one no longer keeps what the new one needs, so it
-        is rebuilt too, from what the stage before it keeps.
+        The stage before the killed one no longer keeps the outputs that the new one
+        needs, so it is rebuilt too, from the outputs of the stage before it.
         """
         world, start = begin(until=after(25), max_kept_bytes=20)
         world.kill(start.stages[2].address)
@@ -201,10 +200,10 @@
         self.assertEqual(0.0, world.now_s)
 
     def test_duplicated_step_is_dropped(self):
-        """The caller's text is right although a link doubles a frame.
+        """The text is correct although a link duplicates a frame.
 
-        The naive sidecar takes the second copy for the next token: its KV has the
-        token twice and every later token of the text is another one.
+        The naive sidecar treats the second copy as the next token: its KV contains the
+        token twice, and every later token of the text differs.
         """
         texts = {}
         for stages in (sidecar, NaiveStages()):
@@ -236,7 +235,7 @@
     def test_replaced_stage_is_freed(self):
         needs = entry.stage_leaving(self.core, "s1a", 1.0)
         self.assertEqual([NeedStage(2, 4, ("s1a",))], needs)
-        entry.replace(self.core, a_stage("heir", 2, 4), 1.0)
+        entry.replace(self.core, a_stage("replacement", 2, 4), 1.0)
         for stage in range(3):
             effects = entry.receive(self.core, ResumeReply("r1", 2, stage, 3), 1.0)
         self.assertIn(SendTo("s1a:1", Free("r1")), effects)
@@ -248,10 +247,10 @@
         self.assertIn("layers 1 to 4", effects[0].message)
 
     def test_token_of_an_old_generation_is_dropped(self):
-        """The caller gets no token of a stage that was given up.
+        """The caller receives no token of a replaced stage.
 
-        The last stage is cut off and another takes its place. What the old one still
-        sends may differ from what the new one samples.
+        The last stage is partitioned and replaced. Tokens that the old one still sends
+        may differ from those that the new one samples.
         """
         entry.stage_lost(self.core, "s2a", 1.0)
         entry.replace(self.core, a_stage("new", 4, 6), 1.0)
@@ -265,17 +264,17 @@
         self.assertIn(NeedStage(2, 4, ("s0a", "s1a")), needs)
 
     def test_slow_caller_is_not_a_stall(self):
-        """A caller that stops reading is not taken for a lost stage.
+        """A caller that stops reading doesn't start a resume.
 
-        The window is full, so the chain rightly makes no token; asking the stages
-        again and again would use up the request's generations.
+        The window is full, so no token is due. Repeated resumes would use up the
+        request's generations.
         """
         self.core.tokens = ["a"] * self.core.start.window
         self.assertEqual([], entry.tick(self.core, 1000.0))
         entry.record_consumed(self.core, 1, 1000.0)
         self.assertEqual([], entry.tick(self.core, 1001.0))
         self.assertEqual(3, len(entry.tick(self.core, 1003.0)))
-        # A new last stage must learn what the caller has taken.
+        # A new last stage must receive the count that the caller has taken.
         for stage in range(3):
             held = ResumeReply("r1", 2, stage, 3)
             effects = entry.receive(self.core, held, 1003.0)
--- a/libs/pipeline/test/test_stage.py
+++ b/libs/pipeline/test/test_stage.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar's part, one stage at a time."""
+"""Tests of the sidecar's state machine, with one stage at a time."""
 
 import unittest
 
@@ -46,9 +46,9 @@
         self.assertEqual([], self.computed(0, "A"))
 
     def test_repeats_are_dropped_and_gaps_refused(self):
-        """The text stays right although frames come twice or one is missing.
+        """Duplicated and missing frames don't corrupt the text.
 
-        A step's copy adds nothing, one that overlaps adds its new part only, and a
+        A copy of a step adds nothing, an overlapping step adds only its new part, and a
         step past the expected position is refused with that position.
         """
         self.receive(a_step(0, "a"))
@@ -61,10 +61,10 @@
         self.assertEqual([a_step(0, "A")], sent(again))
 
     def test_an_old_generation_is_refused(self):
-        """A stage thawed after its replacement cannot put a step into the chain.
+        """A stage that was frozen while it was replaced can't send steps to the chain.
 
-        Its step carries the old generation. It is told so, and falls silent; without
-        a word from the entry it frees what it holds after the grace time.
+        Its step of an old generation is refused, and it stops sending. Without a
+        message from the entry it frees the request after ORPHAN_TIMEOUT_S.
         """
         self.receive(Resume(self.start._replace(generation=2)))
         refused = sent(self.receive(a_step(0, "a")))[0]
@@ -84,9 +84,9 @@
     def test_resume_keeps_the_compute_in_flight(self):
         """A compute in flight is neither lost nor repeated by a resume.
 
-        The stage answers at once that it is running, so that a long prompt doesn't
-        look like a dead stage, and again with the final position. Outputs that the
-        next stage has are not sent again.
+        The stage replies at once that it is running, so that a long prompt isn't
+        mistaken for a dead stage, and again with the final position. Outputs that the
+        next stage already has are not sent again.
         """
         self.receive(a_step(0, "a", "b"))
         self.receive(a_step(2, "of the old plan"))
@@ -108,11 +108,11 @@
         self.assertEqual({}, self.core.requests)
 
     def test_a_freed_request_stays_freed(self):
-        """A cancelled request leaves nothing behind, whatever arrives late.
+        """Late messages and results don't reopen a cancelled request.
 
-        The engine was computing when the entry freed it; the result is thrown away
-        and the KV it may have made is freed, before a newer generation computes. A
-        doubled start opens nothing.
+        The engine was computing when the entry freed the request. The result is
+        discarded and the KV it may have created is freed before a newer generation
+        computes. A duplicated start is ignored.
         """
         self.receive(a_step(0, "a"))
         self.assertEqual([FreeKv("r1")], self.receive(Free("r1")))
@@ -131,10 +131,10 @@
         self.assertEqual(({}, [], {}), held)
 
     def test_requests_of_a_dead_entry_are_freed(self):
-        """The engine's KV is not held for an entry that is gone.
+        """The engine's KV is freed when the entry of its request is lost.
 
-        The link to the entry breaks and no message of the request follows within the
-        grace time. An entry that is back in time keeps its requests.
+        The link to the entry breaks and no message of the request follows within
+        ORPHAN_TIMEOUT_S. An entry that reconnects in time keeps its requests.
         """
         sidecar.link_lost(self.core, self.start.entry, 1.0)
         self.receive(Ack("r1", 1), 2.0)
@@ -167,10 +167,10 @@
 
 class LastStageTests(unittest.TestCase):
     def test_full_window_withholds_the_next_input(self):
-        """A caller that stops reading stops its own chain and no more.
+        """A caller that stops reading stops only its own chain.
 
-        Tokens still go to the entry, but the input of the next round is kept back
-        until the caller has taken enough of them.
+        Tokens are still sent to the entry, but stage 0's next input is withheld until
+        the caller has taken enough of them.
         """
         core = sidecar.StageCore()
         start = a_start(window=1)._replace(stage=2)
