--- a/libs/membership/src/cherryrudder/membership/reader.py
+++ b/libs/membership/src/cherryrudder/membership/reader.py
@@ -41,15 +41,15 @@
 
 
 class View:
-    """A control VM's table as last received; `carried` is from before its restart."""
+    """A control VM's table as last received, and the one before its restart."""
 
     def __init__(self):
         self.epoch = ""
         self.version = 0
         self.last_seen_s = 0.0
         self.endpoints: dict[str, Announcement] = {}
-        self.carried: dict[str, Announcement] = {}
-        self.carried_s = 0.0
+        self.previous_endpoints: dict[str, Announcement] = {}
+        self.restarted_s = 0.0
 
 
 class Reader:
@@ -110,8 +110,8 @@
         # failing links show which endpoints are dead, and leaving ones refuse work.
         if not any_fresh or not _is_expired(reader, view.last_seen_s, now_s):
             _take_newest(best, view.endpoints.values())
-        if not any_fresh or not _is_expired(reader, view.carried_s, now_s):
-            _take_newest(best, view.carried.values())
+        if not any_fresh or not _is_expired(reader, view.restarted_s, now_s):
+            _take_newest(best, view.previous_endpoints.values())
     _take_newest(best, _live_links(reader, now_s))
     return tuple(best[name] for name in sorted(best))
 
@@ -158,8 +158,8 @@
     # A restarted control VM begins with an empty table. Its endpoints announce again
     # within a second and would be missing here until then.
     if view.epoch:
-        view.carried = view.carried | view.endpoints
-        view.carried_s = now_s
+        view.previous_endpoints = view.previous_endpoints | view.endpoints
+        view.restarted_s = now_s
     view.epoch = epoch
 
 
@@ -177,8 +177,8 @@
 def _drop_expired(reader, now_s):
     """Clear expired views, so that a later disconnection doesn't restore them."""
     for view in reader.views.values():
-        if _is_expired(reader, view.carried_s, now_s):
-            view.carried = {}
+        if _is_expired(reader, view.restarted_s, now_s):
+            view.previous_endpoints = {}
         if _is_expired(reader, view.last_seen_s, now_s):
             view.endpoints = {}
             view.version = 0
--- a/libs/membership/test/test_table.py
+++ b/libs/membership/test/test_table.py
@@ -99,11 +99,11 @@
     def read_late(self, which):
         source, delta = self.deltas[-1 - which % len(self.deltas)]
         view = self.reader.views[source]
-        known = dict(view.endpoints)
+        expected = dict(view.endpoints)
         before = (int(view.epoch), view.version)
         is_old = (int(delta.epoch), delta.version) < before
         self.merge(self.reader, source, delta, self.now_s)
-        assert not is_old or view.endpoints == known
+        assert not is_old or view.endpoints == expected
 
     @stateful.invariant()
     def tables_hold_the_newest_of_each_live_endpoint(self):
--- a/libs/pipeline/src/cherryrudder/pipeline/effects.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/effects.py
@@ -59,7 +59,7 @@
 
 
 class Finished(NamedTuple):
-    """The request has ended and its core may be dropped."""
+    """The request has ended and its state can be dropped."""
 
 
 class Fail(NamedTuple):
--- a/libs/pipeline/src/cherryrudder/pipeline/messages.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/messages.py
@@ -48,7 +48,7 @@
 
 
 class Token(NamedTuple):
-    """Last stage to entry: tokens from `index` on; `last` closes the answer."""
+    """Last stage to entry: tokens from `index` on; `last` ends the answer."""
 
     request: str
     generation: int
--- a/libs/pipeline/src/cherryrudder/pipeline/request.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/request.py
@@ -59,10 +59,10 @@
 
 
 class Phase(StrEnum):
-    """What the entry is waiting for; ASKING means the replies to `Resume`."""
+    """What the entry is waiting for."""
 
     RUNNING = "running"
-    ASKING = "asking"
+    RESUMING = "asking"
     REPLACING = "replacing"
     ENDED = "ended"
 
@@ -99,7 +99,7 @@
     core.waiting_since_s = now_s
     if not core.start.prompt or core.start.max_tokens < 1:
         return _fail(core, "a request needs a prompt and max_tokens of at least 1")
-    # Stage 0 comes last, so that the others usually have the plan before its step.
+    # Stage 0 comes last, so the others usually have the plan before its first step.
     return [
         SendTo(stage.address, _start_for(core, index))
         for index, stage in reversed(list(enumerate(core.stages)))
@@ -210,7 +210,7 @@
             if waited_s >= core.timing.stall_timeout_s
             else []
         )
-    if core.phase == Phase.ASKING:
+    if core.phase == Phase.RESUMING:
         unresponsive = [
             s for i, s in enumerate(core.plan) if _is_unresponsive(core, i, waited_s)
         ]
@@ -250,7 +250,7 @@
 def _resume_reply(core, reply, now_s):
     previous = core.replies.get(reply.stage)
     is_final = previous is not None and not previous.running
-    if core.phase != Phase.ASKING or is_final:
+    if core.phase != Phase.RESUMING or is_final:
         return []
     core.replies[reply.stage] = reply
     replies = core.replies.values()
@@ -327,7 +327,7 @@
     core.idle_rounds += 1
     if core.idle_rounds > MAX_IDLE_ROUNDS or core.generation >= MAX_GENERATIONS:
         return _fail(core, "too many lost or stalled stages in this request")
-    core.phase = Phase.ASKING
+    core.phase = Phase.RESUMING
     core.leaving = None
     core.waiting_since_s = now_s
     core.generation += 1
--- a/libs/pipeline/src/cherryrudder/pipeline/resume.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/resume.py
@@ -78,8 +78,8 @@
     """
     prompt = len(core.start.prompt)
     last = core.replies[len(core.plan) - 1].next_position
-    known = prompt + max(len(core.tokens), last - prompt + 1)
-    return {i for i, reply in core.replies.items() if reply.next_position > known}
+    limit = prompt + max(len(core.tokens), last - prompt + 1)
+    return {i for i, reply in core.replies.items() if reply.next_position > limit}
 
 
 def _stages_without_outputs(core):
--- a/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stagerequest.py
@@ -78,10 +78,10 @@
 
 def accept(request: StageRequest, position: int, values) -> bool:
     """Queue the inputs not accepted yet; return False if there is a gap before them."""
-    seen = request.expected - position
-    if seen < 0:
+    offset = request.expected - position
+    if offset < 0:
         return False
-    fresh = values[seen:]
+    fresh = values[offset:]
     if request.start.stage == 0 and fresh:
         request.inputs[request.expected :] = fresh
     request.waiting.extend(fresh)
--- a/libs/pipeline/test/builders.py
+++ b/libs/pipeline/test/builders.py
@@ -100,8 +100,8 @@
             for layer in self.layers:
                 value, kv[layer] = fold.run_layer(MODEL, layer, kv[layer], value)
                 position = self.next_position[request]
-                life = self.freed[request]
-                self.run_counts[request, life, layer, position] += 1
+                rebuilds = self.freed[request]
+                self.run_counts[request, rebuilds, layer, position] += 1
             self.next_position[request] += 1
             is_last = self.layers.stop == LAYERS
             outputs.append(pick_token(value, self.salt) if is_last else value)
@@ -205,8 +205,8 @@
             node = self.nodes.get(stage.address)
             kv = node.engine.kv.get(request, {}) if node else {}
             # A stage that is being rebuilt may lack the last positions.
-            want = kv_of(inputs[: node.engine.next_position[request]]) if kv else ()
-            if any(kv[layer] != want[layer] for layer in kv):
+            expected = kv_of(inputs[: node.engine.next_position[request]]) if kv else ()
+            if any(kv[layer] != expected[layer] for layer in kv):
                 self.wrong_kv.append((request, stage.endpoint))
 
     def answer_need(self, need):
@@ -232,18 +232,18 @@
             address for address in busy if address not in frozen
         ]
 
-    def process(self, what):
+    def process(self, event):
         """Deliver a link's next frame or finish an engine's next job."""
-        if isinstance(what, str):
-            self.finish_job(self.nodes[what])
+        if isinstance(event, str):
+            self.finish_job(self.nodes[event])
             return
-        message = self.links[what].popleft()
-        if what[1] == CALLER:
+        message = self.links[event].popleft()
+        if event[1] == CALLER:
             self.call_entry(message.request, entry.record_consumed, message.count)
-        elif what[1] == ENTRY:
+        elif event[1] == ENTRY:
             self.call_entry(message.request, entry.receive, message)
         else:
-            self.call_stage(what[1], self.sidecar.receive, message)
+            self.call_stage(event[1], self.sidecar.receive, message)
 
     def finish_job(self, node, fails=False):
         """Finish an engine's next job and pass its result to the sidecar."""
@@ -317,11 +317,11 @@
 
     def remaining(self):
         """Return the requests and bytes that sidecars and engines still hold."""
-        held = []
+        found = []
         for node in self.nodes.values():
-            held += [*node.core.requests, *node.engine.kv, *node.core.draining]
-            held += [node.core.kept_bytes] if node.core.kept_bytes else []
-        return held
+            found += [*node.core.requests, *node.engine.kv, *node.core.draining]
+            found += [node.core.kept_bytes] if node.core.kept_bytes else []
+        return found
 
 
 def kv_of(inputs):
--- a/libs/pipeline/test/test_chainfaults.py
+++ b/libs/pipeline/test/test_chainfaults.py
@@ -158,8 +158,8 @@
         world.run()
         self.results_are_correct()
         for request, start in self.starts.items():
-            whole = len(world.texts[request]) == start.max_tokens
-            assert whole or request in self.cancelled | set(world.failures)
+            is_complete = len(world.texts[request]) == start.max_tokens
+            assert is_complete or request in self.cancelled | set(world.failures)
             assert request in world.finished
         assert not world.remaining(), world.remaining()
 
--- a/libs/pipeline/test/test_request.py
+++ b/libs/pipeline/test/test_request.py
@@ -173,7 +173,7 @@
                 self.assertEqual(6, len(world.texts["r1"]))
                 self.assertEqual([], world.wrong_kv)
             middle = world.nodes[start.stages[1].address].engine
-            ahead += any(life for _, life, _, _ in middle.run_counts)
+            ahead += any(rebuilds for _, rebuilds, _, _ in middle.run_counts)
         self.assertGreater(ahead, 0, "no stage ran a lost token in any run")
 
     def test_unreachable_stage_is_replaced(self):
--- a/libs/pipeline/test/test_stage.py
+++ b/libs/pipeline/test/test_stage.py
@@ -74,11 +74,11 @@
         self.assertEqual(OLD_GENERATION, old.code)
         self.assertEqual([], self.receive(a_step(0, "a", generation=3)))
         self.assertEqual((OLD_GENERATION, 2), (refused.code, refused.generation))
-        thawed = sidecar.StageCore()
-        sidecar.receive(thawed, self.start._replace(stage=0), 0.0)
-        sidecar.receive(thawed, refused, 0.0)
-        self.assertEqual([], sent(sidecar.computed(thawed, "r1", 0, "abc", 0.0)))
-        effects = sidecar.tick(thawed, stagetable.ORPHAN_TIMEOUT_S)
+        replaced = sidecar.StageCore()
+        sidecar.receive(replaced, self.start._replace(stage=0), 0.0)
+        sidecar.receive(replaced, refused, 0.0)
+        self.assertEqual([], sent(sidecar.computed(replaced, "r1", 0, "abc", 0.0)))
+        effects = sidecar.tick(replaced, stagetable.ORPHAN_TIMEOUT_S)
         self.assertEqual([FreeKv("r1")], effects)
 
     def test_resume_keeps_the_compute_in_flight(self):
