--- a/libs/membership/src/cherryrudder/membership/reader.py
+++ b/libs/membership/src/cherryrudder/membership/reader.py
@@ -1,7 +1,7 @@
-"""Endpoints as an entry or sidecar knows them, over several control VMs.
+"""Merges the endpoint tables of several control VMs in an entry or sidecar.
 
-An endpoint is live if any control VM that still answers holds it. What is only held
-by a silent one is kept for a while, and the rules below say for how long.
+An endpoint is live if any control VM that still answers lists it. Endpoints listed only
+by a control VM that stopped answering are kept for a limited time, see below.
 """
 
 from enum import StrEnum
@@ -12,21 +12,21 @@
 from .incarnation import age_key
 from .table import TableDelta
 
-# Watches are answered at least every second, also when nothing changed; three missed
-# answers mean that the control VM is frozen, dead or cut off.
-STALE_S = 3.0
-# What only a silent control VM held is kept for this long after its last answer. Its
-# sidecars announce every half second, notice within about two, and turn to another
-# control VM; so an endpoint that lives is held elsewhere by then, and one that died
-# together with the control VM still leaves within seconds.
-KEEP_S = 5.0
-# Credits and steps come over a live link many times a second; two seconds is the
-# lease that the announcements themselves have.
-LINK_S = 2.0
+# Watches are answered at least every second, also when nothing changed. Three missed
+# answers mean that the control VM is frozen, dead or unreachable.
+STALE_TIMEOUT_S = 3.0
+# Endpoints of a control VM are kept for this long after its last answer. Its sidecars
+# announce every half second, detect the failure within about two seconds, and switch to
+# another control VM. So a live endpoint is listed elsewhere by then, and one that died
+# together with the control VM is still dropped within seconds.
+RETENTION_S = 5.0
+# Credits and steps arrive over a live link many times a second. Two seconds is also the
+# lease of the announcements.
+LINK_TIMEOUT_S = 2.0
 
 
-class Merged(StrEnum):
-    """What became of a delta; after `gap` ask again from `position`."""
+class MergeResult(StrEnum):
+    """Outcome of a delta; after `gap`, request again from `position`."""
 
     TAKEN = "taken"
     OLD = "old"
@@ -34,22 +34,22 @@
 
 
 class Link(NamedTuple):
-    """An endpoint that this process itself heard from."""
+    """An endpoint that this process receives messages from directly."""
 
     announcement: Announcement
-    seen_s: float
+    last_seen_s: float
 
 
 class View:
-    """One control VM's table as last heard; `carried` is from before its restart."""
+    """A control VM's table as last received, and the one before its restart."""
 
     def __init__(self):
         self.epoch = ""
         self.version = 0
-        self.heard_s = 0.0
+        self.last_seen_s = 0.0
         self.endpoints: dict[str, Announcement] = {}
-        self.carried: dict[str, Announcement] = {}
-        self.carried_s = 0.0
+        self.previous_endpoints: dict[str, Announcement] = {}
+        self.restarted_s = 0.0
 
 
 class Reader:
@@ -57,29 +57,29 @@
 
     def __init__(
         self,
-        stale_s: float = STALE_S,
-        keep_s: float = KEEP_S,
-        link_s: float = LINK_S,
+        stale_timeout_s: float = STALE_TIMEOUT_S,
+        retention_s: float = RETENTION_S,
+        link_timeout_s: float = LINK_TIMEOUT_S,
     ):
-        self.stale_s = stale_s
-        self.keep_s = keep_s
-        self.link_s = link_s
-        self.rejoined_s = 0.0
+        self.stale_timeout_s = stale_timeout_s
+        self.retention_s = retention_s
+        self.link_timeout_s = link_timeout_s
+        self.reconnected_s = 0.0
         self.views: dict[str, View] = {}
         self.links: dict[str, Link] = {}
 
 
-def merge(reader: Reader, source: str, delta: TableDelta, now_s: float) -> Merged:
-    """Take in a control VM's delta; lost, doubled and reordered ones do no harm."""
+def merge(reader: Reader, source: str, delta: TableDelta, now_s: float) -> MergeResult:
+    """Merge a control VM's delta; deltas may be lost, duplicated or reordered."""
     view = reader.views.setdefault(source, View())
-    verdict = _judge(view, delta)
-    if verdict != Merged.TAKEN:
+    verdict = _check_delta(view, delta)
+    if verdict != MergeResult.TAKEN:
         return verdict
-    # After a long cut the first control VM to answer must not wipe what the others,
-    # which answer a moment later, still hold.
+    # After a long disconnection, the first answer must not drop the endpoints of other
+    # control VMs that will answer shortly after.
     if not _any_fresh(reader, now_s):
-        reader.rejoined_s = now_s
-    view.heard_s = now_s
+        reader.reconnected_s = now_s
+    view.last_seen_s = now_s
     if delta.epoch != view.epoch:
         _change_epoch(view, delta.epoch, now_s)
     if delta.full:
@@ -90,37 +90,39 @@
     for announcement in delta.announced:
         view.endpoints[announcement.endpoint] = announcement
         _update_link(reader, announcement)
-    _forget(reader, now_s)
-    return Merged.TAKEN
+    _drop_expired(reader, now_s)
+    return MergeResult.TAKEN
 
 
 def position(reader: Reader, source: str) -> tuple[str, int]:
-    """Return the epoch and version from which to ask a control VM on."""
+    """Return the epoch and version from which to request a control VM's changes."""
     view = reader.views.get(source)
     return (view.epoch, view.version) if view else ("", 0)
 
 
 def endpoints(reader: Reader, now_s: float) -> tuple[Announcement, ...]:
-    """Return the newest announcement of each endpoint that counts as live."""
+    """Return the newest announcement of each endpoint considered live."""
     best: dict[str, Announcement] = {}
     any_fresh = _any_fresh(reader, now_s)
     for view in reader.views.values():
-        # Without one answering control VM this process is itself cut off, and time
-        # proves nothing against any endpoint. It keeps what it knows; links that fail
-        # show which endpoints are dead, and a leaving one refuses work itself.
-        if not any_fresh or not _is_over(reader, view.heard_s, now_s):
+        # If no control VM answers, this process is itself disconnected, and the age of
+        # an announcement doesn't show that the endpoint is dead. All are kept then:
+        # failing links show which endpoints are dead, and leaving ones refuse work.
+        if not any_fresh or not _is_expired(reader, view.last_seen_s, now_s):
             _take_newest(best, view.endpoints.values())
-        if not any_fresh or not _is_over(reader, view.carried_s, now_s):
-            _take_newest(best, view.carried.values())
-    _take_newest(best, _linked(reader, now_s))
+        if not any_fresh or not _is_expired(reader, view.restarted_s, now_s):
+            _take_newest(best, view.previous_endpoints.values())
+    _take_newest(best, _live_links(reader, now_s))
     return tuple(best[name] for name in sorted(best))
 
 
-def saw_link(reader: Reader, endpoint: str, incarnation: str, now_s: float) -> None:
-    """Record that an incarnation of an endpoint was heard directly.
+def record_link_seen(
+    reader: Reader, endpoint: str, incarnation: str, now_s: float
+) -> None:
+    """Record a message received directly from an incarnation of an endpoint.
 
-    Where the sidecars are cut off from the control VMs but not from this process, all
-    leases run out at once; what still answers here goes on serving.
+    If the sidecars are disconnected from the control VMs but not from this process, all
+    leases expire at once; endpoints with a live link keep serving here.
     """
     found: dict[str, Announcement] = {}
     for view in reader.views.values():
@@ -132,63 +134,65 @@
         reader.links[endpoint] = Link(newest, now_s)
 
 
-def lost_link(reader: Reader, endpoint: str) -> None:
-    """Record that the link to an endpoint broke; its lease alone counts now."""
+def record_link_lost(reader: Reader, endpoint: str) -> None:
+    """Record that the link to an endpoint broke, so that only its lease counts."""
     reader.links.pop(endpoint, None)
 
 
-def _judge(view, delta):
-    # Epochs have no order. A late answer of a control VM's earlier run would bring its
-    # old table back; it is known by the epoch that it was asked from, which has been
-    # left since. The run that goes on always answers from the present epoch.
+def _check_delta(view, delta):
+    # Epochs have no order. A late answer of a control VM's earlier run must not restore
+    # its old table. It is detected by the epoch of its request, which is no longer the
+    # view's; answers of the current run are to requests from the view's epoch.
     if delta.epoch != view.epoch and delta.asked != view.epoch:
-        return Merged.OLD
+        return MergeResult.OLD
     if delta.epoch != view.epoch:
-        return Merged.TAKEN if delta.full else Merged.GAP
+        return MergeResult.TAKEN if delta.full else MergeResult.GAP
     if delta.version < view.version:
-        return Merged.OLD
+        return MergeResult.OLD
     if not delta.full and delta.since > view.version:
-        return Merged.GAP
-    return Merged.TAKEN
+        return MergeResult.GAP
+    return MergeResult.TAKEN
 
 
 def _change_epoch(view, epoch, now_s):
-    # A control VM that restarted begins with an empty table. Its endpoints announce
-    # again within a second; until then they would all be missing here.
+    # A restarted control VM begins with an empty table. Its endpoints announce again
+    # within a second and would be missing here until then.
     if view.epoch:
-        view.carried = view.carried | view.endpoints
-        view.carried_s = now_s
+        view.previous_endpoints = view.previous_endpoints | view.endpoints
+        view.restarted_s = now_s
     view.epoch = epoch
 
 
 def _any_fresh(reader, now_s):
     return any(
-        view.epoch and now_s - view.heard_s <= reader.stale_s
+        view.epoch and now_s - view.last_seen_s <= reader.stale_timeout_s
         for view in reader.views.values()
     )
 
 
-def _is_over(reader, since_s, now_s):
-    return now_s - max(since_s, reader.rejoined_s) > reader.keep_s
+def _is_expired(reader, since_s, now_s):
+    return now_s - max(since_s, reader.reconnected_s) > reader.retention_s
 
 
-def _forget(reader, now_s):
-    """Empty the views that no longer count, lest a later cut bring them back."""
+def _drop_expired(reader, now_s):
+    """Clear expired views, so that a later disconnection doesn't restore them."""
     for view in reader.views.values():
-        if _is_over(reader, view.carried_s, now_s):
-            view.carried = {}
-        if _is_over(reader, view.heard_s, now_s):
+        if _is_expired(reader, view.restarted_s, now_s):
+            view.previous_endpoints = {}
+        if _is_expired(reader, view.last_seen_s, now_s):
             view.endpoints = {}
             view.version = 0
-    limit_s = now_s - reader.link_s
-    for name in [n for n, link in reader.links.items() if link.seen_s < limit_s]:
+    limit_s = now_s - reader.link_timeout_s
+    for name in [n for n, link in reader.links.items() if link.last_seen_s < limit_s]:
         del reader.links[name]
 
 
-def _linked(reader, now_s):
-    limit_s = now_s - reader.link_s
+def _live_links(reader, now_s):
+    limit_s = now_s - reader.link_timeout_s
     return [
-        link.announcement for link in reader.links.values() if link.seen_s >= limit_s
+        link.announcement
+        for link in reader.links.values()
+        if link.last_seen_s >= limit_s
     ]
 
 
@@ -200,6 +204,6 @@
 
 def _take_newest(best, announcements):
     for announcement in announcements:
-        held = best.get(announcement.endpoint)
-        if held is None or age_key(announcement) > age_key(held):
+        known = best.get(announcement.endpoint)
+        if known is None or age_key(announcement) > age_key(known):
             best[announcement.endpoint] = announcement
--- a/libs/membership/test/test_config.py
+++ b/libs/membership/test/test_config.py
@@ -1,11 +1,11 @@
-"""Tests of the configuration in force: it only moves up."""
+"""Tests of the configuration in force: its revision never decreases."""
 
 import unittest
 
 from builders import SETTINGS, changes, configurations, naive_take, put
 from hypothesis import given, strategies as st
 
-from cherryrudder.membership.config import Config, Taken, is_ready, take
+from cherryrudder.membership.config import ApplyResult, Config, apply_delta, is_ready
 from cherryrudder.state.machine import apply, delta, encode_command, new_state
 
 histories = st.lists(changes, min_size=10, max_size=30)
@@ -17,7 +17,7 @@
 
 
 def check(taking, history, answers):
-    """Ask control VMs that are ahead or behind, from around the held revision."""
+    """Request deltas from control VMs that are ahead or behind, around the revision."""
     states = configurations(history)
     config = Config()
     position = 0
@@ -29,42 +29,42 @@
         assert config.revision >= before
         expected = Config()
         accepted = max(s.applied_index for s in states if s.revision <= config.revision)
-        take(expected, delta(states[accepted], 0))
+        apply_delta(expected, delta(states[accepted], 0))
         assert not config.is_loaded or contents(config) == contents(expected)
 
 
 class ConfigTest(unittest.TestCase):
     @SETTINGS
     @given(histories, st.lists(answer, min_size=10))
-    def test_it_is_always_some_accepted_revision_and_never_an_older_one(
-        self, history, answers
-    ):
+    def test_config_is_an_accepted_revision_and_never_goes_back(self, history, answers):
         """Control VMs answer late, twice, out of order, or hours behind the others.
 
-        What is in force is exactly what was accepted at one revision. Going back would
-        revive a retired contract; a delta over a gap would mix two revisions.
+        The configuration always equals one accepted revision. Going back would restore
+        a retired contract; a delta over a gap would mix two revisions.
         """
-        check(take, history, answers)
+        check(apply_delta, history, answers)
 
-    def test_following_the_last_answer_goes_back(self):
+    def test_applying_the_last_answer_goes_back(self):
         history = [("put", "x", 0), ("put", "x", 1)]
         with self.assertRaises(AssertionError):
             check(naive_take, history, [(2, 0, True), (-1, 0, True)])
 
     def test_a_process_is_ready_once_it_reached_a_confirmed_revision(self):
-        """A restarted entry is answered first by a control VM that was cut off.
+        """A restarted entry is answered first by a disconnected control VM.
 
-        It must not serve under those contracts: it waits for the revision that the
-        leader confirmed after its start, 500 changes further on.
+        It must not serve under the outdated contracts, but wait for the revision that
+        the leader confirmed after its start, which is 500 changes later.
         """
         config, state = Config(), new_state()
         self.assertFalse(is_ready(config, 0))
-        take(config, delta(state, 0))
+        apply_delta(config, delta(state, 0))
         self.assertTrue(is_ready(config, 0))
         self.assertFalse(is_ready(config, None))
         for number in range(500):
             apply(state, number + 1, encode_command(put(number, number, "x")))
         self.assertFalse(is_ready(config, state.revision))
-        self.assertEqual(take(config, delta(state, 400)), Taken.GAP)
-        self.assertEqual(take(config, delta(state, config.revision)), Taken.TAKEN)
+        self.assertEqual(apply_delta(config, delta(state, 400)), ApplyResult.GAP)
+        self.assertEqual(
+            apply_delta(config, delta(state, config.revision)), ApplyResult.TAKEN
+        )
         self.assertTrue(is_ready(config, 500))
--- a/libs/membership/test/test_reader.py
+++ b/libs/membership/test/test_reader.py
@@ -1,21 +1,27 @@
-"""Tests of what a reader keeps when control VMs fall silent."""
+"""Tests of the endpoints that a reader keeps when control VMs stop answering."""
 
 import unittest
 
 from builders import an_announcement
 
 from cherryrudder.membership import reader as readers
-from cherryrudder.membership.reader import KEEP_S, LINK_S, STALE_S, Merged, Reader
+from cherryrudder.membership.reader import (
+    LINK_TIMEOUT_S,
+    RETENTION_S,
+    STALE_TIMEOUT_S,
+    MergeResult,
+    Reader,
+)
 from cherryrudder.membership.table import Table, TableDelta, announce, delta_since
 
 
 class ReaderTest(unittest.TestCase):
     def setUp(self):
         self.reader = Reader()
-        self.hear("north", "desk-1", now_s=0.0)
-        self.hear("south", "desk-2", now_s=0.0)
+        self.receive("north", "desk-1", now_s=0.0)
+        self.receive("south", "desk-2", now_s=0.0)
 
-    def hear(self, source, *names, now_s, epoch="1", version=1, **changes):
+    def receive(self, source, *names, now_s, epoch="1", version=1, **changes):
         announced = tuple(an_announcement(name, **changes) for name in names)
         asked, _ = readers.position(self.reader, source)
         delta = TableDelta(epoch, version, True, announced, asked=asked)
@@ -24,52 +30,54 @@
     def names(self, now_s):
         return [a.endpoint for a in readers.endpoints(self.reader, now_s)]
 
-    def test_an_entry_that_is_cut_off_keeps_what_it_knows(self):
+    def test_disconnected_entry_keeps_its_endpoints(self):
         """An entry loses all control VMs for an hour, then one answers again.
 
-        Emptying its table would turn a cut of control into a cut of service. Nor may
-        the first control VM to answer wipe what the other alone holds; that one has a
-        few seconds to answer too.
+        An empty table would turn a control outage into a service outage. The first
+        answer must not drop the endpoints that only the other control VM lists, which
+        has a few seconds to answer too.
         """
         self.assertEqual(self.names(3600.0), ["desk-1", "desk-2"])
-        self.hear("north", "desk-1", now_s=3600.0)
-        self.assertEqual(self.names(3600.0 + STALE_S), ["desk-1", "desk-2"])
-        for now_s in (3602.0, 3604.0, 3601.0 + KEEP_S):
-            self.hear("north", "desk-1", now_s=now_s)
-        self.assertEqual(self.names(3601.0 + KEEP_S), ["desk-1"])
-
-    def test_what_only_a_silent_control_vm_held_leaves_after_a_while(self):
-        """One control VM freezes. Its endpoints turn to another one in time.
-
-        Until then they are kept, or a third of the platform would vanish for a moment;
-        one that died at the same time still leaves within seconds, and a later cut
-        does not bring it back.
+        self.receive("north", "desk-1", now_s=3600.0)
+        self.assertEqual(self.names(3600.0 + STALE_TIMEOUT_S), ["desk-1", "desk-2"])
+        for now_s in (3602.0, 3604.0, 3601.0 + RETENTION_S):
+            self.receive("north", "desk-1", now_s=now_s)
+        self.assertEqual(self.names(3601.0 + RETENTION_S), ["desk-1"])
+
+    def test_endpoints_of_a_silent_control_vm_expire(self):
+        """One control VM freezes, and its endpoints switch to another one.
+
+        Until then they are kept, or a third of the platform would be dropped for a
+        moment. An endpoint that died at the same time is still dropped within seconds,
+        and a later disconnection does not restore it.
         """
-        for now_s in (2.0, 4.0, KEEP_S):
-            self.hear("north", "desk-1", now_s=now_s)
-        self.assertEqual(self.names(KEEP_S), ["desk-1", "desk-2"])
-        self.hear("north", "desk-1", now_s=KEEP_S + 0.1)
-        self.assertEqual(self.names(KEEP_S + 0.1), ["desk-1"])
-        self.assertEqual(self.names(KEEP_S + 100.0), ["desk-1"])
+        for now_s in (2.0, 4.0, RETENTION_S):
+            self.receive("north", "desk-1", now_s=now_s)
+        self.assertEqual(self.names(RETENTION_S), ["desk-1", "desk-2"])
+        self.receive("north", "desk-1", now_s=RETENTION_S + 0.1)
+        self.assertEqual(self.names(RETENTION_S + 0.1), ["desk-1"])
+        self.assertEqual(self.names(RETENTION_S + 100.0), ["desk-1"])
         self.assertEqual(readers.position(self.reader, "south"), ("1", 0))
 
     def test_a_restarted_control_vm_does_not_empty_the_table(self):
         """All control VMs restart and answer at once, before any endpoint announces."""
         for source in ("north", "south"):
-            self.hear(source, now_s=1.0, epoch="2", version=0)
+            self.receive(source, now_s=1.0, epoch="2", version=0)
         self.assertEqual(self.names(1.0), ["desk-1", "desk-2"])
         for now_s in (3.0, 5.0, 7.0):
-            self.hear("south", "desk-2", now_s=now_s, epoch="2", version=2)
+            self.receive("south", "desk-2", now_s=now_s, epoch="2", version=2)
         self.assertEqual(self.names(7.0), ["desk-2"])
         late = TableDelta("1", 9, True, (an_announcement("desk-1"),), asked="1")
-        self.assertEqual(readers.merge(self.reader, "north", late, 7.0), Merged.OLD)
+        self.assertEqual(
+            readers.merge(self.reader, "north", late, 7.0), MergeResult.OLD
+        )
         self.assertEqual(self.names(100.0), ["desk-2"])
 
-    def test_a_late_answer_of_a_run_in_between_changes_nothing(self):
-        """A control VM restarts twice; an answer of the run in between comes last.
+    def test_late_answer_of_an_earlier_run_is_ignored(self):
+        """A control VM restarts twice; an answer of the run in between arrives last.
 
-        Taking it would bring that run's table back, and the answers of the run that
-        goes on would then seem to be old ones: the view would stand still for ever.
+        Merging it would restore that run's table, and answers of the current run would
+        then be refused as old, so that the view would never change again.
         """
         between, last = Table("2"), Table("3")
         announce(last, an_announcement("desk-3"), 2.0, 0.0)
@@ -78,36 +86,42 @@
         for delta in (delta_since(last, *asked), late):
             readers.merge(self.reader, "north", delta, 0.1)
         again = delta_since(last, *readers.position(self.reader, "north"))
-        self.assertEqual(readers.merge(self.reader, "north", again, 0.2), Merged.TAKEN)
+        self.assertEqual(
+            readers.merge(self.reader, "north", again, 0.2), MergeResult.TAKEN
+        )
         self.assertEqual([*self.reader.views["north"].endpoints], ["desk-3"])
 
-    def test_a_live_link_holds_an_endpoint_that_control_lost(self):
-        """A cut parts the endpoints from the control VMs but not from the entries.
+    def test_live_link_keeps_an_endpoint_without_lease(self):
+        """A partition separates endpoints from the control VMs but not from the entry.
 
-        All leases run out. An endpoint that still sends to this entry goes on serving,
-        until its link breaks or falls silent.
+        All leases expire. An endpoint that still sends to this entry keeps serving
+        until its link breaks or times out.
         """
-        readers.saw_link(self.reader, "desk-1", an_announcement().incarnation, 1.0)
-        readers.saw_link(self.reader, "desk-2", "another life", 1.0)
+        readers.record_link_seen(
+            self.reader, "desk-1", an_announcement().incarnation, 1.0
+        )
+        readers.record_link_seen(self.reader, "desk-2", "other incarnation", 1.0)
         for source in ("north", "south"):
-            self.hear(source, now_s=1.0, version=2)
-        self.assertEqual(self.names(1.0 + LINK_S), ["desk-1"])
-        self.assertEqual(self.names(1.1 + LINK_S), [])
-        readers.lost_link(self.reader, "desk-1")
+            self.receive(source, now_s=1.0, version=2)
+        self.assertEqual(self.names(1.0 + LINK_TIMEOUT_S), ["desk-1"])
+        self.assertEqual(self.names(1.1 + LINK_TIMEOUT_S), [])
+        readers.record_link_lost(self.reader, "desk-1")
         self.assertEqual(self.names(1.0), [])
 
     def test_the_newest_of_two_sources_wins(self):
-        readers.saw_link(self.reader, "desk-1", an_announcement().incarnation, 0.0)
-        self.hear("south", "desk-1", now_s=0.0, version=2, sequence=2, leaving=True)
+        readers.record_link_seen(
+            self.reader, "desk-1", an_announcement().incarnation, 0.0
+        )
+        self.receive("south", "desk-1", now_s=0.0, version=2, sequence=2, leaving=True)
         self.assertTrue(readers.endpoints(self.reader, 0.0)[0].leaving)
-        self.hear("south", now_s=0.0, version=3)
+        self.receive("south", now_s=0.0, version=3)
         self.assertTrue(readers.endpoints(self.reader, 0.0)[0].leaving)
-        self.hear("north", "desk-1", now_s=0.0, version=2, start=2)
+        self.receive("north", "desk-1", now_s=0.0, version=2, start=2)
         self.assertFalse(readers.endpoints(self.reader, 0.0)[0].leaving)
 
-    def test_a_gap_is_asked_for_again(self):
+    def test_gap_is_reported(self):
         gaps = TableDelta("1", 9, False, since=5), TableDelta("2", 9, False, asked="1")
         for delta in gaps:
             verdict = readers.merge(self.reader, "north", delta, 1.0)
-            self.assertEqual(verdict, Merged.GAP)
+            self.assertEqual(verdict, MergeResult.GAP)
         self.assertEqual(readers.position(self.reader, "north"), ("1", 1))
--- a/libs/membership/test/test_table.py
+++ b/libs/membership/test/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the table and of its readers under lost, doubled and late messages."""
+"""Tests of the table and its readers under lost, duplicated and late messages."""
 
 import unittest
 
@@ -21,12 +21,12 @@
 
 
 def contents(announcements):
-    """Return what readers act on; a renewal alone raises the sequence."""
+    """Return the announcements without the sequence, which a renewal raises."""
     return {announcement._replace(sequence=0) for announcement in announcements}
 
 
 class TableMachine(stateful.RuleBasedStateMachine):
-    """Two endpoints, two control VMs and a reader; the oracle knows the newest."""
+    """Two endpoints, two control VMs, a reader, and an oracle with the newest."""
 
     def __init__(self, announce=announce, merge=readers.merge):
         super().__init__()
@@ -99,11 +99,11 @@
     def read_late(self, which):
         source, delta = self.deltas[-1 - which % len(self.deltas)]
         view = self.reader.views[source]
-        known = dict(view.endpoints)
+        expected = dict(view.endpoints)
         before = (int(view.epoch), view.version)
         is_old = (int(delta.epoch), delta.version) < before
         self.merge(self.reader, source, delta, self.now_s)
-        assert not is_old or view.endpoints == known
+        assert not is_old or view.endpoints == expected
 
     @stateful.invariant()
     def tables_hold_the_newest_of_each_live_endpoint(self):
@@ -121,25 +121,25 @@
         announcement = an_announcement(*arguments, **changes)
         return announce(self.table, announcement, LEASE_S, now_s).code
 
-    def test_late_and_doubled_messages_leave_the_newest_in_force(self):
-        """An endpoint announces that it is leaving, and an older packet comes after.
+    def test_late_and_duplicated_messages_are_ignored(self):
+        """An older packet arrives after an endpoint announced that it is leaving.
 
-        Work that is sent to it then would be cut off. Tables refuse what is older by
-        incarnation and sequence, readers what is older by epoch and version.
+        Work sent to the endpoint after that would be interrupted. Tables refuse older
+        incarnations and sequences, readers refuse older epochs and versions.
         """
         fuzz(TableMachine)
 
-    def test_believing_the_last_message_fails(self):
-        """The naive versions undo `leaving`, and bring lost endpoints back."""
+    def test_naive_versions_fail(self):
+        """The naive versions reset `leaving` and restore lost endpoints."""
         for naive in ({"announce": naive_announce}, {"merge": naive_merge}):
             with self.subTest(naive), self.assertRaises(AssertionError):
                 find_failure(lambda naive=naive: TableMachine(**naive))
 
     def test_a_superseded_process_cannot_come_back(self):
-        """A frozen sidecar thaws after its VM was started again.
+        """A frozen sidecar continues after its VM has started a new process.
 
-        Its announcements would take the endpoint away from the new process. It is
-        told so, also when the new process has gone meanwhile.
+        Its announcements must not take the endpoint from the new process. They are
+        refused as superseded, also after the new process has been lost.
         """
         self.announce("desk-1", 2)
         self.assertEqual(self.announce("desk-1", 1, 9), Code.SUPERSEDED)
@@ -152,8 +152,8 @@
     def test_a_thawed_control_vm_does_not_lose_its_endpoints(self):
         """A control VM is frozen for a minute, longer than every lease.
 
-        The endpoints went on announcing, which it could not hear. It gives them a
-        lease's time to be heard again; the one that died in between leaves then.
+        It could not receive the endpoints' announcements meanwhile, so it extends the
+        leases by up to one lease. An endpoint that died meanwhile is dropped then.
         """
         self.announce("desk-1")
         self.announce("desk-2")
@@ -164,14 +164,14 @@
         self.assertEqual(expire(self.table, 61.5), ("desk-2",))
         self.assertEqual(expire(self.table, 62.0), ("desk-1",))
 
-    def test_a_renewal_is_no_change(self):
+    def test_renewal_is_not_a_change(self):
         self.announce()
         version = self.table.version
         self.announce("desk-1", 1, 2)
         delta = tables.delta_since(self.table, "epoch-1", version)
         self.assertEqual((delta.version, delta.announced), (version, ()))
 
-    def test_losses_are_named_until_they_are_forgotten(self):
+    def test_losses_are_sent_until_they_expire(self):
         self.announce("desk-1")
         self.announce("desk-2")
         expire(self.table, LEASE_S)
@@ -181,5 +181,5 @@
             expire(self.table, now_s)
         delta = tables.delta_since(self.table, "epoch-1", version)
         self.assertEqual((delta.gone, delta.full), (("desk-1",), False))
-        expire(self.table, LEASE_S * 2 + tables.FORGET_S)
+        expire(self.table, LEASE_S * 2 + tables.LOST_RETENTION_S)
         self.assertTrue(tables.delta_since(self.table, "epoch-1", version).full)
--- a/libs/pipeline/src/cherryrudder/pipeline/dump.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/dump.py
@@ -1,4 +1,4 @@
-"""What the two cores hold, for the dump of a process."""
+"""Dump of the entry's and the sidecar's pipeline state for operators."""
 
 from cherryrudder.pipeline.request import RequestCore
 from cherryrudder.pipeline.stage import StageCore
@@ -6,7 +6,7 @@
 
 
 def dump_sidecar(core: StageCore) -> dict:
-    """Return a sidecar's requests and the fill of its bounded tables."""
+    """Return a sidecar's requests and the sizes and limits of its tables."""
     return {
         "requests": {name: _dump_request(r) for name, r in core.requests.items()},
         "max_requests": core.max_requests,
@@ -19,19 +19,19 @@
 
 
 def dump_entry(core: RequestCore) -> dict:
-    """Return a request as its entry sees it; the text itself is left out."""
+    """Return the state of a request at its entry, without its text."""
     return {
         "phase": str(core.phase),
         "generation": core.generation,
         "stages": [stage.endpoint for stage in core.stages],
-        "missing_layers": [list(hole) for hole in core.holes],
+        "missing_layers": [list(missing) for missing in core.missing_ranges],
         "excluded": list(core.excluded),
         "leaving": core.leaving.endpoint if core.leaving else "",
         "prompt_tokens": len(core.start.prompt),
         "tokens": len(core.tokens),
         "max_tokens": core.start.max_tokens,
         "consumed": core.consumed,
-        "waiting_since_s": core.since_s,
+        "waiting_since_s": core.waiting_since_s,
     }
 
 
--- a/libs/pipeline/src/cherryrudder/pipeline/handover.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/handover.py
@@ -1,28 +1,28 @@
-"""A planned stop of a stage: its KV moves to the stage that relieves it.
+"""Hand-over of a request at a planned stop: the KV moves to the replacement stage.
 
-Nothing is computed anew when it works. When any part of it fails (no export, no
-import, a stage that dies on the way) the new stage holds nothing and is rebuilt like
-that of a lost one, so a hand-over can cost time but never a token.
+When it succeeds, nothing is recomputed. When any part of it fails (export, import, or
+one of the stages), the replacement starts empty and is rebuilt like that of a lost
+stage, so a hand-over can cost time but never a token.
 """
 
 from cherryrudder.pipeline import stagerequest as requests, stagetable as tables
 from cherryrudder.pipeline.effects import ExportKv, FreeKv, ImportKv, SendTo
-from cherryrudder.pipeline.messages import HandOver, KvMove
+from cherryrudder.pipeline.messages import HandOver, KvTransfer
 
-# Exporting and moving the KV of a long prompt takes about a second on a gigabit link;
-# past a few, a rebuild by replay serves the caller sooner.
-KV_WAIT_S = 5.0
+# Exporting and sending the KV of a long prompt takes about a second on a gigabit link.
+# After a few seconds a rebuild by replay is faster.
+KV_TIMEOUT_S = 5.0
 
 
-def leave(core, message: HandOver, now_s: float) -> list:
-    """Stop a request here and export its KV as soon as the engine is done."""
+def start_handover(core, message: HandOver, now_s: float) -> list:
+    """Stop a request at this stage and export its KV once the engine is idle."""
     state = core.requests.get(message.request)
     if state is None:
-        none = KvMove(message.request, message.generation, 0, (), (), "")
-        return [SendTo(message.address, none)]
+        empty = KvTransfer(message.request, message.generation, 0, (), (), "")
+        return [SendTo(message.address, empty)]
     if message.generation <= state.start.generation:
         return []
-    # From here on steps of the old plan are refused, so what is exported is final.
+    # Steps of the old plan are refused from now on, so the exported KV is final.
     requests.adopt(state, state.start._replace(generation=message.generation))
     state.leaving_to = message.address
     state.touched_s = now_s
@@ -30,18 +30,18 @@
 
 
 def export_when_idle(state) -> list:
-    """Export a leaving request's KV unless a compute is in flight."""
+    """Export the KV of a request being handed over unless a compute is in flight."""
     if not state.leaving_to or state.running:
         return []
     return [ExportKv(state.start.request)]
 
 
 def exported(core, request: str, kv: str, now_s: float) -> list:
-    """Send the engine's export on, empty if it failed, and drop the request."""
+    """Send the exported KV, empty if that failed, and drop the request."""
     state = core.requests.get(request)
     if state is None or not state.leaving_to:
         return []
-    move = KvMove(
+    transfer = KvTransfer(
         request,
         state.start.generation,
         state.kept_from,
@@ -49,51 +49,54 @@
         tuple(state.inputs),
         kv,
     )
-    return [SendTo(state.leaving_to, move), *tables.drop(core, request, now_s)]
+    return [
+        SendTo(state.leaving_to, transfer),
+        *tables.drop_request(core, request, now_s),
+    ]
 
 
-def take_kv(core, move: KvMove, now_s: float) -> list:
-    """Import what the relieved stage exported."""
-    state = core.requests.get(move.request)
+def import_kv(core, transfer: KvTransfer, now_s: float) -> list:
+    """Import the KV that the replaced stage exported."""
+    state = core.requests.get(transfer.request)
     if state is None:
-        tables.keep_early(core, move, now_s)
+        tables.keep_early(core, transfer, now_s)
         return []
-    if state.awaits_kv_s is None or state.importing:
+    if state.kv_wait_since_s is None or state.importing:
         return []
-    if not move.kv:
-        return _settle(state)
+    if not transfer.kv:
+        return _stop_waiting(state)
     state.importing = True
-    state.next_position = move.kept_from
-    state.inputs.extend(move.inputs)
-    tables.keep(core, state, move.outputs)
-    return [ImportKv(move.request, move.kv)]
+    state.next_position = transfer.kept_from
+    state.inputs.extend(transfer.inputs)
+    tables.keep_outputs(core, state, transfer.outputs)
+    return [ImportKv(transfer.request, transfer.kv)]
 
 
 def imported(core, request: str, is_done: bool, now_s: float) -> list:
-    """Answer the entry with what the engine now holds."""
+    """Reply to the entry's `Resume` after the engine's import succeeded or failed."""
     state = core.requests.get(request)
     if state is None:
         return [FreeKv(request)]
     if not state.importing:
         return []
     if is_done:
-        return _settle(state)
-    tables.forget_outputs(core, state)
-    return [FreeKv(request), *_settle(state)]
+        return _stop_waiting(state)
+    tables.clear_outputs(core, state)
+    return [FreeKv(request), *_stop_waiting(state)]
 
 
-def give_up_waiting(core, now_s: float) -> list:
-    """Go on without KV that does not come."""
+def expire_kv_waits(core, now_s: float) -> list:
+    """Stop waiting for KV transfers that are overdue; those stages start empty."""
     effects = []
     for state in core.requests.values():
-        since_s = None if state.importing else state.awaits_kv_s
-        if since_s is not None and now_s - since_s >= KV_WAIT_S:
-            effects += _settle(state)
+        since_s = None if state.importing else state.kv_wait_since_s
+        if since_s is not None and now_s - since_s >= KV_TIMEOUT_S:
+            effects += _stop_waiting(state)
     return effects
 
 
-def _settle(state):
-    state.awaits_kv_s = None
+def _stop_waiting(state):
+    state.kv_wait_since_s = None
     state.importing = False
-    state.owes_held = False
-    return [SendTo(state.start.entry, requests.held(state))]
+    state.reply_pending = False
+    return [SendTo(state.start.entry, requests.resume_reply(state))]
--- a/libs/pipeline/src/cherryrudder/pipeline/request.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/request.py
@@ -1,9 +1,9 @@
-"""The entry's part of the pipeline: one request over a chain of stages.
+"""The entry's state machine for one request over a chain of pipeline stages.
 
-The entry keeps the small record of the request (prompt, tokens, plan, generation);
-activations go from stage to stage and never through it. After a loss it asks every
-stage what it holds and tells each where to go on, so that only the lost range of
-layers is computed anew.
+The entry stores the request's prompt, tokens, plan and generation. Activations are
+sent from stage to stage and never pass through it. After a stage is lost, the entry
+queries the progress of every stage and sends each the position to continue from, so
+that only the lost range of layers is recomputed.
 """
 
 from enum import StrEnum
@@ -24,36 +24,37 @@
     Ack,
     Free,
     HandOver,
-    Held,
     Refused,
     Resume,
+    ResumeReply,
     Stage,
     StageFailed,
     Start,
     Token,
 )
-from cherryrudder.pipeline.plan import Hole, fill, touches
+from cherryrudder.pipeline.plan import LayerRange, fill_missing, overlaps_any
 
 
 class Timing(NamedTuple):
-    """How long the entry waits before it takes a stage for lost."""
-
-    # Well above one step of a loaded chain (some 0.1 s), and still the smaller part
-    # of a recovery that also has to find a stage and rebuild its KV.
-    stall_s: float = 2.0
-    # A living sidecar answers `Resume` from memory; two round trips and a retransmit
-    # between regions fit.
-    answer_s: float = 1.0
-    # The longest compute of one step: a long prompt on a slow accelerator.
-    compute_s: float = 30.0
-    # Past this no endpoint will turn up in time for the caller.
-    replace_s: float = 30.0
-
-
-# Each loss or stall takes one generation. More than this in one request means that
-# the chain cannot be kept up, and an honest failure serves the caller better.
+    """Timeouts after which the entry considers a stage lost."""
+
+    # Time without an expected token before all stages are queried. Well above one
+    # step of a loaded chain (about 0.1 s), and still the smaller part of a recovery,
+    # which also has to find a stage and rebuild its KV.
+    stall_timeout_s: float = 2.0
+    # A live sidecar answers `Resume` from memory. This allows for two round trips and
+    # a retransmit between regions.
+    resume_timeout_s: float = 1.0
+    # Longest compute of one step: a long prompt on a slow accelerator.
+    compute_timeout_s: float = 30.0
+    # An endpoint found later than this would be too late for the caller.
+    replace_timeout_s: float = 30.0
+
+
+# Each loss or stall starts a new generation. A request that needs more than this has
+# an unstable chain, and an explicit failure serves the caller better.
 MAX_GENERATIONS = 32
-# Rounds in a row that bring no token: a replay after two losses takes three.
+# Resume rounds in a row without a new token. A replay after two losses takes three.
 MAX_IDLE_ROUNDS = 8
 
 
@@ -61,43 +62,44 @@
     """What the entry is waiting for."""
 
     RUNNING = "running"
-    ASKING = "asking"
+    RESUMING = "asking"
     REPLACING = "replacing"
     ENDED = "ended"
 
 
 class RequestCore:
-    """One request at its entry; `start` is the message for stage 0."""
+    """State of a request at its entry; `start` is the message for stage 0."""
 
     def __init__(self, start: Start, timing: Timing | None = None):
         self.start = start
         self.timing = timing or Timing()
         self.phase = Phase.RUNNING
         self.stages = list(start.stages)
-        # The plan that the stages of the present generation know; messages name
-        # stages by their place in it, also while one of them is being replaced.
+        # The plan of the current generation. Messages identify stages by their index
+        # in it, also while one of them is being replaced.
         self.plan = start.stages
         self.generation = start.generation
         self.tokens = []
         self.consumed = 0
-        self.holes: list[Hole] = []
+        self.missing_ranges: list[LayerRange] = []
         self.excluded: list[str] = []
-        # A planned stop: the stage to relieve, then the one that hands its KV over.
+        # Planned stop: the stage that needs a replacement, and the replaced stage
+        # that still has to transfer its KV.
         self.leaving: Stage | None = None
-        self.departing: Stage | None = None
-        self.held: dict[int, Held] = {}
+        self.replaced: Stage | None = None
+        self.replies: dict[int, ResumeReply] = {}
         self.idle_rounds = 0
-        self.behind: resume.Behind | None = None
-        # When the present wait began, whatever the phase.
-        self.since_s = 0.0
+        self.lagging: resume.LaggingStage | None = None
+        # Start of the current wait, in any phase.
+        self.waiting_since_s = 0.0
 
 
 def begin(core: RequestCore, now_s: float) -> list:
     """Send the plan to each stage; stage 0 starts the prompt."""
-    core.since_s = now_s
+    core.waiting_since_s = now_s
     if not core.start.prompt or core.start.max_tokens < 1:
-        return _fail(core, "a request needs a prompt and at least one token to make")
-    # Stage 0 comes last: the others then mostly know the plan before its first step.
+        return _fail(core, "a request needs a prompt and max_tokens of at least 1")
+    # Stage 0 comes last, so the others usually have the plan before its first step.
     return [
         SendTo(stage.address, _start_for(core, index))
         for index, stage in reversed(list(enumerate(core.stages)))
@@ -105,40 +107,41 @@
 
 
 def receive(core: RequestCore, message, now_s: float) -> list:
-    """Take a message from a stage and return the effects."""
+    """Handle a message from a stage and return the effects."""
     handler = HANDLERS.get(type(message))
     if core.phase == Phase.ENDED or handler is None:
         return []
     if message.generation != core.generation:
-        # A stage that was frozen or cut off still speaks for an old generation. Its
-        # tokens may differ from those of the stage that took its place.
+        # A stage that was frozen or partitioned still sends messages of an old
+        # generation. Its tokens may differ from those of its replacement.
         return []
     return handler(core, message, now_s)
 
 
-def consumed(core: RequestCore, count: int, now_s: float) -> list:
-    """Note that the caller has taken `count` tokens in all."""
+def record_consumed(core: RequestCore, count: int, now_s: float) -> list:
+    """Record that the caller has taken `count` tokens in total."""
     if core.phase == Phase.ENDED or count <= core.consumed:
         return []
     if core.phase == Phase.RUNNING:
-        core.since_s = now_s
+        core.waiting_since_s = now_s
     core.consumed = count
     return _ack(core)
 
 
 def stage_lost(core: RequestCore, name: str, now_s: float) -> list:
-    """Give up the stage with an endpoint name or address and ask for another."""
+    """Remove the stage with an endpoint name or address and request another."""
     if core.phase == Phase.ENDED:
         return []
     lost = [s for s in core.stages if name in (s.endpoint, s.address)]
-    return _lose(core, lost, now_s)
+    return _remove_stages(core, lost, now_s)
 
 
 def stage_leaving(core: RequestCore, name: str, now_s: float) -> list:
-    """Ask for a stage to relieve one that is to stop; until then it works on.
+    """Request a replacement for a stage that is going to stop.
 
-    Give the answer before any other event. Without one, or while a resume is under
-    way (call again then), the stage works on to the request's end.
+    The stage keeps working until it is replaced. Answer the returned `NeedStage`
+    before any other event; without an answer the stage works to the request's end.
+    Nothing is requested while a resume is in progress; call again later.
     """
     if core.phase != Phase.RUNNING or core.leaving:
         return []
@@ -151,69 +154,77 @@
 
 
 def replace(core: RequestCore, stage: Stage, now_s: float) -> list:
-    """Put a stage into a hole; it may hold the hole's first part only."""
+    """Add a stage for a missing range; it may hold only the first part of it."""
     if core.phase == Phase.RUNNING and core.leaving:
         return _hand_over(core, stage, now_s)
     if core.phase != Phase.REPLACING:
         return []
-    if not touches(core.holes, stage):
-        # A late answer to a need that is gone.
+    if not overlaps_any(core.missing_ranges, stage):
+        # A late answer to a `NeedStage` that no longer applies.
         return []
-    left = fill(core.holes, stage)
+    left = fill_missing(core.missing_ranges, stage)
     if left.is_error():
         return _fail(core, str(left.error))
-    is_partial = len(left.ok) == len(core.holes)
-    core.holes = left.ok
+    is_partial = len(left.ok) == len(core.missing_ranges)
+    core.missing_ranges = left.ok
     core.stages.append(stage)
     core.stages.sort(key=lambda s: s.first_layer)
-    core.since_s = now_s
+    core.waiting_since_s = now_s
     if is_partial:
-        return [_need(core, core.holes[0])]
-    return [] if core.holes else _ask(core, now_s)
+        return [_stage_need(core, core.missing_ranges[0])]
+    return [] if core.missing_ranges else _start_resume(core, now_s)
 
 
 def needs(core: RequestCore) -> list[NeedStage]:
-    """Return what is still sought, for a shell that finds nothing at first."""
-    return [_need(core, hole) for hole in core.holes]
+    """Return the ranges still missing, for a daemon that retries its search."""
+    return [_stage_need(core, missing) for missing in core.missing_ranges]
 
 
 def no_stage(core: RequestCore, now_s: float) -> list:
-    """End the request since no endpoint can take the lost range.
+    """Fail the request because no endpoint can take the lost range.
 
-    A stage that is to stop and cannot be relieved works on to the request's end.
+    A stopping stage without a replacement keeps working to the request's end.
     """
     core.leaving = None
     if core.phase != Phase.REPLACING:
         return []
-    hole = core.holes[0]
-    return _fail(core, f"no endpoint for layers {hole.first_layer} to {hole.end_layer}")
+    missing = core.missing_ranges[0]
+    return _fail(
+        core, f"no endpoint for layers {missing.first_layer} to {missing.end_layer}"
+    )
 
 
 def cancel(core: RequestCore, now_s: float) -> list:
-    """Free every stage; the caller went away."""
+    """End the request and free every stage because the caller disconnected."""
     if core.phase == Phase.ENDED:
         return []
     return _end(core)
 
 
 def tick(core: RequestCore, now_s: float) -> list:
-    """Act on time that has passed; call it a few times a second."""
-    waited_s = now_s - core.since_s
+    """Check the timeouts; call it a few times a second."""
+    waited_s = now_s - core.waiting_since_s
     if core.phase == Phase.RUNNING and resume.expects_token(core):
-        return _ask(core, now_s) if waited_s >= core.timing.stall_s else []
-    if core.phase == Phase.ASKING:
-        silent = [s for i, s in enumerate(core.plan) if _is_silent(core, i, waited_s)]
-        return _lose(core, silent, now_s)
-    if core.phase == Phase.REPLACING and waited_s >= core.timing.replace_s:
+        return (
+            _start_resume(core, now_s)
+            if waited_s >= core.timing.stall_timeout_s
+            else []
+        )
+    if core.phase == Phase.RESUMING:
+        unresponsive = [
+            s for i, s in enumerate(core.plan) if _is_unresponsive(core, i, waited_s)
+        ]
+        return _remove_stages(core, unresponsive, now_s)
+    if core.phase == Phase.REPLACING and waited_s >= core.timing.replace_timeout_s:
         return no_stage(core, now_s)
     return []
 
 
-def _is_silent(core, index, waited_s):
-    held = core.held.get(index)
-    if held is None:
-        return waited_s >= core.timing.answer_s
-    return held.running and waited_s >= core.timing.compute_s
+def _is_unresponsive(core, index, waited_s):
+    reply = core.replies.get(index)
+    if reply is None:
+        return waited_s >= core.timing.resume_timeout_s
+    return reply.running and waited_s >= core.timing.compute_timeout_s
 
 
 def _token(core, token, now_s):
@@ -230,121 +241,122 @@
     core.tokens.extend(fresh)
     core.idle_rounds = 0
     if core.phase == Phase.RUNNING:
-        core.since_s = now_s
+        core.waiting_since_s = now_s
     last = len(core.tokens) >= core.start.max_tokens
     deliver = [Deliver(tuple(fresh), last)]
     return deliver + _end(core) if last else deliver
 
 
-def _held(core, held, now_s):
-    known = core.held.get(held.stage)
-    settled = known is not None and not known.running
-    if core.phase != Phase.ASKING or settled:
+def _resume_reply(core, reply, now_s):
+    previous = core.replies.get(reply.stage)
+    is_final = previous is not None and not previous.running
+    if core.phase != Phase.RESUMING or is_final:
         return []
-    core.held[held.stage] = held
-    answers = core.held.values()
-    if len(answers) < len(core.stages) or any(h.running for h in answers):
+    core.replies[reply.stage] = reply
+    replies = core.replies.values()
+    if len(replies) < len(core.stages) or any(r.running for r in replies):
         return []
-    return _go_on(core, now_s)
+    return _finish_resume(core, now_s)
 
 
 def _stage_failed(core, failed, now_s):
     if not failed.link_only:
-        return _lose(core, [core.plan[failed.stage]], now_s)
-    # Only a link between two stages broke. Frames may be lost with it; the round
-    # finds out which stage still answers and has the rest sent again.
-    return _ask(core, now_s) if core.phase == Phase.RUNNING else []
+        return _remove_stages(core, [core.plan[failed.stage]], now_s)
+    # Only a link between two stages broke, and frames may be lost. The resume finds
+    # the stages that still answer and has the missing outputs sent again.
+    return _start_resume(core, now_s) if core.phase == Phase.RUNNING else []
 
 
 def _refused(core, refused, now_s):
     if refused.code == NO_ROOM:
-        return _lose(core, [core.plan[refused.stage]], now_s)
-    # A late copy of an old resume is rightly refused and says nothing about the chain.
+        return _remove_stages(core, [core.plan[refused.stage]], now_s)
+    # Refusals of an old generation are caused by late copies of a resume and don't
+    # indicate a fault in the chain.
     is_gap = refused.code == GAP and core.phase == Phase.RUNNING
-    return _ask(core, now_s) if is_gap else []
+    return _start_resume(core, now_s) if is_gap else []
 
 
 HANDLERS = {
     Token: _token,
-    Held: _held,
+    ResumeReply: _resume_reply,
     StageFailed: _stage_failed,
     Refused: _refused,
 }
 
 
-def _lose(core, lost, now_s):
-    """Take stages out of the plan and ask for others."""
+def _remove_stages(core, lost, now_s):
+    """Remove lost stages from the plan and request others."""
     lost = [stage for stage in lost if stage in core.stages]
     if not lost:
         return []
     core.phase = Phase.REPLACING
-    core.since_s = now_s
-    core.behind = None
+    core.waiting_since_s = now_s
+    core.lagging = None
     core.leaving = None
     effects = []
     for stage in lost:
         core.stages.remove(stage)
         core.excluded.append(stage.endpoint)
-        core.holes.append(Hole(stage.first_layer, stage.end_layer))
-        # If it is only frozen or cut off, it lets go of the KV when it is back.
+        core.missing_ranges.append(LayerRange(stage.first_layer, stage.end_layer))
+        # If the stage was only frozen or partitioned, it frees the KV once it is back.
         effects.append(SendTo(stage.address, Free(core.start.request)))
-    # A stage that is lost while another is sought changes what is excluded, so the
-    # whole need is told again.
+    # A loss during the search for another stage changes the excluded endpoints, so
+    # all needs are sent again.
     return effects + needs(core)
 
 
 def _hand_over(core, stage, now_s):
-    """Put a stage in the place of one that is to stop."""
+    """Replace a stage that is going to stop and start the hand-over of its KV."""
     old, core.leaving = core.leaving, None
     if stage[3:] != old[3:]:
         return []
     core.stages[core.stages.index(old)] = stage
     core.excluded.append(old.endpoint)
-    core.departing = old
-    effects = _ask(core, now_s, heir=stage)
-    order = HandOver(core.start.request, core.generation, stage.address)
-    return effects + [SendTo(old.address, order)]
+    core.replaced = old
+    effects = _start_resume(core, now_s, replacement=stage)
+    message = HandOver(core.start.request, core.generation, stage.address)
+    return effects + [SendTo(old.address, message)]
 
 
-def _need(core, hole):
-    return NeedStage(hole.first_layer, hole.end_layer, tuple(core.excluded))
+def _stage_need(core, missing):
+    return NeedStage(missing.first_layer, missing.end_layer, tuple(core.excluded))
 
 
-def _ask(core, now_s, heir=None):
-    """Begin a new generation and ask each stage what it holds."""
+def _start_resume(core, now_s, replacement=None):
+    """Begin a new generation and query the progress of each stage."""
     core.idle_rounds += 1
     if core.idle_rounds > MAX_IDLE_ROUNDS or core.generation >= MAX_GENERATIONS:
-        return _fail(core, "the chain of stages could not be kept up")
-    core.phase = Phase.ASKING
+        return _fail(core, "too many lost or stalled stages in this request")
+    core.phase = Phase.RESUMING
     core.leaving = None
-    core.since_s = now_s
+    core.waiting_since_s = now_s
     core.generation += 1
     core.plan = tuple(core.stages)
-    core.held = {}
+    core.replies = {}
     return [
-        SendTo(stage.address, Resume(_start_for(core, index), stage is heir))
+        SendTo(stage.address, Resume(_start_for(core, index), stage is replacement))
         for index, stage in enumerate(core.stages)
     ]
 
 
-def _go_on(core, now_s):
-    """Tell each stage where to go on, now that all have answered."""
-    cut_off = resume.find_cut_off(core)
-    effects = _take_tokens(core, core.held[0].tokens[len(core.tokens) :], now_s)
+def _finish_resume(core, now_s):
+    """Send each stage its position to continue from, after all have answered."""
+    unreachable = resume.find_unreachable(core)
+    effects = _take_tokens(core, core.replies[0].tokens[len(core.tokens) :], now_s)
     if core.phase == Phase.ENDED:
         return effects
-    if cut_off:
-        return effects + _lose(core, [cut_off], now_s)
-    useless = resume.stages_to_rebuild(core)
-    if useless:
+    if unreachable:
+        return effects + _remove_stages(core, [unreachable], now_s)
+    to_rebuild = resume.stages_to_rebuild(core)
+    if to_rebuild:
         freed = [
             SendTo(core.plan[index].address, Free(core.start.request))
-            for index in useless
+            for index in to_rebuild
         ]
-        return effects + freed + _ask(core, now_s)
+        return effects + freed + _start_resume(core, now_s)
     core.phase = Phase.RUNNING
-    core.since_s = now_s
-    effects += _free_departing(core)
+    core.waiting_since_s = now_s
+    effects += _free_replaced(core)
     effects += [
         SendTo(stage.address, resume.continue_for(core, index))
         for index, stage in enumerate(core.stages)
@@ -359,8 +371,8 @@
 
 
 def _ack(core):
-    # While stages are sought or asked, the last one may be new and not know the
-    # request; the count goes out after `Continue`.
+    # Outside of RUNNING the last stage may be new and not have the request yet. The
+    # count is sent after `Continue`.
     if core.phase != Phase.RUNNING or not core.consumed:
         return []
     return [SendTo(core.stages[-1].address, Ack(core.start.request, core.consumed))]
@@ -374,10 +386,10 @@
     core.phase = Phase.ENDED
     free = Free(core.start.request)
     freed = [SendTo(stage.address, free) for stage in core.stages]
-    return freed + _free_departing(core) + [Finished()]
+    return freed + _free_replaced(core) + [Finished()]
 
 
-def _free_departing(core):
-    """Let go of a stage that handed over, should the order have missed it."""
-    stage, core.departing = core.departing, None
+def _free_replaced(core):
+    """Free the replaced stage, in case `HandOver` did not reach it."""
+    stage, core.replaced = core.replaced, None
     return [SendTo(stage.address, Free(core.start.request))] if stage else []
--- a/libs/pipeline/src/cherryrudder/pipeline/stage.py
+++ b/libs/pipeline/src/cherryrudder/pipeline/stage.py
@@ -1,7 +1,8 @@
-"""The sidecar's part of the pipeline: many requests, one stage of each.
+"""The sidecar's state machine of the pipeline: one stage of each of many requests.
 
-A step's inputs are taken once, by position: a repeat is dropped, a gap or an old
-generation is refused, so that every layer runs once per token whatever the links do.
+Inputs are accepted once, by position. Repeats are dropped, and gaps and old
+generations are refused, so that every layer runs once per token although links may
+lose, duplicate or reorder frames.
 """
 
 from cherryrudder.pipeline import (
@@ -18,7 +19,7 @@
     Continue,
     Free,
     HandOver,
-    KvMove,
+    KvTransfer,
     Refused,
     Resume,
     StageFailed,
@@ -29,15 +30,15 @@
 
 
 def receive(core: StageCore, message, now_s: float) -> list:
-    """Take a message and return the effects."""
+    """Handle a message from the entry or another stage and return the effects."""
     handler = HANDLERS.get(type(message))
     return handler(core, message, now_s) if handler else []
 
 
 def computed(core: StageCore, request: str, position: int, outputs, now_s: float):
-    """Take the engine's outputs, one for each input of the `Compute`."""
+    """Handle the engine's outputs, one for each input of the `Compute`."""
     if request in core.draining:
-        return _drained(core, request)
+        return _discard_result(core, request)
     state = core.requests.get(request)
     if state is None:
         return [FreeKv(request)]
@@ -47,37 +48,37 @@
         message = f"{len(outputs)} outputs for {state.running} inputs"
         return compute_failed(core, request, position, message, now_s)
     state.touched_s = now_s
-    tables.keep(core, state, outputs)
+    tables.keep_outputs(core, state, outputs)
     state.running = 0
     effects = []
-    if state.owes_held:
-        state.owes_held = False
-        effects.append(SendTo(state.start.entry, requests.held(state)))
+    if state.reply_pending:
+        state.reply_pending = False
+        effects.append(SendTo(state.start.entry, requests.resume_reply(state)))
     effects += handover.export_when_idle(state)
     return effects + _advance(core, state)
 
 
 def compute_failed(core: StageCore, request, position, message: str, now_s: float):
-    """Report a failed compute to the entry and drop what the engine holds.
+    """Report a failed compute to the entry and free the engine's KV.
 
-    The KV is in an unknown state: going on with it could run a layer twice.
+    The KV is in an unknown state; continuing with it could run a layer twice.
     """
     if request in core.draining:
-        return _drained(core, request)
+        return _discard_result(core, request)
     state = core.requests.get(request)
     if state is None or not state.running or position != state.next_position:
         return []
     state.running = 0
     if state.leaving_to:
-        # The entry's plan has the heir in this place, which is well.
+        # The entry's plan already has the replacement, so no failure is reported.
         return handover.exported(core, request, "", now_s)
     start = state.start
     failed = StageFailed(request, start.generation, start.stage, message)
-    return [SendTo(start.entry, failed)] + tables.drop(core, request, now_s)
+    return [SendTo(start.entry, failed)] + tables.drop_request(core, request, now_s)
 
 
 def link_lost(core: StageCore, address: str, now_s: float) -> list:
-    """Report lost links to neighbours; requests of a lost entry wait for `tick`."""
+    """Report lost links to neighbours, and mark requests of a lost entry orphaned."""
     effects = []
     for state in core.requests.values():
         start = state.start
@@ -93,25 +94,25 @@
 
 
 def tick(core: StageCore, now_s: float) -> list:
-    """Free what nobody will ask for again; call it about once a second."""
-    tables.forget_old(core, now_s)
-    effects = handover.give_up_waiting(core, now_s)
-    for request in tables.abandoned(core, now_s):
-        effects += tables.drop(core, request, now_s)
+    """Free abandoned requests and expired records; call it about once a second."""
+    tables.drop_expired(core, now_s)
+    effects = handover.expire_kv_waits(core, now_s)
+    for request in tables.abandoned_requests(core, now_s):
+        effects += tables.drop_request(core, request, now_s)
     return effects
 
 
 def _neighbours(start):
-    """Return the stages that a stage exchanges steps with, without itself."""
+    """Return the indexes of the other stages that a stage exchanges steps with."""
     count = len(start.stages)
-    around = {(start.stage - 1) % count, (start.stage + 1) % count}
-    return sorted(around - {start.stage})
+    adjacent = {(start.stage - 1) % count, (start.stage + 1) % count}
+    return sorted(adjacent - {start.stage})
 
 
 def _start(core, start, now_s):
     state = core.requests.get(start.request)
     if state is not None:
-        # A repeat, or one that a newer generation overtook.
+        # A repeat, or a start that arrived after a newer generation.
         return []
     state, effects = tables.open_request(core, start, now_s)
     if state is None:
@@ -129,17 +130,17 @@
         if state is None:
             return effects
         state.send_next = None
-        state.awaits_kv_s = now_s if resume.awaits_kv else None
+        state.kv_wait_since_s = now_s if resume.awaits_kv else None
     elif start.generation < state.start.generation:
         return [_refuse(state, start.entry, OLD_GENERATION)]
     elif start.generation > state.start.generation:
         requests.adopt(state, start)
     elif state.send_next is not None:
-        # A repeat of the resume that this stage has already continued from.
+        # A repeat of a resume whose `Continue` has already arrived.
         return []
-    _touch(state, now_s)
-    state.owes_held = requests.is_busy(state)
-    effects = [SendTo(start.entry, requests.held(state))]
+    _record_entry_message(state, now_s)
+    state.reply_pending = requests.is_busy(state)
+    effects = [SendTo(start.entry, requests.resume_reply(state))]
     return effects + _take_early(core, state, now_s)
 
 
@@ -147,11 +148,11 @@
     state = core.requests.get(message.request)
     if state is None or message.generation != state.start.generation:
         return []
-    _touch(state, now_s)
+    _record_entry_message(state, now_s)
     start = state.start
     state.send_next = message.send_from
     if requests.is_last(start):
-        state.feed_next = message.send_from - requests.first_sent(start)
+        state.feedback_next = message.send_from - requests.first_sent(start)
     if start.stage == 0 and not requests.accept(
         state, message.position, message.inputs
     ):
@@ -165,8 +166,8 @@
         tables.keep_early(core, step, now_s)
         return []
     if step.generation < state.start.generation:
-        hop = state.previous_hops.get(step.generation)
-        return [_refuse(state, hop, OLD_GENERATION)] if hop else []
+        address = state.previous_hops.get(step.generation)
+        return [_refuse(state, address, OLD_GENERATION)] if address else []
     state.touched_s = now_s
     if not requests.accept(state, step.position, step.inputs):
         return [_refuse(state, requests.previous_hop(state.start), GAP)]
@@ -177,13 +178,13 @@
     state = core.requests.get(ack.request)
     if state is None:
         return []
-    _touch(state, now_s)
+    _record_entry_message(state, now_s)
     state.acked = max(state.acked, ack.count)
     return _advance(core, state)
 
 
 def _free(core, free, now_s):
-    return tables.drop(core, free.request, now_s)
+    return tables.drop_request(core, free.request, now_s)
 
 
 def _refused(core, refused, now_s):
@@ -192,9 +193,9 @@
         return []
     start = state.start
     if refused.code == OLD_GENERATION and refused.generation > start.generation:
-        # Either this process was frozen or cut off while the entry replaced it, or
-        # its own `Resume` is still under way on another link. Dropping the KV at
-        # once would have a surviving stage rebuilt, so it falls silent and waits.
+        # Either this process was frozen or partitioned while the entry replaced it, or
+        # its own `Resume` is still in flight on another link. Dropping the KV at once
+        # could force a rebuild of a live stage, so it stops sending and waits.
         state.send_next = None
         state.orphaned_s = now_s
         return []
@@ -207,7 +208,7 @@
 
 
 def _rewind(state, refused):
-    """Go back to what the refusing side waits for."""
+    """Send again from the position that the refusing side expects."""
     start = state.start
     if not requests.is_last(start):
         state.send_next = min(state.send_next, refused.next_position)
@@ -215,7 +216,7 @@
         state.send_next = min(state.send_next, refused.next_position - 1)
     else:
         token = refused.next_position - len(start.prompt)
-        state.feed_next = min(state.feed_next, max(0, token))
+        state.feedback_next = min(state.feedback_next, max(0, token))
 
 
 HANDLERS = {
@@ -226,13 +227,13 @@
     Ack: _ack,
     Free: _free,
     Refused: _refused,
-    HandOver: handover.leave,
-    KvMove: handover.take_kv,
+    HandOver: handover.start_handover,
+    KvTransfer: handover.import_kv,
 }
 
 
-def _touch(state, now_s):
-    """Note a message from the entry."""
+def _record_entry_message(state, now_s):
+    """Record that the entry has sent a message for this request."""
     state.touched_s = now_s
     state.orphaned_s = None
 
@@ -245,7 +246,7 @@
 
 
 def _advance(core, state):
-    """Send what is due and give the engine what waits."""
+    """Send unsent outputs and start a compute for waiting inputs."""
     start = state.start
     if not requests.is_last(start):
         step = requests.take_step(state)
@@ -275,8 +276,8 @@
     return [Compute(start.request, start.model, position, inputs, start.priority)]
 
 
-def _drained(core, request):
-    """Throw away a result for a freed request; its compute may have made KV anew."""
+def _discard_result(core, request):
+    """Discard a freed request's result and free KV that its compute recreated."""
     core.draining.discard(request)
     state = core.requests.get(request)
     return [FreeKv(request)] + (_run(core, state) if state else [])
--- a/libs/pipeline/test/test_stage.py
+++ b/libs/pipeline/test/test_stage.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar's part, one stage at a time."""
+"""Tests of the sidecar's state machine, with one stage at a time."""
 
 import unittest
 
@@ -13,8 +13,8 @@
     Ack,
     Continue,
     Free,
-    Held,
     Resume,
+    ResumeReply,
     Step,
     Token,
 )
@@ -46,9 +46,9 @@
         self.assertEqual([], self.computed(0, "A"))
 
     def test_repeats_are_dropped_and_gaps_refused(self):
-        """The text stays right although frames come twice or one is missing.
+        """Duplicated and missing frames don't corrupt the text.
 
-        A step's copy adds nothing, one that overlaps adds its new part only, and a
+        A copy of a step adds nothing, an overlapping step adds only its new part, and a
         step past the expected position is refused with that position.
         """
         self.receive(a_step(0, "a"))
@@ -61,10 +61,10 @@
         self.assertEqual([a_step(0, "A")], sent(again))
 
     def test_an_old_generation_is_refused(self):
-        """A stage thawed after its replacement cannot put a step into the chain.
+        """A stage that was frozen while it was replaced can't send steps to the chain.
 
-        Its step carries the old generation. It is told so, and falls silent; without
-        a word from the entry it frees what it holds after the grace time.
+        Its step of an old generation is refused, and it stops sending. Without a
+        message from the entry it frees the request after ORPHAN_TIMEOUT_S.
         """
         self.receive(Resume(self.start._replace(generation=2)))
         refused = sent(self.receive(a_step(0, "a")))[0]
@@ -74,27 +74,27 @@
         self.assertEqual(OLD_GENERATION, old.code)
         self.assertEqual([], self.receive(a_step(0, "a", generation=3)))
         self.assertEqual((OLD_GENERATION, 2), (refused.code, refused.generation))
-        thawed = sidecar.StageCore()
-        sidecar.receive(thawed, self.start._replace(stage=0), 0.0)
-        sidecar.receive(thawed, refused, 0.0)
-        self.assertEqual([], sent(sidecar.computed(thawed, "r1", 0, "abc", 0.0)))
-        effects = sidecar.tick(thawed, stagetable.ORPHAN_S)
+        replaced = sidecar.StageCore()
+        sidecar.receive(replaced, self.start._replace(stage=0), 0.0)
+        sidecar.receive(replaced, refused, 0.0)
+        self.assertEqual([], sent(sidecar.computed(replaced, "r1", 0, "abc", 0.0)))
+        effects = sidecar.tick(replaced, stagetable.ORPHAN_TIMEOUT_S)
         self.assertEqual([FreeKv("r1")], effects)
 
-    def test_a_resume_during_a_compute(self):
+    def test_resume_keeps_the_compute_in_flight(self):
         """A compute in flight is neither lost nor repeated by a resume.
 
-        The stage answers at once that it is running, so that a long prompt doesn't
-        look like a dead stage, and again with the final position. Outputs that the
-        next stage has are not sent again.
+        The stage replies at once that it is running, so that a long prompt isn't
+        mistaken for a dead stage, and again with the final position. Outputs that the
+        next stage already has are not sent again.
         """
         self.receive(a_step(0, "a", "b"))
         self.receive(a_step(2, "of the old plan"))
         resume = Resume(self.start._replace(generation=2))
         first = sent(self.receive(resume))[0]
-        self.assertEqual(Held("r1", 2, 1, 0, (), True), first)
+        self.assertEqual(ResumeReply("r1", 2, 1, 0, (), True), first)
         final = sent(self.computed(0, "A", "B"))
-        self.assertEqual([Held("r1", 2, 1, 2)], final)
+        self.assertEqual([ResumeReply("r1", 2, 1, 2)], final)
         effects = self.receive(Continue("r1", 2, 1))
         self.assertEqual([a_step(1, "B", generation=2)], sent(effects))
         effects = self.receive(a_step(2, "c", generation=2))
@@ -108,11 +108,11 @@
         self.assertEqual({}, self.core.requests)
 
     def test_a_freed_request_stays_freed(self):
-        """A cancelled request leaves nothing behind, whatever arrives late.
+        """Late messages and results don't reopen a cancelled request.
 
-        The engine was computing when the entry freed it; the result is thrown away
-        and the KV it may have made is freed, before a newer generation computes. A
-        doubled start opens nothing.
+        The engine was computing when the entry freed the request. The result is
+        discarded and the KV it may have created is freed before a newer generation
+        computes. A duplicated start is ignored.
         """
         self.receive(a_step(0, "a"))
         self.assertEqual([FreeKv("r1")], self.receive(Free("r1")))
@@ -130,11 +130,11 @@
         held = (self.core.requests, self.core.early, self.core.tombstones)
         self.assertEqual(({}, [], {}), held)
 
-    def test_a_dead_entry(self):
-        """The engine's KV is not held for an entry that is gone.
+    def test_requests_of_a_dead_entry_are_freed(self):
+        """The engine's KV is freed when the entry of its request is lost.
 
-        The link to the entry breaks and no message of the request follows within the
-        grace time. An entry that is back in time keeps its requests.
+        The link to the entry breaks and no message of the request follows within
+        ORPHAN_TIMEOUT_S. An entry that reconnects in time keeps its requests.
         """
         sidecar.link_lost(self.core, self.start.entry, 1.0)
         self.receive(Ack("r1", 1), 2.0)
@@ -144,7 +144,7 @@
 
 
 class BoundsTests(unittest.TestCase):
-    def test_early_steps_wait_briefly(self):
+    def test_early_steps_are_kept_within_bounds(self):
         core = sidecar.StageCore()
         start = a_start()._replace(stage=1)
         sidecar.receive(core, a_step(0, "a"), 0.0)
@@ -153,12 +153,12 @@
         for number in range(2 * stagetable.MAX_EARLY):
             sidecar.receive(core, Step(f"other{number}", 1, 0, ("a",)), 1.0)
         self.assertEqual(stagetable.MAX_EARLY, len(core.early))
-        sidecar.tick(core, 1.0 + stagetable.EARLY_S)
+        sidecar.tick(core, 1.0 + stagetable.EARLY_TIMEOUT_S)
         self.assertEqual([], core.early)
         sidecar.receive(core, Step("r2", 1, 0, ("a" * 2**26, "a")), 9.0)
         self.assertEqual([], core.early)
 
-    def test_no_room(self):
+    def test_request_is_refused_when_full(self):
         core = sidecar.StageCore(max_requests=1)
         sidecar.receive(core, a_start("r1"), 0.0)
         effects = sidecar.receive(core, a_start("r2"), 0.0)
@@ -166,11 +166,11 @@
 
 
 class LastStageTests(unittest.TestCase):
-    def test_the_window_withholds_the_next_round(self):
-        """A caller that stops reading stops its own chain and no more.
+    def test_full_window_withholds_the_next_input(self):
+        """A caller that stops reading stops only its own chain.
 
-        Tokens still go to the entry, but the input of the next round is kept back
-        until the caller has taken enough of them.
+        Tokens are still sent to the entry, but stage 0's next input is withheld until
+        the caller has taken enough of them.
         """
         core = sidecar.StageCore()
         start = a_start(window=1)._replace(stage=2)
