--- a/bench/bound.py
+++ b/bench/bound.py
@@ -23,15 +23,15 @@
 
 MODEL = "briefing"
 LAYERS = 6
-SECONDS = 15.0
-TOKENS = 16
-PROMPT = 8
+DURATION_S = 15.0
+ANSWER_TOKENS = 16
+PROMPT_TOKENS = 8
 # Tokens that one request counts for: its prompt and its answer.
-REQUEST_TOKENS = PROMPT + TOKENS
+REQUEST_TOKENS = PROMPT_TOKENS + ANSWER_TOKENS
 QUIET = ("quiet-1", "quiet-2", "quiet-3")
 
 
-def contract(customer, tokens_per_s):
+def make_contract(customer, tokens_per_s):
     """Return a contract that is bound by its tokens."""
     return Contract(
         customer,
@@ -48,8 +48,8 @@
 def run_load(deployment, entries, rates):
     """Send Poisson load at requests a second by customer; return the report."""
     customers = [parse_customer(f"{c}:{c}:{rate}") for c, rate in rates.items()]
-    shape = Shape((PROMPT,), (TOKENS,), 0)
-    arrivals = plan_arrivals(customers, shape, SECONDS, random.Random(1))
+    shape = Shape((PROMPT_TOKENS,), (ANSWER_TOKENS,), 0)
+    arrivals = plan_arrivals(customers, shape, DURATION_S, random.Random(1))
     bases = tuple(f"http://{e.addresses['caller']}" for e in entries)
     target = Target(bases, MODEL, LAYERS, True, "", 0.0)
     return anyio.run(measure, arrivals, target)
@@ -68,9 +68,9 @@
     ):
         deployment.start()
         deployment.wait_endpoints(len(engines))
-        deployment.put_contract(contract("flood", bound))
+        deployment.put_contract(make_contract("flood", bound))
         for customer in QUIET:
-            deployment.put_contract(contract(customer, bound))
+            deployment.put_contract(make_contract(customer, bound))
         anyio.run(anyio.sleep, 3.0)
         quiet = dict.fromkeys(QUIET, 0.3 * bound / REQUEST_TOKENS)
         for name, entries in (
@@ -86,16 +86,16 @@
 
 def print_report(report, bound):
     """Print what each customer received."""
-    for one in report.customers:
-        done = one.results.get("done", 0)
-        served = one.goodput_requests_per_s * REQUEST_TOKENS
+    for row in report.customers:
+        done = row.results.get("done", 0)
+        served = row.goodput_requests_per_s * REQUEST_TOKENS
         print(
-            f"  {one.customer}: sent {one.sent}, done {done}, {one.results}, "
+            f"  {row.customer}: sent {row.sent}, done {done}, {row.results}, "
             f"{100 * served / bound:.0f}% of its bound, "
-            f"first token p50 {one.first_token.p50_s:.3f} "
-            f"p95 {one.first_token.p95_s:.3f} s, "
-            f"between tokens p95 {1000 * one.between_tokens.p95_s:.0f} ms, "
-            f"refused within {one.refusal.p95_s:.3f} s (p95)"
+            f"first token p50 {row.first_token.p50_s:.3f} "
+            f"p95 {row.first_token.p95_s:.3f} s, "
+            f"between tokens p95 {1000 * row.between_tokens.p95_s:.0f} ms, "
+            f"refused within {row.refusal.p95_s:.3f} s (p95)"
         )
 
 
--- a/bench/common.py
+++ b/bench/common.py
@@ -23,7 +23,7 @@
 CUSTOMER = "bench"
 
 
-class Use(NamedTuple):
+class Usage(NamedTuple):
     """What a process took for a while."""
 
     cores: float
@@ -31,7 +31,7 @@
     rss_mb: float
 
 
-class Mark(NamedTuple):
+class Sample(NamedTuple):
     """A process's counters at one moment."""
 
     at_s: float
@@ -66,14 +66,14 @@
     return found
 
 
-def marks(pids) -> dict[int, Mark]:
+def take_samples(pids) -> dict[int, Sample]:
     """Return the counters of some processes."""
     sockets = socket_bytes()
     at_s = time.monotonic()
-    return {pid: Mark(at_s, cpu_s(pid), sockets.get(pid, {})) for pid in pids}
+    return {pid: Sample(at_s, cpu_s(pid), sockets.get(pid, {})) for pid in pids}
 
 
-def use_between(pid: int, first: Mark, last: Mark) -> Use:
+def compute_usage(pid: int, first: Sample, last: Sample) -> Usage:
     """Return a process's use between two marks.
 
     Bytes of connections that closed in between are missed: too few, never too many.
@@ -84,15 +84,15 @@
         for name, count in last.bytes_by_socket.items()
     )
     cores = (last.cpu_s - first.cpu_s) / took_s
-    return Use(cores, moved / took_s, rss_mb(pid))
+    return Usage(cores, moved / took_s, rss_mb(pid))
 
 
-def watch_use(pids, seconds: float) -> dict[int, Use]:
+def measure_usage(pids, seconds: float) -> dict[int, Usage]:
     """Return what some processes take during a number of seconds."""
-    first = marks(pids)
+    first = take_samples(pids)
     time.sleep(seconds)
-    last = marks(pids)
-    return {pid: use_between(pid, first[pid], last[pid]) for pid in pids}
+    last = take_samples(pids)
+    return {pid: compute_usage(pid, first[pid], last[pid]) for pid in pids}
 
 
 def slope(sizes, values) -> float:
@@ -100,13 +100,13 @@
     return statistics.linear_regression(sizes, values).slope
 
 
-def spread(values) -> str:
+def format_spread(values) -> str:
     """Return the median, lowest and highest of some values."""
     values = sorted(values)
     return f"{statistics.median(values):.3f} ({values[0]:.3f} to {values[-1]:.3f})"
 
 
-def wide_contract() -> Contract:
+def make_high_limit_contract() -> Contract:
     """Return a contract whose limits no bench reaches; its key is its name."""
     return Contract(
         customer=CUSTOMER,
@@ -121,7 +121,7 @@
     )
 
 
-def leader_of(deployment):
+def find_leader(deployment):
     """Return the control VM that leads, by its own dump; None while none does."""
     for node in deployment.controls:
         if node.process.poll() is None:
--- a/bench/control_scale.py
+++ b/bench/control_scale.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 import defopt
-from common import leader_of, slope, spread, watch_use
+from common import find_leader, format_spread, measure_usage, slope
 
 from cherryrudder.fakes.deployment import INTERNAL_KEY, Deployment, EngineSpec
 
@@ -28,7 +28,7 @@
 SETTLE_S = 5.0
 CHANGE_GAP_S = 0.2
 # Waited after the last change; what is not in force by then is counted as missing.
-IN_FORCE_S = 3.0
+IN_FORCE_TIMEOUT_S = 3.0
 ENGINE = EngineSpec("engine-0", 0, 12)
 
 
@@ -46,9 +46,9 @@
         deployment.wait_endpoints(1)
         print("nodes         process    cores   bytes/s  rss_mb")
         by_sidecars = [measure(deployment, n, 0, seconds) for n in SIDECARS]
-        show_slopes("sidecar", SIDECARS, by_sidecars)
+        print_slopes("sidecar", SIDECARS, by_sidecars)
         by_entries = [measure(deployment, 0, n, seconds) for n in ENTRIES]
-        show_slopes("entry", ENTRIES, by_entries)
+        print_slopes("entry", ENTRIES, by_entries)
         for count in CHANGE_NODES:
             measure_changes(deployment, count, changes)
 
@@ -57,9 +57,9 @@
     """Print and return each process's use beside a number of further nodes."""
     nodes = start_nodes(deployment, sidecars, entries)
     time.sleep(SETTLE_S)
-    pids = {node.name: node.process.pid for node in real_nodes(deployment)}
+    pids = {node.name: node.process.pid for node in list_separate_nodes(deployment)}
     pids["nodes"] = nodes.pid
-    uses = watch_use(list(pids.values()), seconds)
+    uses = measure_usage(list(pids.values()), seconds)
     stop_nodes(nodes)
     label = f"{sidecars:3} + {entries:3}"
     for name, pid in pids.items():
@@ -72,7 +72,7 @@
     return {name: uses[pid] for name, pid in pids.items()}
 
 
-def real_nodes(deployment):
+def list_separate_nodes(deployment):
     """Return the daemons that are processes of their own."""
     return [*deployment.controls, *deployment.entries, *deployment.engines]
 
@@ -97,7 +97,7 @@
     return json.loads(text)
 
 
-def show_slopes(kind, sizes, rows):
+def print_slopes(kind, sizes, rows):
     """Print what one further node costs each process; the controls are averaged."""
     for part in ("control", "entry-0", "engine-0", "nodes"):
         names = [name for name in rows[0] if name.startswith(part)]
@@ -120,23 +120,23 @@
     nodes = start_nodes(deployment, size, size)
     time.sleep(SETTLE_S)
     accepted = make_changes(deployment, count, f"whole-{size}")
-    follower = next(n for n in deployment.controls if n is not leader_of(deployment))
+    follower = next(n for n in deployment.controls if n is not find_leader(deployment))
     follower.freeze()
-    asked = next(
+    control = next(
         i for i, node in enumerate(deployment.controls) if node is not follower
     )
-    accepted_frozen = make_changes(deployment, count, f"frozen-{size}", asked)
+    accepted_frozen = make_changes(deployment, count, f"frozen-{size}", control)
     follower.thaw()
     in_force = stop_nodes(nodes)
-    show_changes("all control VMs up", accepted, in_force)
-    show_changes("one control VM frozen", accepted_frozen, in_force)
+    print_changes("all control VMs up", accepted, in_force)
+    print_changes("one control VM frozen", accepted_frozen, in_force)
 
 
 def make_changes(deployment, count, name, control=0):
     """Make changes one after another; return acceptance times by revision."""
     accepted = {}
     for number in range(count):
-        asked_s = time.monotonic()
+        sent_s = time.monotonic()
         reply = deployment.change(
             {
                 "kind": "put-setting",
@@ -148,27 +148,27 @@
             control,
         )
         revision = reply.raise_for_status().json()["revision"]
-        accepted[revision] = (asked_s, time.monotonic())
+        accepted[revision] = (sent_s, time.monotonic())
         time.sleep(CHANGE_GAP_S)
-    time.sleep(IN_FORCE_S)
+    time.sleep(IN_FORCE_TIMEOUT_S)
     return accepted
 
 
-def show_changes(label, accepted, in_force):
+def print_changes(label, accepted, in_force):
     """Print how long acceptance took, and from it until in force at the last node."""
-    waits = [(at_s - asked_s) * 1000 for asked_s, at_s in accepted.values()]
+    waits = [(at_s - sent_s) * 1000 for sent_s, at_s in accepted.values()]
     delays, missing = [], 0
     for revision, (_, accepted_s) in accepted.items():
-        seen = [first_seen(node, revision) for node in in_force]
+        seen = [find_in_force_s(node, revision) for node in in_force]
         missing += sum(at_s is None for at_s in seen)
         delays.append(max(at_s - accepted_s for at_s in seen if at_s) * 1000)
     print(f"{label}: {len(accepted)} changes, {len(in_force)} nodes")
-    print(f"  ms until accepted: {spread(waits)}")
-    print(f"  ms from then until in force at the last node: {spread(delays)}")
+    print(f"  ms until accepted: {format_spread(waits)}")
+    print(f"  ms from then until in force at the last node: {format_spread(delays)}")
     print(f"  nodes times changes not in force: {missing}", flush=True)
 
 
-def first_seen(node, revision):
+def find_in_force_s(node, revision):
     """Return when a node first held a revision or a later one."""
     times = [at_s for held, at_s in node.items() if int(held) >= revision]
     return min(times, default=None)
--- a/bench/customers.py
+++ b/bench/customers.py
@@ -10,7 +10,7 @@
 import time
 
 import defopt
-from common import slope, watch_use, wide_contract
+from common import make_high_limit_contract, measure_usage, slope
 
 from cherryrudder.fakes.deployment import Deployment
 from cherryrudder.model.contracts import digest_key
@@ -50,14 +50,18 @@
     """Create contracts of numbered customers."""
     for number in range(first, last):
         name = f"customer-{number}"
-        contract = wide_contract()._replace(customer=name, key_sha256=digest_key(name))
+        contract = make_high_limit_contract()._replace(
+            customer=name, key_sha256=digest_key(name)
+        )
         deployment.put_contract(contract).raise_for_status()
 
 
 def measure(deployment, customers, seconds):
     """Print and return the mean use of each role's processes."""
     groups = {"entry": deployment.entries, "control": deployment.controls}
-    uses = watch_use([node.process.pid for g in groups.values() for node in g], seconds)
+    uses = measure_usage(
+        [node.process.pid for g in groups.values() for node in g], seconds
+    )
     row = {}
     for role, nodes in groups.items():
         of_role = [uses[node.process.pid] for node in nodes]
--- a/bench/data_plane.py
+++ b/bench/data_plane.py
@@ -14,7 +14,13 @@
 import anyio
 import defopt
 import msgspec
-from common import CUSTOMER, MODEL, marks, use_between, wide_contract
+from common import (
+    CUSTOMER,
+    MODEL,
+    compute_usage,
+    make_high_limit_contract,
+    take_samples,
+)
 
 from cherryrudder.fakes.deployment import Deployment, EngineSpec
 from cherryrudder.model.settings import split_address
@@ -31,11 +37,11 @@
 
 
 # A caller that has no answer by then has failed; the bench stops.
-FIRST_TOKEN_S = 20.0
+FIRST_TOKEN_TIMEOUT_S = 20.0
 # All at once they find no credits, and with so many tokens each wait is too long: the
 # entry rightly refuses some.
 START_GAP_S = 0.02
-EVENT = b"data: {"
+EVENT_PREFIX = b"data: {"
 
 
 class Choice(msgspec.Struct):
@@ -53,25 +59,25 @@
 decode = msgspec.json.Decoder(Event).decode
 
 
-class Callers:
+class StreamStats:
     """What all callers have seen."""
 
     def __init__(self):
         self.tokens = 0
         self.events = 0
         self.started = 0
-        self.last_s: dict[int, float] = {}
+        self.last_event_s: dict[int, float] = {}
         self.gaps_s: list[float] = []
 
-    def take(self, number: int, event: bytes) -> None:
+    def record_event(self, number: int, event: bytes) -> None:
         """Count an event's tokens and note the time since the one before."""
         text = decode(event).choices[0].text
         now_s = time.monotonic()
-        if number in self.last_s:
-            self.gaps_s.append(now_s - self.last_s[number])
+        if number in self.last_event_s:
+            self.gaps_s.append(now_s - self.last_event_s[number])
         else:
             self.started += 1
-        self.last_s[number] = now_s
+        self.last_event_s[number] = now_s
         self.tokens += len(text.split())
         self.events += 1
 
@@ -115,7 +121,7 @@
     ):
         deployment.start()
         deployment.wait_endpoints(stages)
-        deployment.put_contract(wide_contract()).raise_for_status()
+        deployment.put_contract(make_high_limit_contract()).raise_for_status()
         time.sleep(SETTLE_S)
         print("  ".join(Row._fields))
         for streams in STREAMS:
@@ -125,29 +131,29 @@
 
 async def measure(deployment, streams, seconds) -> Row:
     """Run a number of streams and return what they came to."""
-    callers = Callers()
-    pids = pids_by_part(deployment)
-    everyone = [pid for group in pids.values() for pid in group]
+    stats = StreamStats()
+    pids = group_pids(deployment)
+    all_pids = [pid for group in pids.values() for pid in group]
     async with anyio.create_task_group() as group:
         for number in range(streams):
-            group.start_soon(call, deployment, callers, number)
+            group.start_soon(stream_completion, deployment, stats, number)
             await anyio.sleep(START_GAP_S)
-        with anyio.fail_after(FIRST_TOKEN_S):
-            while callers.started < streams:
+        with anyio.fail_after(FIRST_TOKEN_TIMEOUT_S):
+            while stats.started < streams:
                 await anyio.sleep(0.05)
         await anyio.sleep(SETTLE_S)
-        first, tokens, events = marks(everyone), callers.tokens, callers.events
-        callers.gaps_s.clear()
-        began_s = time.monotonic()
-        began_cpu_s = time.process_time()
+        first, tokens, events = take_samples(all_pids), stats.tokens, stats.events
+        stats.gaps_s.clear()
+        started_s = time.monotonic()
+        started_cpu_s = time.process_time()
         await anyio.sleep(seconds)
-        took_s = time.monotonic() - began_s
-        own_cores = (time.process_time() - began_cpu_s) / took_s
-        last = marks(everyone)
-        tokens, events = callers.tokens - tokens, callers.events - events
-        gaps_s = sorted(callers.gaps_s)
+        took_s = time.monotonic() - started_s
+        callers_cores = (time.process_time() - started_cpu_s) / took_s
+        last = take_samples(all_pids)
+        tokens, events = stats.tokens - tokens, stats.events - events
+        gaps_s = sorted(stats.gaps_s)
         group.cancel_scope.cancel()
-    uses = {pid: use_between(pid, first[pid], last[pid]) for pid in everyone}
+    uses = {pid: compute_usage(pid, first[pid], last[pid]) for pid in all_pids}
     cores = {
         part: sum(uses[pid].cores for pid in group) / len(group)
         for part, group in pids.items()
@@ -161,14 +167,14 @@
         cores["entry"],
         cores["sidecar"],
         cores["engine"],
-        own_cores,
+        callers_cores,
         cores["entry"] / rate * 1e6,
         cores["sidecar"] / rate * 1e6,
         uses[pids["entry"][0]].bytes_per_s / rate,
     )
 
 
-def pids_by_part(deployment):
+def group_pids(deployment):
     """Return the processes by what they do."""
     stand_ins = [deployment.nodes[f"{n.name}.engine"] for n in deployment.engines]
     return {
@@ -178,7 +184,7 @@
     }
 
 
-async def call(deployment, callers, number):
+async def stream_completion(deployment, stats, number):
     """Stream one completion until it is cut.
 
     By hand and not by httpx, whose cost for each event is above the entry's own.
@@ -197,11 +203,11 @@
         if not rest.startswith(b"HTTP/1.1 200"):
             raise RuntimeError(f"stream {number} was refused: {rest.decode()}")
         async for data in stream:
-            *whole, rest = (rest + data).split(b"\n\n")
-            for part in whole:
-                at = part.find(EVENT)
-                if at >= 0:
-                    callers.take(number, part[at + len(EVENT) - 1 :])
+            *events, rest = (rest + data).split(b"\n\n")
+            for event in events:
+                start = event.find(EVENT_PREFIX)
+                if start >= 0:
+                    stats.record_event(number, event[start + len(EVENT_PREFIX) - 1 :])
 
 
 if __name__ == "__main__":
--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -25,7 +25,7 @@
 from cherryrudder.wire.frames import FrameCodec
 from cherryrudder.wire.links import Links, listen_frames
 
-ANNOUNCE_S = 0.5
+ANNOUNCE_INTERVAL_S = 0.5
 LEASE_S = 2.0
 SLOTS = 16
 
@@ -44,13 +44,15 @@
             client=Client(key),
             settings=SimpleNamespace(control=SimpleNamespace(addresses=addresses)),
         )
-        announcement = an_announcement(name, kind, self.frames)
-        self.announcer = Announcer(self.process, announcement, ANNOUNCE_S, LEASE_S)
+        announcement = make_announcement(name, kind, self.frames)
+        self.announcer = Announcer(
+            self.process, announcement, ANNOUNCE_INTERVAL_S, LEASE_S
+        )
         with_table = kind == Kind.ENTRY
-        self.follower = Follower(self.process, self.note, with_table)
+        self.follower = Follower(self.process, self.record_revision, with_table)
         self.in_force: dict[int, float] = {}
 
-    def note(self) -> None:
+    def record_revision(self) -> None:
         """Note when a revision was first in force here."""
         self.in_force.setdefault(self.follower.config.revision, time.monotonic())
 
@@ -72,7 +74,7 @@
         await listen_frames(self.frames, codec, self.key, on_messages, anyio.Event())
 
 
-def an_announcement(name, kind, frames):
+def make_announcement(name, kind, frames):
     """Return an announcement of usual length."""
     return Announcement(
         endpoint=name,
--- a/bench/pipeline_hops.py
+++ b/bench/pipeline_hops.py
@@ -42,7 +42,7 @@
     def __init__(self):
         self.outbox = defaultdict(list)
         self.bytes = Counter()
-        self.spent_s = Counter()
+        self.cpu_s = Counter()
         self.steps = Counter()
         self.hops = 0
 
@@ -61,26 +61,26 @@
             frames.append((*key, frame))
         return frames
 
-    def turn(self, sender, address, frame, handle):
+    def process_frame(self, sender, address, frame, handle):
         """Let a process take a frame, and return the frames it sends."""
-        began_s = time.process_time()
+        started_s = time.process_time()
         for kind, body in decode_frames(frame):
             self.steps[address] += MESSAGES[kind] is Step
             handle(sender, address, DECODERS[kind].decode(body))
         sent = self.flush(address)
-        self.spent_s[address] += time.process_time() - began_s
+        self.cpu_s[address] += time.process_time() - started_s
         return sent
 
     def run(self, frames, handle):
         """Deliver frames in order; `hops` is how many followed one another."""
-        under_way = [(frame, 1) for frame in frames]
-        while under_way:
-            frame, hops = under_way.pop(0)
+        in_flight = [(frame, 1) for frame in frames]
+        while in_flight:
+            frame, hops = in_flight.pop(0)
             self.hops = hops
-            under_way += [(new, hops + 1) for new in self.turn(*frame, handle)]
+            in_flight += [(new, hops + 1) for new in self.process_frame(*frame, handle)]
 
 
-def plan_of(stages):
+def make_plan(stages):
     """Return a plan of equal stages."""
     return tuple(
         Stage(f"s{i}", "1", f"s{i}", i * LAYERS_PER_STAGE, (i + 1) * LAYERS_PER_STAGE)
@@ -104,9 +104,9 @@
         prompt = tuple(str(number) for number in range(prompt_tokens))
         start = Start(name, 1, ENTRY, self.plan, 0, "m", prompt, tokens, tokens)
         core = self.requests[name] = entry.RequestCore(start)
-        self.at_entry(core, entry.begin(core, 0.0))
+        self.apply_entry_effects(core, entry.begin(core, 0.0))
 
-    def at_entry(self, core, effects):
+    def apply_entry_effects(self, core, effects):
         for effect in effects:
             if isinstance(effect, SendTo):
                 self.meter.send(ENTRY, effect.address, effect.message)
@@ -115,9 +115,9 @@
             elif isinstance(effect, NeedStage):
                 self.stages["spare"] = sidecar.StageCore()
                 spare = Stage("spare", "1", "spare", *effect[:2])
-                self.at_entry(core, entry.replace(core, spare, 0.0))
+                self.apply_entry_effects(core, entry.replace(core, spare, 0.0))
 
-    def at_stage(self, address, effects):
+    def apply_stage_effects(self, address, effects):
         for effect in effects:
             if isinstance(effect, SendTo):
                 self.meter.send(address, effect.address, effect.message)
@@ -128,15 +128,17 @@
                 outputs = ("token" if last else self.activation,) * count
                 core = self.stages[address]
                 key = (effect.request, effect.position)
-                self.at_stage(address, sidecar.computed(core, *key, outputs, 0.0))
+                self.apply_stage_effects(
+                    address, sidecar.computed(core, *key, outputs, 0.0)
+                )
 
     def handle(self, sender, address, message):
         if address == ENTRY:
             core = self.requests[message.request]
-            self.at_entry(core, entry.receive(core, message, 0.0))
+            self.apply_entry_effects(core, entry.receive(core, message, 0.0))
         elif address in self.stages:
             core = self.stages[address]
-            self.at_stage(address, sidecar.receive(core, message, 0.0))
+            self.apply_stage_effects(address, sidecar.receive(core, message, 0.0))
 
     def run(self):
         self.meter.run(self.meter.flush(ENTRY), self.handle)
@@ -149,11 +151,11 @@
         self.meter = Meter()
         self.addresses = [stage.address for stage in plan]
         self.activation = activation
-        self.left = {}
+        self.tokens_left = {}
         self.tokens = 0
 
     def begin(self, name, prompt_tokens, tokens):
-        self.left[name] = tokens
+        self.tokens_left[name] = tokens
         prompt = tuple(str(number) for number in range(prompt_tokens))
         self.meter.send(ENTRY, self.addresses[0], Step(name, 1, 0, prompt))
 
@@ -163,13 +165,13 @@
             outputs = ("token" if last else self.activation,) * len(step.inputs)
             self.meter.send(address, ENTRY, step._replace(inputs=outputs))
             return
-        following = self.addresses.index(sender) + 1
-        if following < len(self.addresses):
-            self.meter.send(ENTRY, self.addresses[following], step)
+        next_index = self.addresses.index(sender) + 1
+        if next_index < len(self.addresses):
+            self.meter.send(ENTRY, self.addresses[next_index], step)
             return
         self.tokens += 1
-        self.left[step.request] -= 1
-        if self.left[step.request]:
+        self.tokens_left[step.request] -= 1
+        if self.tokens_left[step.request]:
             position = step.position + len(step.inputs)
             step = Step(step.request, 1, position, step.inputs[-1:])
             self.meter.send(ENTRY, self.addresses[0], step)
@@ -195,14 +197,14 @@
     for kind in (OurChain, NaiveChain):
         for batch in (1, 2, 4, 8, 16, 32, 64):
             meter = run_batch(kind, plan, activation, batch, tokens)
-            made = batch * tokens
+            made_tokens = batch * tokens
             # The middle stage: it takes an activation and gives one.
             middle = plan[len(plan) // 2].address
-            step_us = meter.spent_s[middle] / meter.steps[middle] * 1e6
+            step_us = meter.cpu_s[middle] / meter.steps[middle] * 1e6
             print(
                 f"{kind.__name__[:-5]:5}  {batch:5}  {meter.hops / tokens:10.2f}"
-                f"  {meter.bytes[ENTRY] / made:13.0f}"
-                f"  {meter.spent_s[ENTRY] / made * 1e6:14.1f}  {step_us:13.1f}"
+                f"  {meter.bytes[ENTRY] / made_tokens:13.0f}"
+                f"  {meter.cpu_s[ENTRY] / made_tokens * 1e6:14.1f}  {step_us:13.1f}"
                 f"  {1e6 / step_us:14.0f}"
             )
 
@@ -214,21 +216,21 @@
     lost = plan[len(plan) // 2].address
     frames = chain.meter.flush(ENTRY)
     while not chain.tokens:
-        frames += chain.meter.turn(*frames.pop(0), chain.handle)
+        frames += chain.meter.process_frame(*frames.pop(0), chain.handle)
     before = chain.positions.copy()
     before_bytes = chain.meter.bytes.copy()
-    before_s = sum(chain.meter.spent_s.values())
+    before_s = sum(chain.meter.cpu_s.values())
     del chain.stages[lost]
     core = chain.requests["r"]
-    chain.at_entry(core, entry.stage_lost(core, lost, 0.0))
+    chain.apply_entry_effects(core, entry.stage_lost(core, lost, 0.0))
     chain.run()
-    ran = chain.positions - before
-    moved = chain.meter.bytes["spare"] - before_bytes["spare"]
-    through = chain.meter.bytes[ENTRY] - before_bytes[ENTRY]
-    spent_s = sum(chain.meter.spent_s.values()) - before_s
-    print(f"positions run after the loss, by stage: {dict(ran)}")
-    print(f"bytes to and from the new stage: {moved}, the entry: {through}")
-    print(f"cores and codec: {spent_s * 1e3:.1f} ms for {positions} positions")
+    recomputed = chain.positions - before
+    spare_bytes = chain.meter.bytes["spare"] - before_bytes["spare"]
+    entry_bytes = chain.meter.bytes[ENTRY] - before_bytes[ENTRY]
+    took_s = sum(chain.meter.cpu_s.values()) - before_s
+    print(f"positions run after the loss, by stage: {dict(recomputed)}")
+    print(f"bytes to and from the new stage: {spare_bytes}, the entry: {entry_bytes}")
+    print(f"cores and codec: {took_s * 1e3:.1f} ms for {positions} positions")
 
 
 def main(*, activation_bytes: int = 16384, stages: int = 3, tokens: int = 200):
@@ -238,7 +240,7 @@
     :param stages: length of the chain
     :param tokens: tokens that each request makes
     """
-    plan = plan_of(stages)
+    plan = make_plan(stages)
     activation = "a" * activation_bytes
     print(f"{stages} stages, {activation_bytes} B per activation, {tokens} tokens each")
     report_batches(plan, activation, tokens)
--- a/bench/policy_cost.py
+++ b/bench/policy_cost.py
@@ -22,7 +22,7 @@
 ROUNDS = 15
 CALLS = 200
 # The share of slots in use while choosing, as under a normal heavy load.
-BUSY_PART = 0.8
+BUSY_FRACTION = 0.8
 
 
 def measure(call):
@@ -41,7 +41,7 @@
     return (costs[-1] - costs[0]) / (sizes[-1] - sizes[0])
 
 
-def a_fleet(count, stages):
+def make_fleet(count, stages):
     """Return a busy fleet of so many engines, as chains of so many stages."""
     rng = random.Random(1)
     centres = ("a-1", "a-2", "a-3")
@@ -70,14 +70,14 @@
     fleet = Fleet(rng, Place("entry", "a-1", "a"))
     placement.update(fleet, announcements, 0.0)
     for number in range(count):
-        for _ in range(int(16 * BUSY_PART)):
+        for _ in range(int(16 * BUSY_FRACTION)):
             placement.record_start(fleet, f"g{number}", 0.0)
     return fleet
 
 
-def choice_cost(count, stages, prefixes):
+def measure_choice(count, stages, prefixes):
     """Return the cost of choosing a chain, with its begin and end."""
-    fleet = a_fleet(count, stages)
+    fleet = make_fleet(count, stages)
     rng = random.Random(2)
 
     def choose():
@@ -91,9 +91,9 @@
     return measure(choose)
 
 
-def review_cost(count):
+def measure_review(count):
     """Return the cost of one review of all endpoints."""
-    fleet = a_fleet(count, 1)
+    fleet = make_fleet(count, 1)
     now = [1.0]
 
     def review():
@@ -105,7 +105,7 @@
     return measure(review)
 
 
-def an_admission(customers):
+def make_admission(customers):
     """Return an admission with so many contracts."""
     admission = adm.Admission(100_000)
     for number in range(customers):
@@ -115,31 +115,31 @@
     return admission
 
 
-def admission_cost(customers, waiting_each):
+def measure_admission(customers, waiting_per_customer):
     """Return the cost of one request from offer to settlement.
 
     With `waiting_each`, so many requests of each customer wait meanwhile.
     """
-    admission = an_admission(customers)
+    admission = make_admission(customers)
     count = [0]
 
     def offer():
         count[0] += 1
         name = f"c{count[0] % customers}"
         request_id = f"r{count[0]}"
-        asked = adm.Offer(request_id, name, "m", 50, 100, 0, 1e9)
-        return adm.offer(admission, asked, 1.0)
+        new_offer = adm.Offer(request_id, name, "m", 50, 100, 0, 1e9)
+        return adm.offer(admission, new_offer, 1.0)
 
-    if waiting_each:
+    if waiting_per_customer:
         offer()
         adm.put_back(admission, "r1", 1.0)
-        for _ in range(customers * waiting_each):
+        for _ in range(customers * waiting_per_customer):
             offer()
-    full = [False]
+    is_full = [False]
 
     def place(request_id):
-        full[0] = not full[0]
-        return full[0]
+        is_full[0] = not is_full[0]
+        return is_full[0]
 
     def request():
         result = offer()
@@ -152,28 +152,28 @@
     return measure(request)
 
 
-def dispatch_cost(count, customers):
+def measure_dispatch(count, customers):
     """Return the cost of a whole request, from its arrival to its settlement."""
-    dispatcher = Dispatcher(an_admission(customers), a_fleet(count, 1))
+    dispatcher = Dispatcher(make_admission(customers), make_fleet(count, 1))
     sent = [0]
 
     def request():
         sent[0] += 1
         customer = f"c{sent[0] % customers}"
-        asked = adm.Offer(f"r{sent[0]}", customer, "briefing", 50, 100, 0, 1e9)
-        work = dispatch.Work(asked, version="1")
+        new_offer = adm.Offer(f"r{sent[0]}", customer, "briefing", 50, 100, 0, 1e9)
+        work = dispatch.Work(new_offer, version="1")
         for effect in dispatch.submit(dispatcher, work, 1.0):
             dispatch.finish(dispatcher, effect.request_id, 100, 0.5, 1.0)
 
     return measure(request)
 
 
-def tick_cost(customers, waiting_each):
+def measure_tick(customers, waiting_per_customer):
     """Return the cost of one tick with the model full and a queue to look through."""
-    dispatcher = Dispatcher(an_admission(customers), Fleet(random.Random(1)))
-    for number in range(customers * waiting_each):
-        asked = adm.Offer(f"r{number}", f"c{number % customers}", "m", 1, 1, 0, 1e9)
-        dispatch.submit(dispatcher, dispatch.Work(asked), 0.0)
+    dispatcher = Dispatcher(make_admission(customers), Fleet(random.Random(1)))
+    for number in range(customers * waiting_per_customer):
+        new_offer = adm.Offer(f"r{number}", f"c{number % customers}", "m", 1, 1, 0, 1e9)
+        dispatch.submit(dispatcher, dispatch.Work(new_offer), 0.0)
     now = [0.0]
 
     def tick():
@@ -183,7 +183,7 @@
     return measure(tick)
 
 
-def share_cost(entries, demand):
+def measure_share_renewal(entries, demand):
     """Return the cost of one renewal of one customer's share."""
     allocator = Allocator("a", 2.0, -10.0)
     names = [f"e{number}" for number in range(entries)]
@@ -202,7 +202,7 @@
     return measure(renew)
 
 
-def report(title, sizes, costs):
+def print_costs(title, sizes, costs):
     """Print one line of figures."""
     figures = "  ".join(
         f"{size}: {cost:.1f}" for size, cost in zip(sizes, costs, strict=True)
@@ -214,26 +214,28 @@
     print("µs by number of endpoints")
     for stages in (1, 3):
         for prefixes in (0, 5000):
-            costs = [choice_cost(count, stages, prefixes) for count in ENDPOINTS]
+            costs = [measure_choice(count, stages, prefixes) for count in ENDPOINTS]
             kind = "with prefix" if prefixes else "no prefix"
-            report(f"choose chain of {stages}, {kind}", ENDPOINTS, costs)
-    report("choose chain of 8", (43, 1100), [choice_cost(n, 8, 0) for n in (43, 1100)])
-    costs = [dispatch_cost(count, 10) for count in ENDPOINTS]
-    report("whole request, 10 customers", ENDPOINTS, costs)
-    costs = [review_cost(count) for count in ENDPOINTS]
-    report("review, twice a second", ENDPOINTS, costs)
+            print_costs(f"choose chain of {stages}, {kind}", ENDPOINTS, costs)
+    print_costs(
+        "choose chain of 8", (43, 1100), [measure_choice(n, 8, 0) for n in (43, 1100)]
+    )
+    costs = [measure_dispatch(count, 10) for count in ENDPOINTS]
+    print_costs("whole request, 10 customers", ENDPOINTS, costs)
+    costs = [measure_review(count) for count in ENDPOINTS]
+    print_costs("review, twice a second", ENDPOINTS, costs)
     print("µs by number of customers")
     for waiting in (0, 1, 10):
-        costs = [admission_cost(count, waiting) for count in CUSTOMERS]
-        report(f"request, {waiting} of each waiting", CUSTOMERS, costs)
-    costs = [dispatch_cost(43, count) for count in CUSTOMERS]
-    report("whole request, 43 endpoints", CUSTOMERS, costs)
-    costs = [tick_cost(count, 5) for count in CUSTOMERS]
-    report("tick, 5 of each waiting", CUSTOMERS, costs)
+        costs = [measure_admission(count, waiting) for count in CUSTOMERS]
+        print_costs(f"request, {waiting} of each waiting", CUSTOMERS, costs)
+    costs = [measure_dispatch(43, count) for count in CUSTOMERS]
+    print_costs("whole request, 43 endpoints", CUSTOMERS, costs)
+    costs = [measure_tick(count, 5) for count in CUSTOMERS]
+    print_costs("tick, 5 of each waiting", CUSTOMERS, costs)
     print("µs by number of entries")
     for title, demand in (("busy", Share(50.0, 500.0, 50)), ("idle", Share(0, 0, 0))):
-        costs = [share_cost(count, demand) for count in (3, 15)]
-        report(f"renew a share, {title} customer", (3, 15), costs)
+        costs = [measure_share_renewal(count, demand) for count in (3, 15)]
+        print_costs(f"renew a share, {title} customer", (3, 15), costs)
 
 
 if __name__ == "__main__":
--- a/bench/quorum_disk.py
+++ b/bench/quorum_disk.py
@@ -35,14 +35,16 @@
     :param seconds: Length of each run.
     :param runs: Runs for each line; all are printed.
     """
-    with tempfile.TemporaryDirectory(dir=folder or None) as place:
+    with tempfile.TemporaryDirectory(dir=folder or None) as root:
         print("batch  kind       writes/s  entries/s  median_ms  p99_ms")
         for batch in BATCHES:
             for number in range(runs):
-                bare = measure(bare_writer(place, batch), seconds)
-                log = measure(log_writer(f"{place}/{batch}-{number}", batch), seconds)
-                show(batch, "fsync", bare)
-                show(batch, "log", log)
+                bare = measure(make_fsync_writer(root, batch), seconds)
+                log = measure(
+                    make_log_writer(f"{root}/{batch}-{number}", batch), seconds
+                )
+                print_line(batch, "fsync", bare)
+                print_line(batch, "log", log)
 
 
 def measure(write, seconds):
@@ -62,9 +64,9 @@
     )
 
 
-def bare_writer(place, batch):
+def make_fsync_writer(folder, batch):
     """Return a function that appends as many bytes to a file and syncs it."""
-    fd = os.open(f"{place}/bare", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
+    fd = os.open(f"{folder}/bare", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     data = (PAYLOAD * batch).encode()
 
     def write():
@@ -74,7 +76,7 @@
     return write
 
 
-def log_writer(folder, batch):
+def make_log_writer(folder, batch):
     """Return a function that persists a batch of entries."""
     init_disk(folder, "a", "127.0.0.1:1")
     disk = open_disk(folder, "a").ok
@@ -92,7 +94,7 @@
     return write
 
 
-def show(batch, kind, figures):
+def print_line(batch, kind, figures):
     """Print one line."""
     entries_per_s = figures.writes_per_s * batch
     print(
--- a/bench/relay_cost.py
+++ b/bench/relay_cost.py
@@ -28,7 +28,7 @@
 SHORT, LONG = 10, 200
 STREAMS_AT_ONCE = 16
 ROUNDS = 4
-START_S = 10.0
+START_TIMEOUT_S = 10.0
 
 
 async def serve_engine():
@@ -92,7 +92,7 @@
 ROLES = {"engine": serve_engine, "own": serve_own, "naive": serve_naive}
 
 
-async def _ask(count):
+async def _fetch_stream(count):
     connection = await open_connection(RELAY, 1.0, 0.0)
     headers = [(b"host", RELAY.encode())]
     await connection.send(b"GET", b"/%d" % count, headers, b"")
@@ -104,11 +104,11 @@
     assert size == count * len(EVENT), size
 
 
-async def _wait_up():
-    with anyio.fail_after(START_S):
+async def _wait_ready():
+    with anyio.fail_after(START_TIMEOUT_S):
         while True:
             try:
-                await _ask(1)
+                await _fetch_stream(1)
                 return
             except (ConnectFailed, AssertionError):
                 await anyio.sleep(0.1)
@@ -120,12 +120,12 @@
     for _ in range(ROUNDS):
         async with anyio.create_task_group() as group:
             for _ in range(STREAMS_AT_ONCE):
-                group.start_soon(_ask, count)
+                group.start_soon(_fetch_stream, count)
     return (cpu_s(pid) - before_s) / (ROUNDS * STREAMS_AT_ONCE)
 
 
 async def _compare(kind, pid):
-    await _wait_up()
+    await _wait_ready()
     short_s, long_s = await _measure(pid, SHORT), await _measure(pid, LONG)
     event_ms = (long_s - short_s) / (LONG - SHORT) * 1000
     request_ms = short_s * 1000 - SHORT * event_ms
--- a/bench/state_apply.py
+++ b/bench/state_apply.py
@@ -34,7 +34,7 @@
 RECEIPT = '{"receipt":"2026-000000","text":"' + "x" * 200 + '"}'
 
 
-def a_contract(number, version=0):
+def make_put_contract(number, version=0):
     """Return a contract with two models and two services."""
     name = f"customer-{number}"
     contract = Contract(
@@ -50,7 +50,7 @@
     return PutContract(f"change-{number}-{version}", version, contract)
 
 
-def an_open(number):
+def make_open_claim(number):
     """Return a claim as an entry makes it, with ids of the usual lengths."""
     rng = random.Random(number)
     key, attempt = (f"{rng.getrandbits(128):032x}" for _ in range(2))
@@ -66,13 +66,13 @@
     )
 
 
-def a_close(opened):
+def make_close_claim(opened):
     """Return the outcome of a claim, with a receipt as its body."""
     place = (opened.customer, opened.key, opened.attempt_id)
     return CloseClaim(*place, "done", 200, RECEIPT)
 
 
-def an_announcement(number, sequence=1, leaving=False):
+def make_announcement(number, sequence=1, leaving=False):
     """Return an engine's announcement."""
     return Announcement(
         f"briefing-{number}",
@@ -93,32 +93,32 @@
     )
 
 
-def a_table(count):
+def make_table(count):
     """Return a table that holds a number of engines."""
     table = tables.Table("5e884898")
     for number in range(count):
-        tables.announce(table, an_announcement(number), LEASE_S, 0.0)
+        tables.announce(table, make_announcement(number), LEASE_S, 0.0)
     return table
 
 
-def timed(work, rounds, count=1):
+def time_rounds(work, rounds, count=1):
     """Return the microseconds of one of `count` pieces of work, for each round."""
-    found = []
+    times_us = []
     for number in range(rounds):
         start = time.perf_counter()
         work(number)
-        found.append((time.perf_counter() - start) / count * 1e6)
-    return found
+        times_us.append((time.perf_counter() - start) / count * 1e6)
+    return times_us
 
 
-def show(name, found, unit):
+def print_figure(name, values, unit):
     """Print the median, the lowest and the highest of some figures."""
-    middle = statistics.median(found)
-    print(f"{name:44} {middle:12,.1f} {min(found):12,.1f} {max(found):12,.1f} {unit}")
+    middle = statistics.median(values)
+    print(f"{name:44} {middle:12,.1f} {min(values):12,.1f} {max(values):12,.1f} {unit}")
 
 
-def show_rate(name, micros):
-    show(name, [1e6 / value for value in micros], "per s")
+def print_rate(name, micros):
+    print_figure(name, [1e6 / value for value in micros], "per s")
 
 
 def apply_all(state, payloads):
@@ -128,97 +128,109 @@
 
 def measure_applies(rounds):
     """Measure records a second and leave a state of the aimed size."""
-    puts = [encode_command(a_contract(n)) for n in range(CONTRACTS)]
-    opened = [an_open(n) for n in range(CLAIMS)]
+    puts = [encode_command(make_put_contract(n)) for n in range(CONTRACTS)]
+    opened = [make_open_claim(n) for n in range(CLAIMS)]
     opens = [encode_command(command) for command in opened]
-    closes = [encode_command(a_close(command)) for command in opened]
+    closes = [encode_command(make_close_claim(command)) for command in opened]
     kinds = (("PutContract", puts), ("OpenClaim", opens), ("CloseClaim", closes))
     states = [new_state() for _ in range(rounds)]
     for name, payloads in kinds:
-        found = timed(
+        times_us = time_rounds(
             lambda n, p=payloads: apply_all(states[n], p), rounds, len(payloads)
         )
-        show_rate(f"apply {name}", found)
-        show(f"log record of {name}", [len(payloads[0])], "bytes")
+        print_rate(f"apply {name}", times_us)
+        print_figure(f"log record of {name}", [len(payloads[0])], "bytes")
     clocks = [encode_command(Clock(float(n))) for n in range(1000)]
-    found = timed(lambda n: apply_all(states[n], clocks), rounds, len(clocks))
-    show_rate(f"apply Clock over {CLAIMS:,} claims", found)
+    times_us = time_rounds(lambda n: apply_all(states[n], clocks), rounds, len(clocks))
+    print_rate(f"apply Clock over {CLAIMS:,} claims", times_us)
     return states[0]
 
 
 def measure_snapshot(state, rounds):
     """Measure the snapshot, also per record held."""
     text = snapshot(state)
-    show(f"snapshot, {CONTRACTS} contracts, {CLAIMS:,} claims", [len(text)], "bytes")
-    show(
+    print_figure(
+        f"snapshot, {CONTRACTS} contracts, {CLAIMS:,} claims", [len(text)], "bytes"
+    )
+    print_figure(
         "snapshot per claim",
         [len(encode(list(state.claims.values()))) / CLAIMS],
         "bytes",
     )
-    held = len(encode(list(state.contracts.values()))) / CONTRACTS
-    kept = len(encode(list(state.changes.items()))) / len(state.changes)
-    show("snapshot per contract", [held], "bytes")
-    show("snapshot per kept answer", [kept], "bytes")
-    show("write the snapshot", timed(lambda _: snapshot(state), rounds), "us")
-    show("restore it", timed(lambda _: restore(text), rounds), "us")
+    contract_bytes = len(encode(list(state.contracts.values()))) / CONTRACTS
+    answer_bytes = len(encode(list(state.changes.items()))) / len(state.changes)
+    print_figure("snapshot per contract", [contract_bytes], "bytes")
+    print_figure("snapshot per kept answer", [answer_bytes], "bytes")
+    print_figure(
+        "write the snapshot", time_rounds(lambda _: snapshot(state), rounds), "us"
+    )
+    print_figure("restore it", time_rounds(lambda _: restore(text), rounds), "us")
 
 
 def measure_config(state, rounds):
     """Measure what readers of the configuration cost."""
-    apply(state, state.applied_index + 1, encode_command(a_contract(0, 1)))
+    apply(state, state.applied_index + 1, encode_command(make_put_contract(0, 1)))
     one = encode(delta(state, state.revision - 1))
-    show("configuration delta, one contract", [len(one)], "bytes")
-    show("configuration, all contracts", [len(encode(delta(state, 0)))], "bytes")
-    show(
+    print_figure("configuration delta, one contract", [len(one)], "bytes")
+    print_figure(
+        "configuration, all contracts", [len(encode(delta(state, 0)))], "bytes"
+    )
+    print_figure(
         "empty configuration delta",
         [len(encode(delta(state, state.revision)))],
         "bytes",
     )
-    found = timed(lambda _: delta(state, state.revision), rounds * 100)
-    show("make an empty configuration delta", found, "us")
+    times_us = time_rounds(lambda _: delta(state, state.revision), rounds * 100)
+    print_figure("make an empty configuration delta", times_us, "us")
 
 
 def measure_table(rounds):
     """Measure announcements and deltas at the aimed number of endpoints."""
-    show("announcement", [len(encode(an_announcement(7)))], "bytes")
-    table = a_table(ENDPOINTS)
+    print_figure("announcement", [len(encode(make_announcement(7)))], "bytes")
+    table = make_table(ENDPOINTS)
 
     def renew(number):
         for endpoint in range(ENDPOINTS):
-            renewal = an_announcement(endpoint, number + 2)
+            renewal = make_announcement(endpoint, number + 2)
             tables.announce(table, renewal, LEASE_S, number / 2)
 
-    built = timed(
-        lambda n: [an_announcement(e, n) for e in range(ENDPOINTS)], rounds, ENDPOINTS
+    built = time_rounds(
+        lambda n: [make_announcement(e, n) for e in range(ENDPOINTS)], rounds, ENDPOINTS
     )
-    found = timed(renew, rounds, ENDPOINTS)
-    show("renew a lease", [a - b for a, b in zip(found, built, strict=True)], "us")
-    found = timed(lambda _: tables.expire(table, 0.0), rounds * 10)
-    show(f"expire over {ENDPOINTS:,} endpoints", found, "us")
+    times_us = time_rounds(renew, rounds, ENDPOINTS)
+    print_figure(
+        "renew a lease", [a - b for a, b in zip(times_us, built, strict=True)], "us"
+    )
+    times_us = time_rounds(lambda _: tables.expire(table, 0.0), rounds * 10)
+    print_figure(f"expire over {ENDPOINTS:,} endpoints", times_us, "us")
     measure_table_deltas(table, rounds)
 
 
 def measure_table_deltas(table, rounds):
     before = table.version
     everything = tables.delta_since(table, "", 0)
-    show(f"full delta, {ENDPOINTS:,} endpoints", [len(encode(everything))], "bytes")
+    print_figure(
+        f"full delta, {ENDPOINTS:,} endpoints", [len(encode(everything))], "bytes"
+    )
     empty = tables.delta_since(table, table.epoch, before)
-    show("empty delta", [len(encode(empty))], "bytes")
-    tables.announce(table, an_announcement(5, 10**6, leaving=True), LEASE_S, 0.0)
+    print_figure("empty delta", [len(encode(empty))], "bytes")
+    tables.announce(table, make_announcement(5, 10**6, leaving=True), LEASE_S, 0.0)
     one = tables.delta_since(table, table.epoch, before)
-    show("delta of one change", [len(encode(one))], "bytes")
+    print_figure("delta of one change", [len(encode(one))], "bytes")
 
     def answer_all(_):
         for _ in range(NODES):
             encode(tables.delta_since(table, table.epoch, before))
 
-    show(f"one change to {NODES} readers", timed(answer_all, rounds), "us")
+    print_figure(
+        f"one change to {NODES} readers", time_rounds(answer_all, rounds), "us"
+    )
     reader = Reader()
     merge(reader, "north", everything, 0.0)
     merge(reader, "south", everything, 0.0)
     assert position(reader, "north") == (table.epoch, before)
-    found = timed(lambda _: endpoints(reader, 0.0), rounds)
-    show(f"list {ENDPOINTS:,} endpoints of two sources", found, "us")
+    times_us = time_rounds(lambda _: endpoints(reader, 0.0), rounds)
+    print_figure(f"list {ENDPOINTS:,} endpoints of two sources", times_us, "us")
 
 
 def main(*, rounds: int = 11):
--- a/test/test_imports.py
+++ b/test/test_imports.py
@@ -5,16 +5,16 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-CORES = {"policy", "quorum", "state", "membership", "pipeline"}
-PURE = CORES | {"layers", "routing"}
-MAY_IMPORT = {
+CORE_LIBRARIES = {"policy", "quorum", "state", "membership", "pipeline"}
+IO_FREE_LIBRARIES = CORE_LIBRARIES | {"layers", "routing"}
+ALLOWED_IMPORTS = {
     "model": set(),
-    **{core: {"model"} for core in CORES},
+    **{core: {"model"} for core in CORE_LIBRARIES},
     "wire": {"model"},
     "fakes": {"model", "wire"},
     "cli": {"model", "wire"},
     "replica": {"model", "quorum", "wire"},
-    "daemon": {"model", "wire", "replica"} | CORES,
+    "daemon": {"model", "wire", "replica"} | CORE_LIBRARIES,
     "layers": {"model"},
     "routing": {"model", "layers"},
     "relay": {"model", "wire"},
@@ -24,13 +24,19 @@
 }
 # What the processes on the users' platform are made of. They tell the time of day in
 # their lines, and read it nowhere else.
-ON_PLATFORM = ("node", "routing", "relay", "layers", "quorum", "policy")
-TELLS_TIME = "linesink.py"
-TIME_OF_DAY = {"time.time", "time.time_ns", "datetime.now", "datetime.utcnow", "wall_s"}
+NODE_LIBRARIES = ("node", "routing", "relay", "layers", "quorum", "policy")
+LOG_MODULE = "linesink.py"
+WALL_CLOCK_CALLS = {
+    "time.time",
+    "time.time_ns",
+    "datetime.now",
+    "datetime.utcnow",
+    "wall_s",
+}
 IO_MODULES = {"anyio", "asyncio", "httpx", "hypercorn", "socket", "threading", "time"}
 
 
-def imported(path):
+def list_imports(path):
     """Yield the dotted names of the modules that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -40,19 +46,19 @@
 
 
 class ImportTest(unittest.TestCase):
-    def test_libraries_import_downwards_only(self):
-        for library, allowed in MAY_IMPORT.items():
+    def test_libraries_import_only_allowed_libraries(self):
+        for library, allowed in ALLOWED_IMPORTS.items():
             for path in ROOT.glob(f"libs/{library}/src/**/*.py"):
-                for name in imported(path):
+                for name in list_imports(path):
                     parts = name.split(".")
                     if parts[0] == "cherryrudder" and parts[1] != library:
                         with self.subTest(path=path.name, imports=name):
                             self.assertIn(parts[1], allowed)
 
-    def test_cores_do_no_io(self):
-        for library in PURE:
+    def test_io_free_libraries_import_no_io_modules(self):
+        for library in IO_FREE_LIBRARIES:
             for path in ROOT.glob(f"libs/{library}/src/**/*.py"):
-                for name in imported(path):
+                for name in list_imports(path):
                     with self.subTest(path=path.name, imports=name):
                         self.assertNotIn(name.split(".")[0], IO_MODULES)
 
@@ -64,21 +70,21 @@
     last for hours. So nothing that decides may read it.
     """
 
-    def test_nothing_that_decides_reads_the_time_of_day(self):
-        for library in ON_PLATFORM:
+    def test_only_the_log_module_reads_the_wall_clock(self):
+        for library in NODE_LIBRARIES:
             for path in ROOT.glob(f"libs/{library}/src/**/*.py"):
-                if path.name == TELLS_TIME:
+                if path.name == LOG_MODULE:
                     continue
-                for name in called(path):
+                for name in list_calls(path):
                     with self.subTest(path=path.name, calls=name):
-                        self.assertNotIn(name, TIME_OF_DAY)
+                        self.assertNotIn(name, WALL_CLOCK_CALLS)
 
-    def test_the_one_place_that_tells_it_is_found(self):
-        (path,) = ROOT.glob(f"libs/node/src/**/{TELLS_TIME}")
-        self.assertIn("time.time", set(called(path)))
+    def test_wall_clock_call_in_the_log_module_is_detected(self):
+        (path,) = ROOT.glob(f"libs/node/src/**/{LOG_MODULE}")
+        self.assertIn("time.time", set(list_calls(path)))
 
 
-def called(path):
+def list_calls(path):
     """Yield what a file calls, as it is written there."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Call):
--- a/tools/story.py
+++ b/tools/checklist.py
@@ -1,7 +1,7 @@
 """What the demos print, line by line."""
 
 
-class Story:
+class Checklist:
     """What was checked, and whether all of it held."""
 
     def __init__(self):
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -15,7 +15,7 @@
 sys.path[:0] = [str(path) for path in sorted(ROOT.glob("libs/*/src"))]
 os.environ["PYTHONPATH"] = ":".join(sys.path[: len(list(ROOT.glob("libs/*/src")))])
 
-from story import Story  # noqa: E402
+from checklist import Checklist  # noqa: E402
 
 from cherryrudder.fakes import fold  # noqa: E402
 from cherryrudder.fakes.deployment import (  # noqa: E402
@@ -40,7 +40,7 @@
 PROMPT = "weather hold at the pad in wadi rum"
 
 
-def contract(customer):
+def make_contract(customer):
     """Return a customer's contract; its key is its name, for the demo alone."""
     return Contract(
         customer=customer,
@@ -91,14 +91,16 @@
     return "".join(parts), f"status {reply.status_code}"
 
 
-def show_whole(deployment, story):
+def show_complete_stream(deployment, checklist):
     """Stream a briefing and compare it with one machine's text."""
     text, outcome = stream(deployment, 0, LONG_TOKENS)
     expected = " ".join(fold.generate(MODEL, LAYERS, PROMPT, LONG_TOKENS))
-    story.check("a streamed briefing is whole", (text, outcome) == (expected, "done"))
+    checklist.check(
+        "a streamed briefing is whole", (text, outcome) == (expected, "done")
+    )
 
 
-def show_filing(deployment, story):
+def show_filing(deployment, checklist):
     """File a confirmation twice under one key, through two entries."""
     answers = []
     for entry in deployment.entries:
@@ -110,8 +112,8 @@
         body = {"text": "slot 17 confirmed"}
         answers.append(deployment.http.post(url, json=body, headers=headers).text)
     runs = sum(count_filings(deployment, spec.name) for spec in SERVICES)
-    story.check("a resent filing gets the same answer", answers[0] == answers[1])
-    story.check("and ran once", runs == 1)
+    checklist.check("a resent filing gets the same answer", answers[0] == answers[1])
+    checklist.check("and ran once", runs == 1)
 
 
 def count_filings(deployment, name):
@@ -120,48 +122,50 @@
     return len(ledger.json()["filings"])
 
 
-def show_killed_stage(deployment, story):
+def show_killed_stage(deployment, checklist):
     """Kill one stage and its engine in the middle of a stream."""
-    victims = []
+    killed = []
 
     def kill():
         busy = [n for n in deployment.engines if deployment.dump(n)["in_flight"]]
-        victims.append(busy[1].name)
-        deployment.nodes[victims[0]].kill()
-        deployment.nodes[f"{victims[0]}.engine"].kill()
+        killed.append(busy[1].name)
+        deployment.nodes[killed[0]].kill()
+        deployment.nodes[f"{killed[0]}.engine"].kill()
 
     started_s = time.monotonic()
     text, outcome = stream(deployment, 0, LONG_TOKENS, 15, kill)
     took_s = time.monotonic() - started_s
     expected = " ".join(fold.generate(MODEL, LAYERS, PROMPT, LONG_TOKENS))
-    whole = (text, outcome) == (expected, "done")
-    story.check(f"{victims[0]} killed mid-stream: whole in {took_s:.1f} s", whole)
-    deployment.restart(f"{victims[0]}.engine")
-    deployment.restart(victims[0])
+    complete = (text, outcome) == (expected, "done")
+    checklist.check(f"{killed[0]} killed mid-stream: whole in {took_s:.1f} s", complete)
+    deployment.restart(f"{killed[0]}.engine")
+    deployment.restart(killed[0])
 
 
-def show_planned_stop(deployment, story):
+def show_planned_stop(deployment, checklist):
     """Announce a planned stop in the middle of a stream, then send more work."""
-    stopped = []
+    stopped_names = []
 
     def announce():
         busy = [n for n in deployment.engines if deployment.dump(n)["in_flight"]]
-        stopped.append(busy[0].name)
+        stopped_names.append(busy[0].name)
         result = run_tool(
-            deployment, "stop", "announce", "--scope", "endpoint", stopped[0]
+            deployment, "stop", "announce", "--scope", "endpoint", stopped_names[0]
         )
-        story.check("the stop is announced", result.returncode == 0)
+        checklist.check("the stop is announced", result.returncode == 0)
 
     text, outcome = stream(deployment, 1, LONG_TOKENS, 10, announce)
     expected = " ".join(fold.generate(MODEL, LAYERS, PROMPT, LONG_TOKENS))
-    story.check("a planned stop cuts nothing", (text, outcome) == (expected, "done"))
-    node = deployment.nodes[stopped[0]]
+    checklist.check(
+        "a planned stop cuts nothing", (text, outcome) == (expected, "done")
+    )
+    node = deployment.nodes[stopped_names[0]]
     wait_for(lambda: not deployment.dump(node)["in_flight"], 10, "drained")
-    before = count_steps(deployment, stopped[0])
+    before = count_steps(deployment, stopped_names[0])
     for _ in range(3):
         stream(deployment, 0, 5)
-    after = count_steps(deployment, stopped[0])
-    story.check(f"{stopped[0]} got no new work", before == after)
+    after = count_steps(deployment, stopped_names[0])
+    checklist.check(f"{stopped_names[0]} got no new work", before == after)
 
 
 def count_steps(deployment, name):
@@ -171,7 +175,7 @@
 
 
 def main():
-    story = Story()
+    checklist = Checklist()
     started_s = time.monotonic()
     with (
         tempfile.TemporaryDirectory(prefix="cherryrudder-") as folder,
@@ -180,12 +184,12 @@
         deployment.start()
         deployment.wait_endpoints(len(ENGINES) + len(SERVICES))
         print(f"{len(deployment.nodes)} processes are up.", flush=True)
-        contracts = deployment.write_contracts([contract(c) for c in CUSTOMERS])
+        contracts = deployment.write_contracts([make_contract(c) for c in CUSTOMERS])
         applied = run_tool(deployment, "apply", str(contracts))
         print(applied.stdout, applied.stderr, end="")
-        story.check("two contracts are applied", applied.returncode == 0)
+        checklist.check("two contracts are applied", applied.returncode == 0)
         again = run_tool(deployment, "apply", str(contracts))
-        story.check("a second apply changes nothing", again.returncode == 0)
+        checklist.check("a second apply changes nothing", again.returncode == 0)
         wait_for(
             lambda: all(
                 len(deployment.dump(e)["contracts"]) == 2 for e in deployment.entries
@@ -193,18 +197,18 @@
             5,
             "contracts in force",
         )
-        show_whole(deployment, story)
-        show_filing(deployment, story)
-        show_killed_stage(deployment, story)
-        show_planned_stop(deployment, story)
+        show_complete_stream(deployment, checklist)
+        show_filing(deployment, checklist)
+        show_killed_stage(deployment, checklist)
+        show_planned_stop(deployment, checklist)
         dump = deployment.dump(deployment.entries[0])
         print(f"entry-0 is at revision {dump['revision']}; its endpoints:")
         for name, seen in sorted(dump["endpoints"].items()):
             state = "leaving" if seen["leaving"] else f"{seen['credits']} credits"
             print(f"  {name}: {state}, {seen['in_flight']} in flight")
     took_s = time.monotonic() - started_s
-    print(f"{story.failed} not held, {took_s:.0f} s")
-    return 1 if story.failed else 0
+    print(f"{checklist.failed} not held, {took_s:.0f} s")
+    return 1 if checklist.failed else 0
 
 
 if __name__ == "__main__":
--- a/tools/platformdemo.py
+++ b/tools/platformdemo.py
@@ -14,7 +14,7 @@
 sys.path.insert(0, str(ROOT / "platform" / "src"))
 
 import anyio  # noqa: E402
-from story import Story  # noqa: E402
+from checklist import Checklist  # noqa: E402
 
 from cherryrudder.soak.callers import Caller  # noqa: E402
 from cherryrudder.soak.field import EVENTS, Field  # noqa: E402
@@ -24,15 +24,15 @@
 
 SEED = 1
 STREAMS = 30
-STOPPED_IN_S = 8.0
+CHECK_TIMEOUT_S = 8.0
 
 
-async def ask_all(field, count, kind, key):
+async def send_all(field, count, kind, key):
     """Ask many times at once, spread over the entries; return the answers."""
     answers = []
     proxies = list(field.caller_proxies.items())
 
-    async def one(number):
+    async def send_one(number):
         node, proxy = proxies[number % len(proxies)]
         rng = random.Random(f"{kind}-{number}-{time.monotonic()}")
         caller = Caller(node, proxy.listen_address, EVENTS, rng)
@@ -41,69 +41,71 @@
 
     async with anyio.create_task_group() as group:
         for number in range(count):
-            group.start_soon(one, number)
+            group.start_soon(send_one, number)
     return [answer for answer in answers if answer is not None]
 
 
-def whole(answers):
+def find_whole(answers):
     """Return the answers whose every token ran each layer once, in order."""
     return [a for a in answers if a.body == requests.whole_stream(a.request_id, EVENTS)]
 
 
-async def show_streams(field, story):
+async def show_streams(field, checklist):
     """Stream while an engine dies."""
     async with anyio.create_task_group() as group:
         answers = []
 
-        async def ask():
-            answers.extend(await ask_all(field, STREAMS, "stream", "k3"))
+        async def send_streams():
+            answers.extend(await send_all(field, STREAMS, "stream", "k3"))
 
-        group.start_soon(ask)
+        group.start_soon(send_streams)
         while not field.deployment.fleet.chains:
             await anyio.sleep(0.01)
         chain = next(iter(field.deployment.fleet.chains.values()))
         last = field.deployment.fleet.engines[chain[-1][0]]
         await field.remove_engine(last)
-    story.check(
-        f"{len(whole(answers))} of {STREAMS} streams whole though an engine died",
-        len(whole(answers)) == STREAMS,
+    checklist.check(
+        f"{len(find_whole(answers))} of {STREAMS} streams whole though an engine died",
+        len(find_whole(answers)) == STREAMS,
     )
 
 
-async def show_filings(field, story):
+async def show_filings(field, checklist):
     """File, and look how often each filing ran."""
-    answers = await ask_all(field, 12, "filing", "k3")
+    answers = await send_all(field, 12, "filing", "k3")
     runs = [run.request_id for run in field.deployment.fleet.runs]
-    once = [a for a in answers if a.status == 200 and runs.count(a.request_id) == 1]
-    story.check(f"{len(once)} of 12 filings ran once", len(once) == 12)
+    run_once = [a for a in answers if a.status == 200 and runs.count(a.request_id) == 1]
+    checklist.check(f"{len(run_once)} of 12 filings ran once", len(run_once) == 12)
 
 
-async def show_revocation(field, operator, story):
+async def show_revocation(field, operator, checklist):
     """Take a key away."""
     await operator.revoke()
-    with anyio.move_on_after(STOPPED_IN_S) as scope:
-        while {a.status for a in await ask_all(field, 3, "query", "k1")} != {401}:
+    with anyio.move_on_after(CHECK_TIMEOUT_S) as scope:
+        while {a.status for a in await send_all(field, 3, "query", "k1")} != {401}:
             await anyio.sleep(0.1)
-    story.check("a key that was taken away is refused", not scope.cancelled_caught)
+    checklist.check("a key that was taken away is refused", not scope.cancelled_caught)
 
 
-async def show_lost_leader(field, operator, story):
+async def show_control_restart(field, operator, checklist):
     """Kill all control processes at once, and read back what was accepted."""
     for node in field.deployment.nodes:
         await field.end(node, "control", 9)
     for node in field.deployment.nodes:
         field.restart(node, "control")
     version = operator.version
-    with anyio.move_on_after(STOPPED_IN_S) as scope:
+    with anyio.move_on_after(CHECK_TIMEOUT_S) as scope:
         while (reading := await operator.read_once()) is None:
             await anyio.sleep(0.1)
-    held = not scope.cancelled_caught and reading.version == version
-    story.check("the configuration is there after all control VMs were killed", held)
+    is_kept = not scope.cancelled_caught and reading.version == version
+    checklist.check(
+        "the configuration is there after all control VMs were killed", is_kept
+    )
 
 
-async def tell(folder):
+async def run_demo(folder):
     """Play the whole story; return how much did not hold."""
-    story = Story()
+    checklist = Checklist()
     async with anyio.create_task_group() as group:
         field = Field(folder, SEED, group)
         try:
@@ -112,20 +114,20 @@
             await operator.change()
             await wait_served(field, operator)
             print("6 processes are up, before 8 stand-in engines.", flush=True)
-            await show_streams(field, story)
-            await show_filings(field, story)
-            await show_revocation(field, operator, story)
-            await show_lost_leader(field, operator, story)
+            await show_streams(field, checklist)
+            await show_filings(field, checklist)
+            await show_revocation(field, operator, checklist)
+            await show_control_restart(field, operator, checklist)
         finally:
             field.stop()
         group.cancel_scope.cancel()
-    return story.failed
+    return checklist.failed
 
 
 def main():
     started_s = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
-        failed = anyio.run(tell, folder)
+        failed = anyio.run(run_demo, folder)
     print(f"{failed} not held, {time.monotonic() - started_s:.0f} s")
     return 1 if failed else 0
 
--- a/tools/runtests.py
+++ b/tools/runtests.py
@@ -12,26 +12,26 @@
 ROOT = Path(__file__).resolve().parent.parent
 # Half the smallest machine that CI is known to have, so that the tests that start
 # processes of their own are not starved.
-WORKERS = 5
+MAX_PARALLEL_FOLDERS = 5
 LIBRARY_TIMEOUT_S = 1500
-RAN = re.compile(r"^Ran (\d+) tests?", re.MULTILINE)
-BAD = re.compile(r"^(?:FAIL|ERROR|UNEXPECTED SUCCESS): (.+)$", re.MULTILINE)
+SUMMARY_LINE = re.compile(r"^Ran (\d+) tests?", re.MULTILINE)
+FAILURE_LINE = re.compile(r"^(?:FAIL|ERROR|UNEXPECTED SUCCESS): (.+)$", re.MULTILINE)
 
 
-class Verdict(NamedTuple):
+class FolderResult(NamedTuple):
     library: str
     passed: int
-    bad: tuple[str, ...]
+    failures: tuple[str, ...]
     output: str
 
 
-def known_red(text):
+def parse_known_red(text):
     """Return the entries of the list of known failures, by their tests' ids."""
     lines = [line for line in text.splitlines() if line and not line.startswith("#")]
     return {line.split()[0]: line for line in lines}
 
 
-def test_id(name):
+def parse_test_id(name):
     """Return the dotted id of a test, or of its class, as unittest names a failure.
 
     A failure of a part of a test comes as `method (module.Class.method) (part=1)`.
@@ -40,14 +40,14 @@
     return named.group(1) if named else name
 
 
-def test_folders():
+def find_test_folders():
     """Return the folders that hold tests."""
     found = sorted(ROOT.glob("libs/*/test"))
     found += [ROOT / "platform" / "test", ROOT / "test"]
     return [folder for folder in found if any(folder.glob("test_*.py"))]
 
 
-def environment():
+def make_environment():
     """Return the tests' environment, with this tree's libraries before others."""
     folders = [*sorted(ROOT.glob("libs/*/src")), ROOT / "platform" / "src"]
     sources = ":".join(str(path) for path in folders)
@@ -65,7 +65,7 @@
             stdout=output,
             stderr=subprocess.STDOUT,
             cwd=folder,
-            env=environment(),
+            env=make_environment(),
         )
         try:
             code = process.wait(LIBRARY_TIMEOUT_S)
@@ -74,33 +74,33 @@
             code = process.wait()
         output.seek(0)
         text = output.read()
-    ran = RAN.search(text)
-    bad = tuple(BAD.findall(text))
+    summary_line = SUMMARY_LINE.search(text)
+    failures = tuple(FAILURE_LINE.findall(text))
     # A run that ended without its closing line (a crash, a timeout) counts as a
     # failure of its own; otherwise its tests would vanish from the sum.
-    if ran is None or (code != 0 and not bad):
-        bad += (f"{library}: the test process ended with code {code}",)
-    count = int(ran.group(1)) if ran else 0
-    return Verdict(library, max(0, count - len(bad)), bad, text)
+    if summary_line is None or (code != 0 and not failures):
+        failures += (f"{library}: the test process ended with code {code}",)
+    count = int(summary_line.group(1)) if summary_line else 0
+    return FolderResult(library, max(0, count - len(failures)), failures, text)
 
 
 def main(names):
-    folders = [f for f in test_folders() if not names or f.parent.name in names]
-    with ThreadPoolExecutor(WORKERS) as pool:
-        verdicts = list(pool.map(run_folder, folders))
-    allowed = known_red((ROOT / "KNOWN-RED.txt").read_text())
+    folders = [f for f in find_test_folders() if not names or f.parent.name in names]
+    with ThreadPoolExecutor(MAX_PARALLEL_FOLDERS) as pool:
+        results = list(pool.map(run_folder, folders))
+    allowed = parse_known_red((ROOT / "KNOWN-RED.txt").read_text())
     failed = 0
-    for verdict in verdicts:
-        print(f"{verdict.library}: {verdict.passed} ok, {len(verdict.bad)} not")
-        if verdict.bad:
-            print(verdict.output)
-        for name in verdict.bad:
-            red = test_id(name) in allowed
-            print(f"{'known red' if red else 'failed'}: {name}")
-            failed += not red
+    for result in results:
+        print(f"{result.library}: {result.passed} ok, {len(result.failures)} not")
+        if result.failures:
+            print(result.output)
+        for name in result.failures:
+            is_known = parse_test_id(name) in allowed
+            print(f"{'known red' if is_known else 'failed'}: {name}")
+            failed += not is_known
     for entry in allowed.values():
         print(f"listed in KNOWN-RED.txt: {entry}")
-    passed = sum(verdict.passed for verdict in verdicts)
+    passed = sum(result.passed for result in results)
     print(f"{passed} passed, {failed} failed")
     return 1 if failed or not passed else 0
 
