--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Starts a process of this checkout, whose libraries lie in folders of their own."""
+"""Start a node process from this checkout, with its libraries added to the path."""
 
 import sys
 from pathlib import Path
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name what the code has, and their links lead somewhere."""
+"""The reference pages match the code, and relative links resolve."""
 
 import configparser
 import re
@@ -21,7 +21,7 @@
 
 
 def split_sections(text):
-    """Return the text below each heading of the second level."""
+    """Return the text below each second-level heading, by heading."""
     parts = re.split(r"^## (.*)$", text, flags=re.MULTILINE)
     return dict(zip(parts[1::2], parts[2::2], strict=True))
 
--- a/test/test_imports.py
+++ b/test/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the libraries point one way only."""
+"""Check which libraries and modules each library may import."""
 
 import ast
 import unittest
@@ -22,8 +22,8 @@
     | {"routing", "relay", "platform"},
     "soak": {"relay", "standin"},
 }
-# What the processes on the users' platform are made of. They tell the time of day in
-# their lines, and read it nowhere else.
+# Libraries of the processes on the users' platform. They read the wall clock only to
+# write it in log lines.
 NODE_LIBRARIES = ("node", "routing", "relay", "layers", "quorum", "policy")
 LOG_MODULE = "linesink.py"
 WALL_CLOCK_CALLS = {
@@ -36,8 +36,8 @@
 IO_MODULES = {"anyio", "asyncio", "httpx", "hypercorn", "socket", "threading", "time"}
 
 
-def list_imports(path):
-    """Yield the dotted names of the modules that a file imports."""
+def iter_imports(path):
+    """Yield the dotted names of the modules that a file imports absolutely."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -49,7 +49,7 @@
     def test_libraries_import_only_allowed_libraries(self):
         for library, allowed in ALLOWED_IMPORTS.items():
             for path in ROOT.glob(f"libs/{library}/src/**/*.py"):
-                for name in list_imports(path):
+                for name in iter_imports(path):
                     parts = name.split(".")
                     if parts[0] == "cherryrudder" and parts[1] != library:
                         with self.subTest(path=path.name, imports=name):
@@ -58,16 +58,17 @@
     def test_io_free_libraries_import_no_io_modules(self):
         for library in IO_FREE_LIBRARIES:
             for path in ROOT.glob(f"libs/{library}/src/**/*.py"):
-                for name in list_imports(path):
+                for name in iter_imports(path):
                     with self.subTest(path=path.name, imports=name):
                         self.assertNotIn(name.split(".")[0], IO_MODULES)
 
 
 class ClockTest(unittest.TestCase):
-    """A VM's time of day jumps by hours, forward or back, and back again.
+    """No decision may depend on the wall clock.
 
-    A lease, a timeout or a choice between two versions that went by it would end or
-    last for hours. So nothing that decides may read it.
+    A VM's wall clock can jump by hours in either direction and back again. A lease or
+    timeout based on it would expire at once or last for hours, and a choice between two
+    versions could go wrong.
     """
 
     def test_only_the_log_module_reads_the_wall_clock(self):
@@ -75,17 +76,17 @@
             for path in ROOT.glob(f"libs/{library}/src/**/*.py"):
                 if path.name == LOG_MODULE:
                     continue
-                for name in list_calls(path):
+                for name in iter_calls(path):
                     with self.subTest(path=path.name, calls=name):
                         self.assertNotIn(name, WALL_CLOCK_CALLS)
 
     def test_wall_clock_call_in_the_log_module_is_detected(self):
         (path,) = ROOT.glob(f"libs/node/src/**/{LOG_MODULE}")
-        self.assertIn("time.time", set(list_calls(path)))
+        self.assertIn("time.time", set(iter_calls(path)))
 
 
-def list_calls(path):
-    """Yield what a file calls, as it is written there."""
+def iter_calls(path):
+    """Yield the callee of each call in a file, as written in the source."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Call):
             yield ast.unparse(node.func)
--- a/test/test_runtests.py
+++ b/test/test_runtests.py
@@ -1,8 +1,7 @@
-"""Which failures the runner of all tests lets pass.
+"""The test runner accepts only those failures whose full test id is in KNOWN-RED.txt.
 
-Failure: a listed test's name is a part of another's, or only its class is named. The
-other test fails for a new fault, the run counts it as known, and the fault lands. So an
-entry passes the one test whose whole id it names.
+Guards against a new failure that is counted as known because a listed test's name is
+part of the failed test's name, or because the failure names only a listed test's class.
 """
 
 import sys
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,6 +1,6 @@
-"""The main job on loopback, each process a real one: `make demo`.
+"""Demonstrate request relaying with real processes on loopback (`make demo`).
 
-Exits 0 only if every promise that it shows held. It ends what it started, by pid.
+Exits with 0 only if every check passed. Stops the processes that it started, by pid.
 """
 
 import json
@@ -41,7 +41,7 @@
 
 
 def make_contract(customer):
-    """Return a customer's contract; its key is its name, for the demo alone."""
+    """Return a contract whose key is the customer's name (for the demo only)."""
     return Contract(
         customer=customer,
         key_sha256=digest_key(customer),
@@ -55,7 +55,7 @@
 
 
 def run_tool(deployment, *arguments):
-    """Run the operators' command-line tool and return its result."""
+    """Run the operators' command-line tool and return the finished process."""
     addresses = ",".join(n.addresses["operator"] for n in deployment.controls)
     environment = os.environ | {
         "CHERRYRUDDER_CONTROL": addresses,
@@ -66,7 +66,10 @@
 
 
 def stream(deployment, entry, max_tokens, at_token=None, act=None):
-    """Stream a completion; call `act` after some tokens; return text and outcome."""
+    """Stream a completion and return its text and outcome.
+
+    `act` is called once `at_token` chunks have arrived.
+    """
     url = f"http://{deployment.entries[entry].addresses['caller']}/v1/completions"
     headers = {"authorization": f"Bearer {CUSTOMERS[0]}"}
     body = {
@@ -92,7 +95,7 @@
 
 
 def show_complete_stream(deployment, checklist):
-    """Stream a briefing and compare it with one machine's text."""
+    """Check that a streamed completion equals the text of a single engine."""
     text, outcome = stream(deployment, 0, LONG_TOKENS)
     expected = " ".join(fold.generate(MODEL, LAYERS, PROMPT, LONG_TOKENS))
     checklist.check(
@@ -101,7 +104,10 @@
 
 
 def show_filing(deployment, checklist):
-    """File a confirmation twice under one key, through two entries."""
+    """Check that a filing sent twice with one idempotency key runs once.
+
+    Each copy is sent through another entry.
+    """
     answers = []
     for entry in deployment.entries:
         url = f"http://{entry.addresses['caller']}/services/slots/filings"
@@ -117,13 +123,13 @@
 
 
 def count_filings(deployment, name):
-    """Return how many filings a stand-in service has in its ledger."""
+    """Return the number of filings in a stand-in service's ledger."""
     ledger = deployment.http.get(deployment.back_end(f"{name}.service") + "/ledger")
     return len(ledger.json()["filings"])
 
 
 def show_killed_stage(deployment, checklist):
-    """Kill one stage and its engine in the middle of a stream."""
+    """Check that a stream completes when a stage and its engine are killed."""
     killed = []
 
     def kill():
@@ -143,7 +149,7 @@
 
 
 def show_planned_stop(deployment, checklist):
-    """Announce a planned stop in the middle of a stream, then send more work."""
+    """Check that a planned stop cuts no stream and the endpoint gets no new work."""
     stopped_names = []
 
     def announce():
@@ -169,7 +175,7 @@
 
 
 def count_steps(deployment, name):
-    """Return how many layer runs a stand-in engine has in its ledger."""
+    """Return the number of layer runs in a stand-in engine's ledger."""
     url = deployment.back_end(f"{name}.engine") + "/v1/ledger"
     return len(deployment.http.get(url).json()["runs"])
 
--- a/tools/platformdemo.py
+++ b/tools/platformdemo.py
@@ -1,6 +1,6 @@
-"""The users' platform on loopback, each process a real one: part of `make demo`.
+"""Demonstrate the users' platform with real processes on loopback (`make demo`).
 
-Exits 0 only if every promise that it shows held. It ends what it started, by pid.
+Exits with 0 only if every check passed. Stops the processes that it started, by pid.
 """
 
 import random
@@ -28,7 +28,7 @@
 
 
 async def send_all(field, count, kind, key):
-    """Ask many times at once, spread over the entries; return the answers."""
+    """Send requests concurrently, spread over the entries, and return the answers."""
     answers = []
     proxies = list(field.caller_proxies.items())
 
@@ -46,12 +46,12 @@
 
 
 def find_whole(answers):
-    """Return the answers whose every token ran each layer once, in order."""
+    """Return the answers whose tokens each ran every layer once, in order."""
     return [a for a in answers if a.body == requests.whole_stream(a.request_id, EVENTS)]
 
 
 async def show_streams(field, checklist):
-    """Stream while an engine dies."""
+    """Check that all streams complete when an engine is killed."""
     async with anyio.create_task_group() as group:
         answers = []
 
@@ -71,7 +71,7 @@
 
 
 async def show_filings(field, checklist):
-    """File, and look how often each filing ran."""
+    """Check that each filing ran exactly once."""
     answers = await send_all(field, 12, "filing", "k3")
     runs = [run.request_id for run in field.deployment.fleet.runs]
     run_once = [a for a in answers if a.status == 200 and runs.count(a.request_id) == 1]
@@ -79,7 +79,7 @@
 
 
 async def show_revocation(field, operator, checklist):
-    """Take a key away."""
+    """Check that a revoked key is refused within `CHECK_TIMEOUT_S`."""
     await operator.revoke()
     with anyio.move_on_after(CHECK_TIMEOUT_S) as scope:
         while {a.status for a in await send_all(field, 3, "query", "k1")} != {401}:
@@ -88,7 +88,7 @@
 
 
 async def show_control_restart(field, operator, checklist):
-    """Kill all control processes at once, and read back what was accepted."""
+    """Check that an accepted configuration survives a kill of all control processes."""
     for node in field.deployment.nodes:
         await field.end(node, "control", 9)
     for node in field.deployment.nodes:
@@ -104,7 +104,7 @@
 
 
 async def run_demo(folder):
-    """Play the whole story; return how much did not hold."""
+    """Run all checks and return the number that failed."""
     checklist = Checklist()
     async with anyio.create_task_group() as group:
         field = Field(folder, SEED, group)
--- a/tools/runtests.py
+++ b/tools/runtests.py
@@ -1,4 +1,4 @@
-"""Run every library's tests, each library in a process of its own, and sum them up."""
+"""Run each library's tests in its own process and print the totals."""
 
 import os
 import re
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).resolve().parent.parent
-# Half the smallest machine that CI is known to have, so that the tests that start
-# processes of their own are not starved.
+# Half the cores of the smallest known CI machine, so that tests which start processes
+# of their own get enough processor time.
 MAX_PARALLEL_FOLDERS = 5
 LIBRARY_TIMEOUT_S = 1500
 SUMMARY_LINE = re.compile(r"^Ran (\d+) tests?", re.MULTILINE)
@@ -26,29 +26,29 @@
 
 
 def parse_known_red(text):
-    """Return the entries of the list of known failures, by their tests' ids."""
+    """Return the lines of KNOWN-RED.txt by test id; comments are skipped."""
     lines = [line for line in text.splitlines() if line and not line.startswith("#")]
     return {line.split()[0]: line for line in lines}
 
 
 def parse_test_id(name):
-    """Return the dotted id of a test, or of its class, as unittest names a failure.
+    """Return the dotted id of a test or class from unittest's name of a failure.
 
-    A failure of a part of a test comes as `method (module.Class.method) (part=1)`.
+    unittest names a failed subtest `method (module.Class.method) (part=1)`.
     """
     named = re.match(r"\S+ \(([^()\s]+)\)", name)
     return named.group(1) if named else name
 
 
 def find_test_folders():
-    """Return the folders that hold tests."""
+    """Return the folders that contain test modules."""
     found = sorted(ROOT.glob("libs/*/test"))
     found += [ROOT / "platform" / "test", ROOT / "test"]
     return [folder for folder in found if any(folder.glob("test_*.py"))]
 
 
 def make_environment():
-    """Return the tests' environment, with this tree's libraries before others."""
+    """Return the tests' environment, with this checkout's libraries first."""
     folders = [*sorted(ROOT.glob("libs/*/src")), ROOT / "platform" / "src"]
     sources = ":".join(str(path) for path in folders)
     extra = {"PYTHONPATH": sources, "PYTHONWARNINGS": "ignore::ResourceWarning"}
@@ -56,7 +56,7 @@
 
 
 def run_folder(folder):
-    """Run one folder's tests and return what came of them."""
+    """Run one folder's tests and return the result."""
     library = folder.parent.name
     command = [sys.executable, "-m", "unittest", "discover", "-s", str(folder)]
     with tempfile.TemporaryFile("w+") as output:
@@ -76,8 +76,8 @@
         text = output.read()
     summary_line = SUMMARY_LINE.search(text)
     failures = tuple(FAILURE_LINE.findall(text))
-    # A run that ended without its closing line (a crash, a timeout) counts as a
-    # failure of its own; otherwise its tests would vanish from the sum.
+    # A run without a summary line (crash or timeout) counts as one failure;
+    # otherwise its tests would be missing from the total unnoticed.
     if summary_line is None or (code != 0 and not failures):
         failures += (f"{library}: the test process ended with code {code}",)
     count = int(summary_line.group(1)) if summary_line else 0
