--- a/bench/bound.py
+++ b/bench/bound.py
@@ -1,7 +1,8 @@
-"""Throughput against a contract's bound, and who pays when one customer floods.
+"""Measure a customer's throughput against its contract's bound under overload.
 
-Real processes on loopback. One customer sends far over its contract through one entry
-and through all, beside customers that keep to theirs; printed is what callers received.
+Real processes on loopback. One customer sends far above its bound, first through one
+entry and then through all, while other customers stay below theirs. Prints what each
+customer received, which shows whether the others are affected.
 Run: python bench/bound.py
 """
 
@@ -26,13 +27,13 @@
 DURATION_S = 15.0
 ANSWER_TOKENS = 16
 PROMPT_TOKENS = 8
-# Tokens that one request counts for: its prompt and its answer.
+# Tokens that one request is charged for: its prompt and its answer.
 REQUEST_TOKENS = PROMPT_TOKENS + ANSWER_TOKENS
 QUIET = ("quiet-1", "quiet-2", "quiet-3")
 
 
 def make_contract(customer, tokens_per_s):
-    """Return a contract that is bound by its tokens."""
+    """Return a contract whose only effective limit is its token rate."""
     return Contract(
         customer,
         digest_key(customer),
@@ -46,7 +47,7 @@
 
 
 def run_load(deployment, entries, rates):
-    """Send Poisson load at requests a second by customer; return the report."""
+    """Send Poisson load at each customer's requests per second; return the report."""
     customers = [parse_customer(f"{c}:{c}:{rate}") for c, rate in rates.items()]
     shape = Shape((PROMPT_TOKENS,), (ANSWER_TOKENS,), 0)
     arrivals = plan_arrivals(customers, shape, DURATION_S, random.Random(1))
--- a/bench/common.py
+++ b/bench/common.py
@@ -1,8 +1,8 @@
-"""What the benches of whole processes share: their use of the machine, and statistics.
+"""Resource measurement, statistics and helpers shared by the benchmarks of processes.
 
-Processor time and memory come from /proc, bytes from the kernel's counts of each
-process's open TCP connections (`ss`). Run each bench from the root, with the libraries'
-`src` folders on PYTHONPATH, and one bench at a time.
+Processor time and memory are read from /proc, byte counts from the kernel's counters of
+each process's open TCP connections (`ss`). Run each benchmark from the root, with the
+libraries' `src` folders on PYTHONPATH, and one at a time.
 """
 
 import os
@@ -16,7 +16,7 @@
 
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-# Of /proc/PID/stat, after the name in parentheses: user and system time.
+# Fields of /proc/PID/stat, counted after the name in parentheses.
 USER_FIELD = 11
 SYSTEM_FIELD = 12
 MODEL = "briefing"
@@ -24,7 +24,7 @@
 
 
 class Usage(NamedTuple):
-    """What a process took for a while."""
+    """Mean resource usage of a process over an interval, and its memory at the end."""
 
     cores: float
     bytes_per_s: float
@@ -32,7 +32,7 @@
 
 
 class Sample(NamedTuple):
-    """A process's counters at one moment."""
+    """A process's counters at one time."""
 
     at_s: float
     cpu_s: float
@@ -40,7 +40,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Return the processor time that a process has taken since its start."""
+    """Return the processor time that a process has used since its start."""
     with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[USER_FIELD]) + int(fields[SYSTEM_FIELD])) / CLOCK_TICKS
@@ -53,7 +53,7 @@
 
 
 def socket_bytes() -> dict[int, dict[str, int]]:
-    """Return, by process and open connection, the bytes sent and received."""
+    """Return the bytes sent plus received, by process and open connection."""
     text = subprocess.run(
         ["ss", "-tinHpO"], capture_output=True, text=True, check=True
     ).stdout
@@ -74,9 +74,10 @@
 
 
 def compute_usage(pid: int, first: Sample, last: Sample) -> Usage:
-    """Return a process's use between two marks.
+    """Return a process's usage between two samples.
 
-    Bytes of connections that closed in between are missed: too few, never too many.
+    Bytes of connections that closed in between are not counted, so the byte rate may be
+    too low but never too high.
     """
     took_s = last.at_s - first.at_s
     moved = sum(
@@ -88,7 +89,7 @@
 
 
 def measure_usage(pids, seconds: float) -> dict[int, Usage]:
-    """Return what some processes take during a number of seconds."""
+    """Wait for `seconds` and return the processes' usage in that time."""
     first = take_samples(pids)
     time.sleep(seconds)
     last = take_samples(pids)
@@ -107,7 +108,7 @@
 
 
 def make_high_limit_contract() -> Contract:
-    """Return a contract whose limits no bench reaches; its key is its name."""
+    """Return a contract whose limits no benchmark reaches; its key is its name."""
     return Contract(
         customer=CUSTOMER,
         key_sha256=digest_key(CUSTOMER),
@@ -122,7 +123,7 @@
 
 
 def find_leader(deployment):
-    """Return the control VM that leads, by its own dump; None while none does."""
+    """Return the control VM whose dump says that it is leader, or None."""
     for node in deployment.controls:
         if node.process.poll() is None:
             if deployment.dump(node)["quorum"]["role"] == "leader":
--- a/bench/control_scale.py
+++ b/bench/control_scale.py
@@ -1,9 +1,10 @@
-"""Measure what control costs by number of nodes, and how soon a change is in force.
+"""Measure control traffic's cost by number of nodes, and how fast changes propagate.
 
-Three control VMs, one entry and one sidecar are real processes; the other nodes are the
-daemon's own announcers and followers in one further process (`nodes.py`). Prints each
-process's use, its slope per sidecar and per entry, and then the time from a change's
-acceptance until it is in force at all nodes, once with a control VM frozen.
+Three control VMs, one entry and one sidecar are real processes. The other nodes are the
+daemon's announcers and followers in one further process (`nodes.py`). Prints each
+process's usage and its slope per sidecar and per entry, then the time from a change's
+acceptance until it is in force at all nodes: once with all control VMs up and once with
+one frozen.
 """
 
 import json
@@ -22,12 +23,12 @@
 
 SIDECARS = (0, 10, 50, 100)
 ENTRIES = (0, 10, 50, 100)
-# Of each kind. All share one process, whose own pace tells at the larger size.
+# Nodes of each kind. They share one process, whose own speed affects the larger size.
 CHANGE_NODES = (5, 50)
-# Longer than a lease: the last measurement's nodes must have left the table.
+# Longer than a lease, so that the previous measurement's nodes have left the table.
 SETTLE_S = 5.0
 CHANGE_GAP_S = 0.2
-# Waited after the last change; what is not in force by then is counted as missing.
+# Wait after the last change. A change not in force by then is counted as missing.
 IN_FORCE_TIMEOUT_S = 3.0
 ENGINE = EngineSpec("engine-0", 0, 12)
 
@@ -54,7 +55,7 @@
 
 
 def measure(deployment, sidecars, entries, seconds):
-    """Print and return each process's use beside a number of further nodes."""
+    """Print and return each process's usage with a number of further nodes."""
     nodes = start_nodes(deployment, sidecars, entries)
     time.sleep(SETTLE_S)
     pids = {node.name: node.process.pid for node in list_separate_nodes(deployment)}
@@ -73,7 +74,7 @@
 
 
 def list_separate_nodes(deployment):
-    """Return the daemons that are processes of their own."""
+    """Return the daemons that run in separate processes."""
     return [*deployment.controls, *deployment.entries, *deployment.engines]
 
 
@@ -89,7 +90,10 @@
 
 
 def stop_nodes(nodes):
-    """End the process of further nodes; return when each revision was in force."""
+    """Stop the process of further nodes; return when each revision was in force.
+
+    The result has one dict of revision to time per node.
+    """
     nodes.send_signal(signal.SIGTERM)
     text = nodes.communicate(timeout=30)[0]
     if nodes.returncode:
@@ -98,7 +102,7 @@
 
 
 def print_slopes(kind, sizes, rows):
-    """Print what one further node costs each process; the controls are averaged."""
+    """Print the cost of one further node to each process, averaged over control VMs."""
     for part in ("control", "entry-0", "engine-0", "nodes"):
         names = [name for name in rows[0] if name.startswith(part)]
         cores, moved, memory = (
@@ -116,7 +120,7 @@
 
 
 def measure_changes(deployment, size, count):
-    """Print the time until changes are in force at as many sidecars and entries."""
+    """Print the time until changes are in force at `size` nodes of each kind."""
     nodes = start_nodes(deployment, size, size)
     time.sleep(SETTLE_S)
     accepted = make_changes(deployment, count, f"whole-{size}")
@@ -133,7 +137,7 @@
 
 
 def make_changes(deployment, count, name, control=0):
-    """Make changes one after another; return acceptance times by revision."""
+    """Make changes in sequence; return the sent and accepted times by revision."""
     accepted = {}
     for number in range(count):
         sent_s = time.monotonic()
@@ -155,7 +159,7 @@
 
 
 def print_changes(label, accepted, in_force):
-    """Print how long acceptance took, and from it until in force at the last node."""
+    """Print the times until acceptance, and from there until in force at all nodes."""
     waits = [(at_s - sent_s) * 1000 for sent_s, at_s in accepted.values()]
     delays, missing = [], 0
     for revision, (_, accepted_s) in accepted.items():
@@ -169,7 +173,7 @@
 
 
 def find_in_force_s(node, revision):
-    """Return when a node first held a revision or a later one."""
+    """Return when a node first had a revision or a later one in force, or None."""
     times = [at_s for held, at_s in node.items() if int(held) >= revision]
     return min(times, default=None)
 
--- a/bench/customers.py
+++ b/bench/customers.py
@@ -1,7 +1,7 @@
-"""Measure what customers' contracts and shares cost idle entries, by their number.
+"""Measure the cost of contracts and shares while idle, by number of customers.
 
-Three control VMs and four entries are real processes; no caller sends anything. Prints
-the mean use of an entry and of a control VM, and the slope per customer.
+Three control VMs and four entries are real processes; no requests are sent. Prints the
+mean usage of an entry and of a control VM, and the slope per customer.
 """
 
 import statistics
@@ -17,7 +17,7 @@
 
 CUSTOMERS = (0, 50, 130, 260)
 ENTRIES = 4
-# Two leases of shares.
+# Twice the lease of a share.
 SETTLE_S = 4.0
 
 
@@ -47,7 +47,7 @@
 
 
 def add_customers(deployment, first, last):
-    """Create contracts of numbered customers."""
+    """Create contracts for the customers numbered `first` to `last` - 1."""
     for number in range(first, last):
         name = f"customer-{number}"
         contract = make_high_limit_contract()._replace(
@@ -57,7 +57,7 @@
 
 
 def measure(deployment, customers, seconds):
-    """Print and return the mean use of each role's processes."""
+    """Print and return the mean usage of each role's processes."""
     groups = {"entry": deployment.entries, "control": deployment.controls}
     uses = measure_usage(
         [node.process.pid for g in groups.values() for node in g], seconds
--- a/bench/data_plane.py
+++ b/bench/data_plane.py
@@ -1,9 +1,9 @@
-"""Measure tokens a second through real processes, at 1 to 256 streams.
+"""Measure tokens per second through real processes, at 1 to 256 streams.
 
-One entry, and one chain of stages on stand-in engines that are far faster than any
-real one, so that the system's own processes are the limit. The callers are one more
-process (this one). Prints, for each number of streams, the tokens a second, and what
-one entry and one sidecar take for each token.
+One entry and one chain of stages on stand-in engines that are far faster than real
+ones, so that the router's own processes are the limit. The callers run in this process.
+Prints, for each number of streams, the tokens per second and the cost per token of one
+entry and one sidecar.
 """
 
 import sys
@@ -25,21 +25,21 @@
 from cherryrudder.fakes.deployment import Deployment, EngineSpec
 from cherryrudder.model.settings import split_address
 
-# The last one is past the aim's 214 streams at an entry.
+# The last one exceeds the target of 214 streams per entry.
 STREAMS = (1, 4, 16, 64, 256)
 LAYERS = 4
-# No limit in practice: a lone step lasts 0.2 ms.
+# Effectively unlimited: a single step takes 0.2 ms.
 TOKENS_PER_S = 5_000.0
 SLOTS = 512
 SETTLE_S = 1.0
-# Streams are longer than the measurement and are then cut by their callers.
+# Streams outlast the measurement; the callers then cut them.
 MAX_TOKENS = 100_000
 
 
-# A caller that has no answer by then has failed; the bench stops.
+# A caller without an answer by then has failed, and the benchmark stops.
 FIRST_TOKEN_TIMEOUT_S = 20.0
-# All at once they find no credits, and with so many tokens each wait is too long: the
-# entry rightly refuses some.
+# If all streams start at once, no credits are available yet. With so many tokens per
+# stream the expected wait is too long, and the entry rightly refuses some.
 START_GAP_S = 0.02
 EVENT_PREFIX = b"data: {"
 
@@ -60,7 +60,7 @@
 
 
 class StreamStats:
-    """What all callers have seen."""
+    """Tokens, events and gaps between events, over all streams."""
 
     def __init__(self):
         self.tokens = 0
@@ -70,7 +70,7 @@
         self.gaps_s: list[float] = []
 
     def record_event(self, number: int, event: bytes) -> None:
-        """Count an event's tokens and note the time since the one before."""
+        """Count an event's tokens and record the gap since the stream's last event."""
         text = decode(event).choices[0].text
         now_s = time.monotonic()
         if number in self.last_event_s:
@@ -83,7 +83,7 @@
 
 
 class Row(NamedTuple):
-    """What one number of streams came to; times are of processors."""
+    """Results for one number of streams; `_us_per_token` is processor time."""
 
     streams: int
     tokens_per_s: float
@@ -130,7 +130,7 @@
 
 
 async def measure(deployment, streams, seconds) -> Row:
-    """Run a number of streams and return what they came to."""
+    """Run a number of streams and return the measured row."""
     stats = StreamStats()
     pids = group_pids(deployment)
     all_pids = [pid for group in pids.values() for pid in group]
@@ -175,7 +175,7 @@
 
 
 def group_pids(deployment):
-    """Return the processes by what they do."""
+    """Return the pids by role: entry, sidecar, engine."""
     stand_ins = [deployment.nodes[f"{n.name}.engine"] for n in deployment.engines]
     return {
         "entry": [node.process.pid for node in deployment.entries],
@@ -185,9 +185,9 @@
 
 
 async def stream_completion(deployment, stats, number):
-    """Stream one completion until it is cut.
+    """Stream one completion until cancelled.
 
-    By hand and not by httpx, whose cost for each event is above the entry's own.
+    Uses a plain socket because httpx costs more per event than the entry does.
     """
     body = {"model": MODEL, "prompt": f"stream {number}", "stream": True}
     content = msgspec.json.encode(body | {"max_tokens": MAX_TOKENS})
--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -1,8 +1,8 @@
-"""Many nodes' control traffic from one process, for `control_scale.py`.
+"""Generate the control traffic of many nodes from one process, for `control_scale.py`.
 
-Each node runs the daemon's own announcer, follower and credit desk with connections of
-its own, but without a back end. Ends at SIGTERM and then writes, as JSON, when each
-revision was in force at each node and what the process took.
+Each node runs the daemon's announcer and follower and answers credit reports, over its
+own connections and without a back end. On SIGTERM the process prints, as JSON, when
+each revision was in force at each node, and exits.
 """
 
 import json
@@ -31,14 +31,14 @@
 
 
 class Node:
-    """One sidecar's or entry's control traffic."""
+    """Control traffic of one sidecar or entry."""
 
     def __init__(self, group, name, kind, addresses, key):
         self.name = name
         self.key = key
         self.group = group
         self.frames = free_address()
-        # What the announcer and the follower use of a daemon's process.
+        # The parts of a daemon's process that the announcer and the follower use.
         self.process = SimpleNamespace(
             group=group,
             client=Client(key),
@@ -53,7 +53,7 @@
         self.in_force: dict[int, float] = {}
 
     def record_revision(self) -> None:
-        """Note when a revision was first in force here."""
+        """Record when a revision was first in force at this node."""
         self.in_force.setdefault(self.follower.config.revision, time.monotonic())
 
     async def run(self) -> None:
@@ -75,7 +75,7 @@
 
 
 def make_announcement(name, kind, frames):
-    """Return an announcement of usual length."""
+    """Return an announcement of typical length."""
     return Announcement(
         endpoint=name,
         kind=kind,
@@ -120,7 +120,7 @@
     :param sidecars: Nodes that announce an engine and follow the configuration.
     :param entries: Nodes that announce an entry and follow the endpoints as well.
     """
-    # A frozen control VM would fill the output with a line for each lost call.
+    # A frozen control VM would cause a log line for each failed call.
     logger.remove()
     nodes = anyio.run(run, addresses.split(","), key, sidecars, entries)
     print(json.dumps([node.in_force for node in nodes]), flush=True)
--- a/bench/pipeline_hops.py
+++ b/bench/pipeline_hops.py
@@ -1,8 +1,9 @@
-"""Measure the pipeline's hops, bytes and core cost in one process.
+"""Measure the pipeline's hops, bytes and processor time in one process.
 
-Ours hands activations from stage to stage; the naive entry carries each one to a stage
-and back. All messages to one address in a turn travel as one msgpack frame. Engines
-cost nothing here, so the figures are those of the cores and the codec alone.
+Compares this project's chain, whose stages pass activations on to each other, with a
+naive one, whose entry sends each activation to a stage and receives the result. All
+messages from one processing step to one address are sent as one msgpack frame. Engines
+cost nothing here, so the figures cover only the core logic and the codec.
 """
 
 import time
@@ -21,9 +22,9 @@
 
 
 class Frame(NamedTuple):
-    """One message as it travels: the place of its type in MESSAGES, and its body.
+    """A message as sent: the index of its type in MESSAGES, and its body.
 
-    The receiver takes the body as raw bytes until it knows the type.
+    The receiver decodes the body from raw bytes once the type is known.
     """
 
     kind: int
@@ -37,7 +38,7 @@
 
 
 class Meter:
-    """Frames under way, and what each process sent, received and spent."""
+    """Frames in flight, and each process's bytes, steps and processor time."""
 
     def __init__(self):
         self.outbox = defaultdict(list)
@@ -50,7 +51,7 @@
         self.outbox[sender, address].append(message)
 
     def flush(self, sender):
-        """Encode what a process sends in this turn, one frame per address."""
+        """Encode the messages that a process has queued, one frame per address."""
         frames = []
         for key in [key for key in self.outbox if key[0] == sender]:
             batch = [Frame(KINDS[type(m)], m) for m in self.outbox[key]]
@@ -62,7 +63,7 @@
         return frames
 
     def process_frame(self, sender, address, frame, handle):
-        """Let a process take a frame, and return the frames it sends."""
+        """Handle a frame at its address and return the frames sent in response."""
         started_s = time.process_time()
         for kind, body in decode_frames(frame):
             self.steps[address] += MESSAGES[kind] is Step
@@ -72,7 +73,7 @@
         return sent
 
     def run(self, frames, handle):
-        """Deliver frames in order; `hops` is how many followed one another."""
+        """Deliver frames in order and set `hops` to the longest sequence of them."""
         in_flight = [(frame, 1) for frame in frames]
         while in_flight:
             frame, hops = in_flight.pop(0)
@@ -89,7 +90,7 @@
 
 
 class OurChain:
-    """The cores of this library over a meter."""
+    """The pipeline library's request and stage cores, connected by a `Meter`."""
 
     def __init__(self, plan, activation):
         self.meter = Meter()
@@ -145,7 +146,7 @@
 
 
 class NaiveChain:
-    """An entry that carries every activation, and stages that only compute."""
+    """An entry through which every activation passes, and stages that only compute."""
 
     def __init__(self, plan, activation):
         self.meter = Meter()
@@ -191,14 +192,14 @@
 
 
 def report_batches(plan, activation, tokens):
-    """Print bytes and cost for each batch size, ours and naive."""
+    """Print hops, bytes and processor time for each batch size, ours and naive."""
     print("chain  batch  hops/token  entry B/token  entry us/token", end="")
     print("  stage us/step  stage tokens/s")
     for kind in (OurChain, NaiveChain):
         for batch in (1, 2, 4, 8, 16, 32, 64):
             meter = run_batch(kind, plan, activation, batch, tokens)
             made_tokens = batch * tokens
-            # The middle stage: it takes an activation and gives one.
+            # The middle stage both receives and sends an activation.
             middle = plan[len(plan) // 2].address
             step_us = meter.cpu_s[middle] / meter.steps[middle] * 1e6
             print(
@@ -210,7 +211,7 @@
 
 
 def report_rebuild(plan, activation, positions):
-    """Print what the loss of the middle stage costs after a prompt's prefill."""
+    """Print the cost of replacing a lost middle stage after a prompt's prefill."""
     chain = OurChain(plan, activation)
     chain.begin("r", positions, 2)
     lost = plan[len(plan) // 2].address
--- a/bench/policy_cost.py
+++ b/bench/policy_cost.py
@@ -1,7 +1,7 @@
-"""Measure what one decision costs, by number of endpoints and of customers.
+"""Measure the cost of one decision, by number of endpoints and of customers.
 
 Run with the libraries on the path: `PYTHONPATH=... python bench/policy_cost.py`.
-Each figure is the median over rounds of the mean of a round, in µs of processor time.
+Each figure is the median over all rounds of a round's mean, in µs of processor time.
 """
 
 import random
@@ -21,12 +21,12 @@
 CUSTOMERS = (10, 260)
 ROUNDS = 15
 CALLS = 200
-# The share of slots in use while choosing, as under a normal heavy load.
+# Fraction of slots in use while choosing, as under normal heavy load.
 BUSY_FRACTION = 0.8
 
 
 def measure(call):
-    """Return the cost of a call in µs."""
+    """Return the cost of one call in µs of processor time."""
     rounds = []
     for _ in range(ROUNDS):
         start = time.process_time()
@@ -37,12 +37,12 @@
 
 
 def slope(sizes, costs):
-    """Return µs per further unit between the smallest and the largest size."""
+    """Return the cost in µs per unit of size, from the smallest to the largest size."""
     return (costs[-1] - costs[0]) / (sizes[-1] - sizes[0])
 
 
 def make_fleet(count, stages):
-    """Return a busy fleet of so many engines, as chains of so many stages."""
+    """Return a busy fleet of `count` engines that form chains of `stages` stages."""
     rng = random.Random(1)
     centres = ("a-1", "a-2", "a-3")
     announcements = []
@@ -76,7 +76,7 @@
 
 
 def measure_choice(count, stages, prefixes):
-    """Return the cost of choosing a chain, with its begin and end."""
+    """Return the cost of choosing a chain and recording its start and withdrawal."""
     fleet = make_fleet(count, stages)
     rng = random.Random(2)
 
@@ -106,7 +106,7 @@
 
 
 def make_admission(customers):
-    """Return an admission with so many contracts."""
+    """Return an `Admission` with one contract for each of `customers` customers."""
     admission = adm.Admission(100_000)
     for number in range(customers):
         name = f"c{number}"
@@ -118,7 +118,7 @@
 def measure_admission(customers, waiting_per_customer):
     """Return the cost of one request from offer to settlement.
 
-    With `waiting_each`, so many requests of each customer wait meanwhile.
+    `waiting_per_customer` requests of each customer are queued meanwhile.
     """
     admission = make_admission(customers)
     count = [0]
@@ -153,7 +153,7 @@
 
 
 def measure_dispatch(count, customers):
-    """Return the cost of a whole request, from its arrival to its settlement."""
+    """Return the cost of one request from arrival to settlement, with placement."""
     dispatcher = Dispatcher(make_admission(customers), make_fleet(count, 1))
     sent = [0]
 
@@ -169,7 +169,7 @@
 
 
 def measure_tick(customers, waiting_per_customer):
-    """Return the cost of one tick with the model full and a queue to look through."""
+    """Return the cost of one tick that scans the queue while no endpoint is free."""
     dispatcher = Dispatcher(make_admission(customers), Fleet(random.Random(1)))
     for number in range(customers * waiting_per_customer):
         new_offer = adm.Offer(f"r{number}", f"c{number % customers}", "m", 1, 1, 0, 1e9)
--- a/bench/quorum_disk.py
+++ b/bench/quorum_disk.py
@@ -1,7 +1,7 @@
-"""Measure how fast a voter's disk takes appends, against bare fsync of the same disk.
+"""Measure a voter's log appends against plain write and fsync on the same disk.
 
-Prints one line per batch size: writes and entries per second, and the latency of a
-write, for the log and for a file that is only appended to and synced.
+Prints, for each batch size, writes and entries per second and the latency of a write:
+for the log, and for a file that is only appended to and synced.
 """
 
 import os
@@ -16,12 +16,12 @@
 from cherryrudder.quorum.files import init_disk, open_disk
 
 BATCHES = (1, 4, 16, 64)
-# About what a contract change or a claim takes as a command.
+# About the size of a contract change or a claim as a command.
 PAYLOAD = "x" * 300
 
 
 class Figures(NamedTuple):
-    """What one run came to."""
+    """Throughput and latency of one run."""
 
     writes_per_s: float
     median_ms: float
@@ -48,7 +48,7 @@
 
 
 def measure(write, seconds):
-    """Call a function for some time and return its figures."""
+    """Call `write` repeatedly for `seconds` and return the figures."""
     taken_s = []
     end_s = time.perf_counter() + seconds
     now_s = start_s = time.perf_counter()
@@ -65,7 +65,7 @@
 
 
 def make_fsync_writer(folder, batch):
-    """Return a function that appends as many bytes to a file and syncs it."""
+    """Return a function that appends a batch's payload to a file and syncs it."""
     fd = os.open(f"{folder}/bare", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     data = (PAYLOAD * batch).encode()
 
@@ -77,7 +77,7 @@
 
 
 def make_log_writer(folder, batch):
-    """Return a function that persists a batch of entries."""
+    """Return a function that persists a batch of entries in a voter's log."""
     init_disk(folder, "a", "127.0.0.1:1")
     disk = open_disk(folder, "a").ok
     next_index = 1
@@ -95,7 +95,7 @@
 
 
 def print_line(batch, kind, figures):
-    """Print one line."""
+    """Print one line of the table."""
     entries_per_s = figures.writes_per_s * batch
     print(
         f"{batch:5}  {kind:9}  {figures.writes_per_s:8.0f}  {entries_per_s:9.0f}"
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,9 +1,9 @@
-"""Measure how long the platform takes to go on after a process dies or freezes.
+"""Measure recovery times after a process is killed or frozen.
 
-All processes are real ones on loopback. A leader's loss is timed until the next change
-is accepted by another control VM; a sidecar's loss until it has left every entry's
-table, and until the stream that ran through it has its next token. At last an entry's
-restart is timed, before and after 1,000 changes.
+All processes are real ones on loopback. The loss of the leader is timed until another
+control VM accepts a change. The loss of a sidecar is timed until it has left every
+entry's table, and until the stream that ran through it receives its next token. Finally
+an entry's restart is timed, before and after 1,000 changes.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 STAGES = 3
 LAYERS = 4
-# Two chains for each loss, so that there is always one to go on with.
+# Two chains, so that one remains after each loss.
 ENGINES = [
     EngineSpec(
         f"{chain}-{stage}", stage * LAYERS, (stage + 1) * LAYERS, tokens_per_s=400.0
@@ -37,7 +37,7 @@
 
 
 class Stream(threading.Thread):
-    """A caller that notes when each token came."""
+    """A caller that records the arrival time of each token."""
 
     def __init__(self, deployment):
         super().__init__()
@@ -107,7 +107,7 @@
 
 
 def restore_node(deployment, node, how):
-    """Start or thaw a process and wait until it is whole again."""
+    """Start or thaw a process and wait until it is ready."""
     if how == "kill":
         node.start()
     else:
@@ -116,7 +116,7 @@
 
 
 def measure_leader_loss(deployment, how, number):
-    """Return the seconds from the leader's loss until a change is accepted."""
+    """Return the seconds from the leader's loss until another VM accepts a change."""
     wait_for(lambda: find_leader(deployment), WAIT_TIMEOUT_S, "a leader")
     leader = find_leader(deployment)
     others = [i for i, node in enumerate(deployment.controls) if node is not leader]
@@ -134,7 +134,10 @@
 
 
 def try_change(deployment, control, name):
-    """Ask one control VM for a change; the same id each time, as an operator would."""
+    """Send a change to one control VM and return whether it was accepted.
+
+    Retries use the same change id, as an operator's would.
+    """
     value = {"kind": "put-setting", "change_id": name, "expected_version": 0}
     try:
         reply = deployment.change(value | {"name": name, "value": "1"}, control)
@@ -144,7 +147,11 @@
 
 
 def measure_sidecar_loss(deployment, how):
-    """Lose the middle stage of a stream; return seconds to the table and the token."""
+    """Fail the middle stage of a stream and measure the recovery.
+
+    Returns the seconds until it left all tables, the longest pause between tokens
+    in seconds, and how the stream ended.
+    """
     stream = Stream(deployment)
     stream.start()
     wait_for(lambda: len(stream.times_s) > LOSS_AT_TOKEN, WAIT_TIMEOUT_S, "tokens")
@@ -171,7 +178,7 @@
 
 
 def wait_until_removed(deployment, lost, lost_s, left_s):
-    """Fill in when a lost sidecar left each entry's table."""
+    """Wait until all entries have dropped a sidecar; add the times to `left_s`."""
     while len(left_s) < len(deployment.entries):
         for entry in deployment.entries:
             if entry.name not in left_s:
@@ -183,9 +190,10 @@
 
 
 def longest_pause_s(stream, lost_s):
-    """Return the longest pause between tokens after a loss; 0 while none has come.
+    """Return the longest pause between tokens after a loss, or 0 if too few arrived.
 
-    Tokens that were already past the lost stage may still come after its loss.
+    Tokens that had already passed the lost stage may still arrive after the loss, so
+    the first gap is not necessarily the pause.
     """
     times_s = [lost_s] + [at_s for at_s in stream.times_s if at_s > lost_s]
     if len(times_s) < LOSS_AT_TOKEN:
@@ -194,7 +202,7 @@
 
 
 def measure_entry_restarts(deployment, runs):
-    """Time an entry's start, fresh each time, before and after 1,000 changes."""
+    """Time repeated restarts of an entry, before and after 1,000 changes."""
     entry = deployment.entries[1]
     before_s = [measure_restart(deployment, entry) for _ in range(runs)]
     print_times("restart an entry, s until ready", before_s)
@@ -207,7 +215,7 @@
 
 
 def measure_restart(deployment, entry):
-    """Return the seconds from an entry's start until it is ready."""
+    """Kill an entry and return the seconds from its start until it is ready."""
     entry.kill()
     started_s = time.monotonic()
     deployment.restart(entry.name)
--- a/bench/relay_cost.py
+++ b/bench/relay_cost.py
@@ -1,10 +1,9 @@
-"""Measure the processor time of relaying a stream: h11 on own sockets, or the house's
-first choice, hypercorn and httpx.
+"""Compare processor time of stream relays: h11 on sockets, or hypercorn and httpx.
 
-Three processes: an engine that sends events one by one, a relay of either kind that
-only passes bytes on, and the callers (this one). Prints the relay's processor time a
-request and an event, from streams of two lengths. Run it alone, with the libraries'
-`src` folders on PYTHONPATH.
+Three processes: an engine that sends events one by one, a relay of either kind that only
+forwards bytes, and the callers (this process). Prints the relay's processor time per
+request and per event, calculated from streams of two lengths. Run it alone, with the
+libraries' `src` folders on PYTHONPATH.
 """
 
 import subprocess
@@ -21,8 +20,8 @@
 from cherryrudder.relay.server import Exchange
 
 ENGINE, RELAY = "127.0.0.1:9471", "127.0.0.1:9472"
-# A stream of the users has some 86 events, one in 25 ms; here they come faster, but
-# each still by itself.
+# A typical user's stream has about 86 events, one every 25 ms. Here they are sent
+# faster, but still one at a time.
 EVENT = b"id: 12\ndata: " + 60 * b"x" + b"\n\n"
 EVENT_GAP_S = 0.004
 SHORT, LONG = 10, 200
@@ -32,7 +31,7 @@
 
 
 async def serve_engine():
-    """Answer each request with as many events as its path says."""
+    """Answer each request with the number of events given in its path."""
 
     async def answer(exchange: Exchange):
         count = int(exchange.request.target.rpartition(b"/")[2])
@@ -46,7 +45,7 @@
 
 
 async def serve_own():
-    """Relay with the product's own two sides, and nothing in between."""
+    """Relay with the product's own HTTP server and client, without routing."""
 
     async def answer(exchange: Exchange):
         connection = await open_connection(ENGINE, 1.0, 0.0)
@@ -64,7 +63,7 @@
 
 
 async def serve_naive():
-    """Relay with hypercorn towards callers and httpx towards the engine."""
+    """Relay with hypercorn as the server and httpx as the client."""
     import httpx
     from hypercorn.asyncio import serve
     from hypercorn.config import Config
@@ -115,7 +114,7 @@
 
 
 async def _measure(pid, count):
-    """Return the relay's processor time for one stream, in seconds."""
+    """Return the relay's processor time per stream, in seconds."""
     before_s = cpu_s(pid)
     for _ in range(ROUNDS):
         async with anyio.create_task_group() as group:
--- a/bench/state_apply.py
+++ b/bench/state_apply.py
@@ -25,7 +25,7 @@
     snapshot,
 )
 
-# The sizes that the platform is meant to reach.
+# Target sizes of the platform.
 CONTRACTS = 260
 CLAIMS = 10_000
 NODES = 370
@@ -35,7 +35,7 @@
 
 
 def make_put_contract(number, version=0):
-    """Return a contract with two models and two services."""
+    """Return a put of a contract with two models and two services."""
     name = f"customer-{number}"
     contract = Contract(
         name,
@@ -51,7 +51,7 @@
 
 
 def make_open_claim(number):
-    """Return a claim as an entry makes it, with ids of the usual lengths."""
+    """Return a claim as an entry opens it, with ids of the usual lengths."""
     rng = random.Random(number)
     key, attempt = (f"{rng.getrandbits(128):032x}" for _ in range(2))
     return OpenClaim(
@@ -67,7 +67,7 @@
 
 
 def make_close_claim(opened):
-    """Return the outcome of a claim, with a receipt as its body."""
+    """Return the command that closes a claim with a receipt as its body."""
     place = (opened.customer, opened.key, opened.attempt_id)
     return CloseClaim(*place, "done", 200, RECEIPT)
 
@@ -94,7 +94,7 @@
 
 
 def make_table(count):
-    """Return a table that holds a number of engines."""
+    """Return a table of `count` announced engines."""
     table = tables.Table("5e884898")
     for number in range(count):
         tables.announce(table, make_announcement(number), LEASE_S, 0.0)
@@ -102,7 +102,7 @@
 
 
 def time_rounds(work, rounds, count=1):
-    """Return the microseconds of one of `count` pieces of work, for each round."""
+    """Return each round's duration in µs, divided by the `count` operations in it."""
     times_us = []
     for number in range(rounds):
         start = time.perf_counter()
@@ -112,7 +112,7 @@
 
 
 def print_figure(name, values, unit):
-    """Print the median, the lowest and the highest of some figures."""
+    """Print the median, the lowest and the highest value."""
     middle = statistics.median(values)
     print(f"{name:44} {middle:12,.1f} {min(values):12,.1f} {max(values):12,.1f} {unit}")
 
@@ -127,7 +127,7 @@
 
 
 def measure_applies(rounds):
-    """Measure records a second and leave a state of the aimed size."""
+    """Measure records applied per second; return a state of the target size."""
     puts = [encode_command(make_put_contract(n)) for n in range(CONTRACTS)]
     opened = [make_open_claim(n) for n in range(CLAIMS)]
     opens = [encode_command(command) for command in opened]
@@ -147,7 +147,7 @@
 
 
 def measure_snapshot(state, rounds):
-    """Measure the snapshot, also per record held."""
+    """Measure the snapshot's size, in total and per record, and its duration."""
     text = snapshot(state)
     print_figure(
         f"snapshot, {CONTRACTS} contracts, {CLAIMS:,} claims", [len(text)], "bytes"
@@ -168,7 +168,7 @@
 
 
 def measure_config(state, rounds):
-    """Measure what readers of the configuration cost."""
+    """Measure the size and cost of the configuration deltas sent to readers."""
     apply(state, state.applied_index + 1, encode_command(make_put_contract(0, 1)))
     one = encode(delta(state, state.revision - 1))
     print_figure("configuration delta, one contract", [len(one)], "bytes")
@@ -185,7 +185,7 @@
 
 
 def measure_table(rounds):
-    """Measure announcements and deltas at the aimed number of endpoints."""
+    """Measure announcements and deltas at the target number of endpoints."""
     print_figure("announcement", [len(encode(make_announcement(7)))], "bytes")
     table = make_table(ENDPOINTS)
 
