--- a/bench/relay_cost.py
+++ b/bench/relay_cost.py
@@ -1,9 +1,9 @@
 """Compare processor time of stream relays: h11 on sockets, or hypercorn and httpx.
 
-Three processes: an engine that sends events one by one, a relay of either kind that only
-forwards bytes, and the callers (this process). Prints the relay's processor time per
-request and per event, calculated from streams of two lengths. Run it alone, with the
-libraries' `src` folders on PYTHONPATH.
+Three processes: an engine that sends events one by one, a relay of either kind that
+only forwards bytes, and the callers (this process). Prints the relay's processor time
+per request and per event, calculated from streams of two lengths. Run it alone, with
+the libraries' `src` folders on PYTHONPATH.
 """
 
 import subprocess
