--- a/bench/common.py
+++ b/bench/common.py
@@ -1,8 +1,8 @@
-"""What the benches of whole processes share: their use of the machine, and statistics.
+"""Resource measurement, statistics and helpers shared by the benchmarks of processes.
 
-Processor time and memory come from /proc, bytes from the kernel's counts of each
-process's open TCP connections (`ss`). Run each bench from the root, with the libraries'
-`src` folders on PYTHONPATH, and one bench at a time.
+Processor time and memory are read from /proc, byte counts from the kernel's counters of
+each process's open TCP connections (`ss`). Run each benchmark from the root, with the
+libraries' `src` folders on PYTHONPATH, and one at a time.
 """
 
 import os
@@ -16,23 +16,23 @@
 
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-# Of /proc/PID/stat, after the name in parentheses: user and system time.
+# Fields of /proc/PID/stat, counted after the name in parentheses.
 USER_FIELD = 11
 SYSTEM_FIELD = 12
 MODEL = "briefing"
 CUSTOMER = "bench"
 
 
-class Use(NamedTuple):
-    """What a process took for a while."""
+class Usage(NamedTuple):
+    """Mean resource usage of a process over an interval, and its memory at the end."""
 
     cores: float
     bytes_per_s: float
     rss_mb: float
 
 
-class Mark(NamedTuple):
-    """A process's counters at one moment."""
+class Sample(NamedTuple):
+    """A process's counters at one time."""
 
     at_s: float
     cpu_s: float
@@ -40,7 +40,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Return the processor time that a process has taken since its start."""
+    """Return the processor time that a process has used since its start."""
     with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[USER_FIELD]) + int(fields[SYSTEM_FIELD])) / CLOCK_TICKS
@@ -53,7 +53,7 @@
 
 
 def socket_bytes() -> dict[int, dict[str, int]]:
-    """Return, by process and open connection, the bytes sent and received."""
+    """Return the bytes sent plus received, by process and open connection."""
     text = subprocess.run(
         ["ss", "-tinHpO"], capture_output=True, text=True, check=True
     ).stdout
@@ -66,17 +66,18 @@
     return found
 
 
-def marks(pids) -> dict[int, Mark]:
+def take_samples(pids) -> dict[int, Sample]:
     """Return the counters of some processes."""
     sockets = socket_bytes()
     at_s = time.monotonic()
-    return {pid: Mark(at_s, cpu_s(pid), sockets.get(pid, {})) for pid in pids}
+    return {pid: Sample(at_s, cpu_s(pid), sockets.get(pid, {})) for pid in pids}
 
 
-def use_between(pid: int, first: Mark, last: Mark) -> Use:
-    """Return a process's use between two marks.
+def compute_usage(pid: int, first: Sample, last: Sample) -> Usage:
+    """Return a process's usage between two samples.
 
-    Bytes of connections that closed in between are missed: too few, never too many.
+    Bytes of connections that closed in between are not counted, so the byte rate may be
+    too low but never too high.
     """
     took_s = last.at_s - first.at_s
     moved = sum(
@@ -84,15 +85,15 @@
         for name, count in last.bytes_by_socket.items()
     )
     cores = (last.cpu_s - first.cpu_s) / took_s
-    return Use(cores, moved / took_s, rss_mb(pid))
+    return Usage(cores, moved / took_s, rss_mb(pid))
 
 
-def watch_use(pids, seconds: float) -> dict[int, Use]:
-    """Return what some processes take during a number of seconds."""
-    first = marks(pids)
+def measure_usage(pids, seconds: float) -> dict[int, Usage]:
+    """Wait for `seconds` and return the processes' usage in that time."""
+    first = take_samples(pids)
     time.sleep(seconds)
-    last = marks(pids)
-    return {pid: use_between(pid, first[pid], last[pid]) for pid in pids}
+    last = take_samples(pids)
+    return {pid: compute_usage(pid, first[pid], last[pid]) for pid in pids}
 
 
 def slope(sizes, values) -> float:
@@ -100,14 +101,14 @@
     return statistics.linear_regression(sizes, values).slope
 
 
-def spread(values) -> str:
+def format_spread(values) -> str:
     """Return the median, lowest and highest of some values."""
     values = sorted(values)
     return f"{statistics.median(values):.3f} ({values[0]:.3f} to {values[-1]:.3f})"
 
 
-def wide_contract() -> Contract:
-    """Return a contract whose limits no bench reaches; its key is its name."""
+def make_high_limit_contract() -> Contract:
+    """Return a contract whose limits no benchmark reaches; its key is its name."""
     return Contract(
         customer=CUSTOMER,
         key_sha256=digest_key(CUSTOMER),
@@ -121,8 +122,8 @@
     )
 
 
-def leader_of(deployment):
-    """Return the control VM that leads, by its own dump; None while none does."""
+def find_leader(deployment):
+    """Return the control VM whose dump says that it is leader, or None."""
     for node in deployment.controls:
         if node.process.poll() is None:
             if deployment.dump(node)["quorum"]["role"] == "leader":
--- a/bench/control_scale.py
+++ b/bench/control_scale.py
@@ -1,9 +1,10 @@
-"""Measure what control costs by number of nodes, and how soon a change is in force.
+"""Measure control traffic's cost by number of nodes, and how fast changes propagate.
 
-Three control VMs, one entry and one sidecar are real processes; the other nodes are the
-daemon's own announcers and followers in one further process (`nodes.py`). Prints each
-process's use, its slope per sidecar and per entry, and then the time from a change's
-acceptance until it is in force at all nodes, once with a control VM frozen.
+Three control VMs, one entry and one sidecar are real processes. The other nodes are the
+daemon's announcers and followers in one further process (`nodes.py`). Prints each
+process's usage and its slope per sidecar and per entry, then the time from a change's
+acceptance until it is in force at all nodes: once with all control VMs up and once with
+one frozen.
 """
 
 import json
@@ -16,19 +17,19 @@
 from pathlib import Path
 
 import defopt
-from common import leader_of, slope, spread, watch_use
+from common import find_leader, format_spread, measure_usage, slope
 
 from cherryrudder.fakes.deployment import INTERNAL_KEY, Deployment, EngineSpec
 
 SIDECARS = (0, 10, 50, 100)
 ENTRIES = (0, 10, 50, 100)
-# Of each kind. All share one process, whose own pace tells at the larger size.
+# Nodes of each kind. They share one process, whose own speed affects the larger size.
 CHANGE_NODES = (5, 50)
-# Longer than a lease: the last measurement's nodes must have left the table.
+# Longer than a lease, so that the previous measurement's nodes have left the table.
 SETTLE_S = 5.0
 CHANGE_GAP_S = 0.2
-# Waited after the last change; what is not in force by then is counted as missing.
-IN_FORCE_S = 3.0
+# Wait after the last change. A change not in force by then is counted as missing.
+IN_FORCE_TIMEOUT_S = 3.0
 ENGINE = EngineSpec("engine-0", 0, 12)
 
 
@@ -46,20 +47,20 @@
         deployment.wait_endpoints(1)
         print("nodes         process    cores   bytes/s  rss_mb")
         by_sidecars = [measure(deployment, n, 0, seconds) for n in SIDECARS]
-        show_slopes("sidecar", SIDECARS, by_sidecars)
+        print_slopes("sidecar", SIDECARS, by_sidecars)
         by_entries = [measure(deployment, 0, n, seconds) for n in ENTRIES]
-        show_slopes("entry", ENTRIES, by_entries)
+        print_slopes("entry", ENTRIES, by_entries)
         for count in CHANGE_NODES:
             measure_changes(deployment, count, changes)
 
 
 def measure(deployment, sidecars, entries, seconds):
-    """Print and return each process's use beside a number of further nodes."""
+    """Print and return each process's usage with a number of further nodes."""
     nodes = start_nodes(deployment, sidecars, entries)
     time.sleep(SETTLE_S)
-    pids = {node.name: node.process.pid for node in real_nodes(deployment)}
+    pids = {node.name: node.process.pid for node in list_separate_nodes(deployment)}
     pids["nodes"] = nodes.pid
-    uses = watch_use(list(pids.values()), seconds)
+    uses = measure_usage(list(pids.values()), seconds)
     stop_nodes(nodes)
     label = f"{sidecars:3} + {entries:3}"
     for name, pid in pids.items():
@@ -72,8 +73,8 @@
     return {name: uses[pid] for name, pid in pids.items()}
 
 
-def real_nodes(deployment):
-    """Return the daemons that are processes of their own."""
+def list_separate_nodes(deployment):
+    """Return the daemons that run in separate processes."""
     return [*deployment.controls, *deployment.entries, *deployment.engines]
 
 
@@ -89,7 +90,10 @@
 
 
 def stop_nodes(nodes):
-    """End the process of further nodes; return when each revision was in force."""
+    """Stop the process of further nodes; return when each revision was in force.
+
+    The result has one dict of revision to time per node.
+    """
     nodes.send_signal(signal.SIGTERM)
     text = nodes.communicate(timeout=30)[0]
     if nodes.returncode:
@@ -97,8 +101,8 @@
     return json.loads(text)
 
 
-def show_slopes(kind, sizes, rows):
-    """Print what one further node costs each process; the controls are averaged."""
+def print_slopes(kind, sizes, rows):
+    """Print the cost of one further node to each process, averaged over control VMs."""
     for part in ("control", "entry-0", "engine-0", "nodes"):
         names = [name for name in rows[0] if name.startswith(part)]
         cores, moved, memory = (
@@ -116,27 +120,27 @@
 
 
 def measure_changes(deployment, size, count):
-    """Print the time until changes are in force at as many sidecars and entries."""
+    """Print the time until changes are in force at `size` nodes of each kind."""
     nodes = start_nodes(deployment, size, size)
     time.sleep(SETTLE_S)
     accepted = make_changes(deployment, count, f"whole-{size}")
-    follower = next(n for n in deployment.controls if n is not leader_of(deployment))
+    follower = next(n for n in deployment.controls if n is not find_leader(deployment))
     follower.freeze()
-    asked = next(
+    control = next(
         i for i, node in enumerate(deployment.controls) if node is not follower
     )
-    accepted_frozen = make_changes(deployment, count, f"frozen-{size}", asked)
+    accepted_frozen = make_changes(deployment, count, f"frozen-{size}", control)
     follower.thaw()
     in_force = stop_nodes(nodes)
-    show_changes("all control VMs up", accepted, in_force)
-    show_changes("one control VM frozen", accepted_frozen, in_force)
+    print_changes("all control VMs up", accepted, in_force)
+    print_changes("one control VM frozen", accepted_frozen, in_force)
 
 
 def make_changes(deployment, count, name, control=0):
-    """Make changes one after another; return acceptance times by revision."""
+    """Make changes in sequence; return the sent and accepted times by revision."""
     accepted = {}
     for number in range(count):
-        asked_s = time.monotonic()
+        sent_s = time.monotonic()
         reply = deployment.change(
             {
                 "kind": "put-setting",
@@ -148,28 +152,28 @@
             control,
         )
         revision = reply.raise_for_status().json()["revision"]
-        accepted[revision] = (asked_s, time.monotonic())
+        accepted[revision] = (sent_s, time.monotonic())
         time.sleep(CHANGE_GAP_S)
-    time.sleep(IN_FORCE_S)
+    time.sleep(IN_FORCE_TIMEOUT_S)
     return accepted
 
 
-def show_changes(label, accepted, in_force):
-    """Print how long acceptance took, and from it until in force at the last node."""
-    waits = [(at_s - asked_s) * 1000 for asked_s, at_s in accepted.values()]
+def print_changes(label, accepted, in_force):
+    """Print the times until acceptance, and from there until in force at all nodes."""
+    waits = [(at_s - sent_s) * 1000 for sent_s, at_s in accepted.values()]
     delays, missing = [], 0
     for revision, (_, accepted_s) in accepted.items():
-        seen = [first_seen(node, revision) for node in in_force]
+        seen = [find_in_force_s(node, revision) for node in in_force]
         missing += sum(at_s is None for at_s in seen)
         delays.append(max(at_s - accepted_s for at_s in seen if at_s) * 1000)
     print(f"{label}: {len(accepted)} changes, {len(in_force)} nodes")
-    print(f"  ms until accepted: {spread(waits)}")
-    print(f"  ms from then until in force at the last node: {spread(delays)}")
+    print(f"  ms until accepted: {format_spread(waits)}")
+    print(f"  ms from then until in force at the last node: {format_spread(delays)}")
     print(f"  nodes times changes not in force: {missing}", flush=True)
 
 
-def first_seen(node, revision):
-    """Return when a node first held a revision or a later one."""
+def find_in_force_s(node, revision):
+    """Return when a node first had a revision or a later one in force, or None."""
     times = [at_s for held, at_s in node.items() if int(held) >= revision]
     return min(times, default=None)
 
--- a/bench/customers.py
+++ b/bench/customers.py
@@ -1,7 +1,7 @@
-"""Measure what customers' contracts and shares cost idle entries, by their number.
+"""Measure the cost of contracts and shares while idle, by number of customers.
 
-Three control VMs and four entries are real processes; no caller sends anything. Prints
-the mean use of an entry and of a control VM, and the slope per customer.
+Three control VMs and four entries are real processes; no requests are sent. Prints the
+mean usage of an entry and of a control VM, and the slope per customer.
 """
 
 import statistics
@@ -10,14 +10,14 @@
 import time
 
 import defopt
-from common import slope, watch_use, wide_contract
+from common import make_high_limit_contract, measure_usage, slope
 
 from cherryrudder.fakes.deployment import Deployment
 from cherryrudder.model.contracts import digest_key
 
 CUSTOMERS = (0, 50, 130, 260)
 ENTRIES = 4
-# Two leases of shares.
+# Twice the lease of a share.
 SETTLE_S = 4.0
 
 
@@ -47,17 +47,21 @@
 
 
 def add_customers(deployment, first, last):
-    """Create contracts of numbered customers."""
+    """Create contracts for the customers numbered `first` to `last` - 1."""
     for number in range(first, last):
         name = f"customer-{number}"
-        contract = wide_contract()._replace(customer=name, key_sha256=digest_key(name))
+        contract = make_high_limit_contract()._replace(
+            customer=name, key_sha256=digest_key(name)
+        )
         deployment.put_contract(contract).raise_for_status()
 
 
 def measure(deployment, customers, seconds):
-    """Print and return the mean use of each role's processes."""
+    """Print and return the mean usage of each role's processes."""
     groups = {"entry": deployment.entries, "control": deployment.controls}
-    uses = watch_use([node.process.pid for g in groups.values() for node in g], seconds)
+    uses = measure_usage(
+        [node.process.pid for g in groups.values() for node in g], seconds
+    )
     row = {}
     for role, nodes in groups.items():
         of_role = [uses[node.process.pid] for node in nodes]
