--- a/libs/soak/src/cherryrudder/soak/operator.py
+++ b/libs/soak/src/cherryrudder/soak/operator.py
@@ -9,8 +9,8 @@
 from cherryrudder.relay.errors import RelayError
 from cherryrudder.standin import requests
 
-from .field import Field
 from .promises import Ack, Reading
+from .testbed import Testbed
 
 CALL_S = 2.0
 PAUSE_S = 0.1
@@ -23,8 +23,8 @@
 class Operator:
     """What the operator has sent, what was acknowledged, and what was read."""
 
-    def __init__(self, field: Field, rng: random.Random):
-        self.field = field
+    def __init__(self, testbed: Testbed, rng: random.Random):
+        self.testbed = testbed
         self.rng = rng
         self.version = 7
         self.keys = FIRST_KEYS
@@ -95,7 +95,7 @@
 
     async def _call_any(self, method, path, document=None):
         """Return status and body of a call at any control VM, None without one."""
-        deployment = self.field.deployment
+        deployment = self.testbed.deployment
         node = self.rng.choice(deployment.nodes)
         address = deployment.control_address(node)
         try:
--- a/libs/soak/src/cherryrudder/soak/run.py
+++ b/libs/soak/src/cherryrudder/soak/run.py
@@ -12,11 +12,11 @@
 from . import faults, promises, report
 from .callers import Caller
 from .faults import Fault
-from .field import EVENTS, Field
 from .operator import Operator
 from .promises import History
 from .report import Report
 from .strike import Striker
+from .testbed import EVENTS, Testbed
 
 START_S = 40.0
 # The users' pages give the system twelve seconds after the last fault; a caller's own
@@ -40,7 +40,7 @@
     """Play the faults of a seed in a folder; return what was seen and what is wrong."""
     planned = faults.draw(seed, length_s)
     async with anyio.create_task_group() as group:
-        field = Field(folder, seed, group)
+        field = Testbed(folder, seed, group)
         try:
             history, wrong = await _play(field, seed, planned, length_s)
         finally:
@@ -78,11 +78,11 @@
         await anyio.sleep(max(0.0, began_s + length_s - time.monotonic()))
 
 
-async def wait_served(field, operator):
+async def wait_served(testbed, operator):
     """Wait until every entry has served one request of each kind."""
-    for node in field.deployment.nodes:
-        address = field.caller_proxies[node.name].listen_address
-        caller = Caller(node.name, address, EVENTS, field.rng)
+    for node in testbed.deployment.nodes:
+        address = testbed.caller_proxies[node.name].listen_address
+        caller = Caller(node.name, address, EVENTS, testbed.rng)
         for kind in ("stream", "filing", "query"):
             while True:
                 answer = await caller.ask(kind, operator.keys[-1])
@@ -90,7 +90,7 @@
                     break
                 await anyio.sleep(PAUSE_S)
         caller.close()
-        field.first_answers += caller.answers
+        testbed.first_answers += caller.answers
 
 
 async def _recover(field, operator):
--- a/libs/soak/src/cherryrudder/soak/strike.py
+++ b/libs/soak/src/cherryrudder/soak/strike.py
@@ -7,10 +7,10 @@
 import anyio
 
 from .faults import Fault, Kind
-from .field import Field
 from .operator import Operator
 from .promises import Disturbance, Limited
 from .proxy import Mode
+from .testbed import Testbed
 
 # A leaving engine goes on for the users' two seconds and a little longer.
 LEAVE_S = 3.0
@@ -26,7 +26,7 @@
 class Striker:
     """Carries faults out, and remembers when each took place."""
 
-    def __init__(self, field: Field, operator: Operator):
+    def __init__(self, field: Testbed, operator: Operator):
         self.field = field
         self.operator = operator
         self.disturbances: list[Disturbance] = []
--- a/libs/soak/src/cherryrudder/soak/field.py
+++ b/libs/soak/src/cherryrudder/soak/testbed.py
@@ -24,7 +24,7 @@
 FIRST_PROXY = 230
 
 
-class Field:
+class Testbed:
     """What the faults strike."""
 
     def __init__(self, folder: str, seed: int, group: TaskGroup):
--- a/tools/platformdemo.py
+++ b/tools/platformdemo.py
@@ -17,9 +17,9 @@
 from story import Story  # noqa: E402
 
 from cherryrudder.soak.callers import Caller  # noqa: E402
-from cherryrudder.soak.field import EVENTS, Field  # noqa: E402
 from cherryrudder.soak.operator import Operator  # noqa: E402
 from cherryrudder.soak.run import wait_served  # noqa: E402
+from cherryrudder.soak.testbed import EVENTS, Testbed  # noqa: E402
 from cherryrudder.standin import requests  # noqa: E402
 
 SEED = 1
@@ -27,10 +27,10 @@
 STOPPED_IN_S = 8.0
 
 
-async def ask_all(field, count, kind, key):
+async def ask_all(testbed, count, kind, key):
     """Ask many times at once, spread over the entries; return the answers."""
     answers = []
-    proxies = list(field.caller_proxies.items())
+    proxies = list(testbed.caller_proxies.items())
 
     async def one(number):
         node, proxy = proxies[number % len(proxies)]
@@ -50,49 +50,49 @@
     return [a for a in answers if a.body == requests.whole_stream(a.request_id, EVENTS)]
 
 
-async def show_streams(field, story):
+async def show_streams(testbed, story):
     """Stream while an engine dies."""
     async with anyio.create_task_group() as group:
         answers = []
 
         async def ask():
-            answers.extend(await ask_all(field, STREAMS, "stream", "k3"))
+            answers.extend(await ask_all(testbed, STREAMS, "stream", "k3"))
 
         group.start_soon(ask)
-        while not field.deployment.fleet.chains:
+        while not testbed.deployment.fleet.chains:
             await anyio.sleep(0.01)
-        chain = next(iter(field.deployment.fleet.chains.values()))
-        last = field.deployment.fleet.engines[chain[-1][0]]
-        await field.remove_engine(last)
+        chain = next(iter(testbed.deployment.fleet.chains.values()))
+        last = testbed.deployment.fleet.engines[chain[-1][0]]
+        await testbed.remove_engine(last)
     story.check(
         f"{len(whole(answers))} of {STREAMS} streams whole though an engine died",
         len(whole(answers)) == STREAMS,
     )
 
 
-async def show_filings(field, story):
+async def show_filings(testbed, story):
     """File, and look how often each filing ran."""
-    answers = await ask_all(field, 12, "filing", "k3")
-    runs = [run.request_id for run in field.deployment.fleet.runs]
+    answers = await ask_all(testbed, 12, "filing", "k3")
+    runs = [run.request_id for run in testbed.deployment.fleet.runs]
     once = [a for a in answers if a.status == 200 and runs.count(a.request_id) == 1]
     story.check(f"{len(once)} of 12 filings ran once", len(once) == 12)
 
 
-async def show_revocation(field, operator, story):
+async def show_revocation(testbed, operator, story):
     """Take a key away."""
     await operator.revoke()
     with anyio.move_on_after(STOPPED_IN_S) as scope:
-        while {a.status for a in await ask_all(field, 3, "query", "k1")} != {401}:
+        while {a.status for a in await ask_all(testbed, 3, "query", "k1")} != {401}:
             await anyio.sleep(0.1)
     story.check("a key that was taken away is refused", not scope.cancelled_caught)
 
 
-async def show_lost_leader(field, operator, story):
+async def show_lost_leader(testbed, operator, story):
     """Kill all control processes at once, and read back what was accepted."""
-    for node in field.deployment.nodes:
-        await field.end(node, "control", 9)
-    for node in field.deployment.nodes:
-        field.restart(node, "control")
+    for node in testbed.deployment.nodes:
+        await testbed.end(node, "control", 9)
+    for node in testbed.deployment.nodes:
+        testbed.restart(node, "control")
     version = operator.version
     with anyio.move_on_after(STOPPED_IN_S) as scope:
         while (reading := await operator.read_once()) is None:
@@ -105,19 +105,19 @@
     """Play the whole story; return how much did not hold."""
     story = Story()
     async with anyio.create_task_group() as group:
-        field = Field(folder, SEED, group)
+        testbed = Testbed(folder, SEED, group)
         try:
-            operator = Operator(field, random.Random(SEED))
-            await field.start()
+            operator = Operator(testbed, random.Random(SEED))
+            await testbed.start()
             await operator.change()
-            await wait_served(field, operator)
+            await wait_served(testbed, operator)
             print("6 processes are up, before 8 stand-in engines.", flush=True)
-            await show_streams(field, story)
-            await show_filings(field, story)
-            await show_revocation(field, operator, story)
-            await show_lost_leader(field, operator, story)
+            await show_streams(testbed, story)
+            await show_filings(testbed, story)
+            await show_revocation(testbed, operator, story)
+            await show_lost_leader(testbed, operator, story)
         finally:
-            field.stop()
+            testbed.stop()
         group.cancel_scope.cancel()
     return story.failed
 
