--- a/libs/fakes/src/cherryrudder/fakes/core.py
+++ b/libs/fakes/src/cherryrudder/fakes/core.py
@@ -170,7 +170,7 @@
     job.outputs.extend(hit.outputs)
     for position in range(sequence.next_position):
         for layer in range(engine.layers.first, engine.layers.end):
-            book.reused(engine.ledger, job.request, layer, position)
+            book.record_reuse(engine.ledger, job.request, layer, position)
 
 
 def _compute(engine, name, value, now_s):
@@ -180,7 +180,7 @@
         output, sequence.kv[index] = fold.run_layer(
             engine.loaded.model, layer, sequence.kv[index], output
         )
-        book.ran(engine.ledger, name, layer, sequence.next_position)
+        book.record_run(engine.ledger, name, layer, sequence.next_position)
     sequence.next_position += 1
     if layers.end == layers.total:
         output = fold.pick_token(output)
--- a/libs/fakes/src/cherryrudder/fakes/deployment.py
+++ b/libs/fakes/src/cherryrudder/fakes/deployment.py
@@ -21,7 +21,7 @@
 
 INTERNAL_KEY = "internal-key"
 OPERATOR_KEY = "operator-key"
-START_S = 60.0
+START_TIMEOUT_S = 60.0
 POLL_S = 0.05
 # Below the ports that Linux gives to outgoing connections (32768 and up), which could
 # otherwise take a port between its choice and its use.
@@ -124,14 +124,14 @@
     def start(self) -> None:
         """Create the voters' disks, start everything and wait until it serves."""
         founders = [f"{node.name}={node.addresses['frames']}" for node in self.controls]
-        makers = [
+        initializers = [
             subprocess.Popen(
                 [*node.command, "--init", *founders], stdout=subprocess.DEVNULL
             )
             for node in self.controls
         ]
-        for maker in makers:
-            if maker.wait():
+        for initializer in initializers:
+            if initializer.wait():
                 raise RuntimeError("a voter's disk could not be created")
         for node in self.nodes.values():
             node.start()
@@ -145,7 +145,7 @@
             node.kill()
         self.http.close()
 
-    def wait_ready(self, node: Node, timeout_s: float = START_S) -> None:
+    def wait_ready(self, node: Node, timeout_s: float = START_TIMEOUT_S) -> None:
         """Wait until a process says that it is ready."""
         url = f"http://{node.addresses['internal']}/readyz"
         wait_for(lambda: self._status(url) == 200, timeout_s, f"{node.name} ready")
@@ -158,9 +158,9 @@
             self.wait_ready(node)
         else:
             url = f"{self.back_end(name)}/v1/ledger"
-            wait_for(lambda: self._status(url), START_S, f"{name} answers")
+            wait_for(lambda: self._status(url), START_TIMEOUT_S, f"{name} answers")
 
-    def wait_endpoints(self, count: int, timeout_s: float = START_S) -> None:
+    def wait_endpoints(self, count: int, timeout_s: float = START_TIMEOUT_S) -> None:
         """Wait until every entry knows a number of endpoints."""
         for entry in self.entries:
             wait_for(
--- a/libs/fakes/src/cherryrudder/fakes/engine.py
+++ b/libs/fakes/src/cherryrudder/fakes/engine.py
@@ -11,10 +11,10 @@
 from .batching import Limits
 from .core import Engine, Range
 from .engine_http import engine_app
-from .engine_loop import Shell, run_batches
+from .engine_loop import EngineProcess, run_batches
 from .events import EventLog
 from .load_report import LoadReport
-from .orders import Gate, Loaded
+from .orders import FenceCheck, Loaded
 
 
 def main(
@@ -60,10 +60,12 @@
         kv_tokens,
         events,
     )
-    gate = Gate(checks_fence == "yes")
-    shell = Shell(engine, gate, LoadReport(load_lag_s), accelerator, load_s)
-    background = functools.partial(run_batches, shell)
-    anyio.run(serve_until_signal, engine_app(shell), listen, background)
+    fence_check = FenceCheck(checks_fence == "yes")
+    process = EngineProcess(
+        engine, fence_check, LoadReport(load_lag_s), accelerator, load_s
+    )
+    background = functools.partial(run_batches, process)
+    anyio.run(serve_until_signal, engine_app(process), listen, background)
 
 
 if __name__ == "__main__":
--- a/libs/fakes/src/cherryrudder/fakes/events.py
+++ b/libs/fakes/src/cherryrudder/fakes/events.py
@@ -6,7 +6,7 @@
 
 # Enough for the longest run of the tests; a reader that falls further behind sees a
 # gap, which it has to cope with anyway.
-KEPT_EVENTS = 10_000
+MAX_EVENTS = 10_000
 
 
 class Event(NamedTuple):
@@ -26,7 +26,7 @@
         self.rng = rng
         self.last_number = 0
         self.visible_s = 0.0
-        self.events = deque(maxlen=KEPT_EVENTS)
+        self.events = deque(maxlen=MAX_EVENTS)
 
 
 def publish(log: EventLog, kind: str, prefix: str, now_s: float):
--- a/libs/fakes/src/cherryrudder/fakes/freeze.py
+++ b/libs/fakes/src/cherryrudder/fakes/freeze.py
@@ -18,7 +18,7 @@
     freeze.changed = anyio.Event()
 
 
-async def thaw(freeze: Freeze):
+async def wait_until_thawed(freeze: Freeze):
     """Wait for the end of the freeze, if there is one."""
     while (left_s := freeze.until_s - anyio.current_time()) > 0:
         with anyio.move_on_after(left_s):
--- a/libs/fakes/src/cherryrudder/fakes/ledger.py
+++ b/libs/fakes/src/cherryrudder/fakes/ledger.py
@@ -13,22 +13,22 @@
         self.orders = []
 
 
-def ran(ledger: Ledger, request: str, layer: int, position: int):
+def record_run(ledger: Ledger, request: str, layer: int, position: int):
     """Note that a layer computed a position of a request."""
     ledger.runs[request, layer, position] += 1
 
 
-def reused(ledger: Ledger, request: str, layer: int, position: int):
+def record_reuse(ledger: Ledger, request: str, layer: int, position: int):
     """Note that the prefix cache stood in for computing a position."""
     ledger.reused[request, layer, position] += 1
 
 
-def called(ledger: Ledger, call: str, requests: list[str], now_s: float):
+def record_call(ledger: Ledger, call: str, requests: list[str], now_s: float):
     """Note a call and the requests that it was for."""
     ledger.calls.append({"call": call, "requests": requests, "at_s": now_s})
 
 
-def ordered(ledger: Ledger, order: dict, accepted: bool):
+def record_order(ledger: Ledger, order: dict, accepted: bool):
     """Note an order and whether the engine took it."""
     ledger.orders.append({**order, "accepted": accepted})
 
--- a/libs/fakes/src/cherryrudder/fakes/load.py
+++ b/libs/fakes/src/cherryrudder/fakes/load.py
@@ -18,7 +18,7 @@
 ANSWER_TIMEOUT_S = 120.0
 BAD_INPUT = 2
 # A run without any arrival has no rate; it must not end in a division by zero.
-SHORTEST_RUN_S = 0.001
+MIN_RUN_S = 0.001
 
 
 async def measure(
@@ -34,7 +34,7 @@
         # Idempotency keys must differ from those of the run before.
         run = Run(client, target, run_id=uuid.uuid4().hex)
         await run_load(run, arrivals)
-    elapsed_s = max(SHORTEST_RUN_S, anyio.current_time() - run.start_s)
+    elapsed_s = max(MIN_RUN_S, anyio.current_time() - run.start_s)
     # The texts are checked after the run, so that hashing takes no time from it.
     samples = [check(sample, target) for sample in run.samples]
     return summarize(samples, elapsed_s, run.late_start_s)
--- a/libs/fakes/src/cherryrudder/fakes/load_client.py
+++ b/libs/fakes/src/cherryrudder/fakes/load_client.py
@@ -19,7 +19,7 @@
 
 STREAM_END = "[DONE]"
 # What a caller's own library may raise over an answer that is broken or not there.
-BROKEN = (httpx.HTTPError, httpx.StreamError, msgspec.DecodeError, LookupError)
+ANSWER_ERRORS = (httpx.HTTPError, httpx.StreamError, msgspec.DecodeError, LookupError)
 
 
 class Run:
@@ -52,9 +52,9 @@
     streams = run.target.stream and not run.target.service
     try:
         sample = await (send_stream if streams else send_whole)(run, arrival)
-    except BROKEN:
+    except ANSWER_ERRORS:
         sample = Sample(arrival, Result.TRANSPORT)
-    run.samples.append(sample._replace(total_s=since(run, arrival)))
+    run.samples.append(sample._replace(total_s=elapsed_s(run, arrival)))
 
 
 async def send_whole(run: Run, arrival: Arrival) -> Sample:
@@ -65,7 +65,7 @@
         return sample
     value = answer.json()
     text = value["text"] if run.target.service else value["choices"][0]["text"]
-    first_s = since(run, arrival)
+    first_s = elapsed_s(run, arrival)
     result = outcome_of(answer.headers)
     return Sample(arrival, result, answer.status_code, text, first_s)
 
@@ -101,7 +101,7 @@
             # The last event carries the reason of the end and no token.
             if text:
                 texts.append(text)
-                times_s.append(since(run, arrival))
+                times_s.append(elapsed_s(run, arrival))
     except httpx.HTTPError:
         # The stream broke after its start with no error event: that is a cut too.
         pass
@@ -149,7 +149,7 @@
     )
 
 
-def since(run: Run, arrival: Arrival) -> float:
+def elapsed_s(run: Run, arrival: Arrival) -> float:
     """Return the time since the planned arrival.
 
     Counting from the moment of sending would leave out the wait in a tool that has
--- a/libs/fakes/src/cherryrudder/fakes/load_report.py
+++ b/libs/fakes/src/cherryrudder/fakes/load_report.py
@@ -23,19 +23,19 @@
         self.samples = deque([(float("-inf"), IDLE)])
 
 
-def note(report: LoadReport, load: Load, now_s: float):
+def record_load(report: LoadReport, load: Load, now_s: float):
     """Take a sample of the load."""
     if report.samples[-1][1] != load:
         report.samples.append((now_s, load))
-    _forget(report, now_s)
+    _drop_old(report, now_s)
 
 
 def read(report: LoadReport, now_s: float) -> Load:
     """Return the load as of the lag before now."""
-    _forget(report, now_s)
+    _drop_old(report, now_s)
     return report.samples[0][1]
 
 
-def _forget(report, now_s):
+def _drop_old(report, now_s):
     while len(report.samples) > 1 and report.samples[1][0] <= now_s - report.lag_s:
         report.samples.popleft()
--- a/libs/fakes/src/cherryrudder/fakes/load_stats.py
+++ b/libs/fakes/src/cherryrudder/fakes/load_stats.py
@@ -9,7 +9,7 @@
 from .samples import Result, Sample
 
 MICROSECONDS = 1_000_000
-LONGEST_US = 3600 * MICROSECONDS
+MAX_TIME_US = 3600 * MICROSECONDS
 DIGITS = 3
 REFUSALS = (429, 503)
 BAD = (Result.CUT, Result.NO_OUTCOME, Result.WRONG, Result.TRANSPORT)
@@ -59,9 +59,9 @@
 
 def percentiles(times_s: Iterable[float]) -> Percentiles:
     """Return points of a distribution, to three digits."""
-    histogram = HdrHistogram(1, LONGEST_US, DIGITS)
+    histogram = HdrHistogram(1, MAX_TIME_US, DIGITS)
     for time_s in times_s:
-        histogram.record_value(min(LONGEST_US, max(1, round(time_s * MICROSECONDS))))
+        histogram.record_value(min(MAX_TIME_US, max(1, round(time_s * MICROSECONDS))))
     if not histogram.get_total_count():
         return Percentiles(0.0, 0.0, 0.0, 0.0)
     points = (histogram.get_value_at_percentile(point) for point in (50, 95, 99, 100))
--- a/libs/fakes/src/cherryrudder/fakes/orders.py
+++ b/libs/fakes/src/cherryrudder/fakes/orders.py
@@ -27,12 +27,12 @@
     role: str = "both"
 
 
-class Gate:
+class FenceCheck:
     """The highest fencing number seen; an engine that does not check ignores it."""
 
     def __init__(self, checks_fence: bool):
         self.checks_fence = checks_fence
-        self.highest = 0
+        self.highest_fence = 0
 
 
 NEEDED_FIELD = {
@@ -43,7 +43,9 @@
 }
 
 
-def follow(gate: Gate, loaded: Loaded, order: Order) -> Result[Loaded, OrderRefused]:
+def apply_order(
+    fence_check: FenceCheck, loaded: Loaded, order: Order
+) -> Result[Loaded, OrderRefused]:
     """Return what is loaded after an order, or why it is refused."""
     field = NEEDED_FIELD.get(order.order)
     if field is None or not getattr(order, field):
@@ -51,13 +53,13 @@
     # An order that was held up on its way would otherwise undo a newer one: the
     # engine would go back to an old model while the system believes in the new one.
     # A number below the highest is that case; the same number is a resend.
-    if gate.checks_fence and order.fence < gate.highest:
+    if fence_check.checks_fence and order.fence < fence_check.highest_fence:
         return Error(OrderRefused("old fence"))
-    gate.highest = max(gate.highest, order.fence)
-    return Ok(_carry_out(loaded, order))
+    fence_check.highest_fence = max(fence_check.highest_fence, order.fence)
+    return Ok(_loaded_after(loaded, order))
 
 
-def _carry_out(loaded, order):
+def _loaded_after(loaded, order):
     if order.order == "load-model":
         version = order.version or loaded.version
         return Loaded(order.model, version, (), loaded.role)
--- a/libs/fakes/src/cherryrudder/fakes/service.py
+++ b/libs/fakes/src/cherryrudder/fakes/service.py
@@ -9,7 +9,7 @@
 from .asgi import Call, Reply, json_object, make_app, route, serve_until_signal
 from .faults import ServiceFaults
 from .fields import merge
-from .freeze import Freeze, set_freeze, thaw
+from .freeze import Freeze, set_freeze, wait_until_thawed
 
 DIED = 70
 
@@ -25,7 +25,7 @@
         self.freeze = Freeze()
 
 
-def file(service: Service, text: str, key: str) -> dict:
+def record_filing(service: Service, text: str, key: str) -> dict:
     """Stamp a receipt on a filing and enter it in the ledger."""
     receipt = f"{service.name}-{len(service.filings) + 1}"
     service.filings.append({"receipt": receipt, "text": text, "key": key})
@@ -34,7 +34,7 @@
 
 async def answer(service: Service, call: Call) -> Reply | None:
     """Answer any call; a POST to a path that ends in /filings is a filing."""
-    await thaw(service.freeze)
+    await wait_until_thawed(service.freeze)
     faults = service.faults
     key = call.headers.get("idempotency-key", "")
     service.calls.append({"method": call.method, "path": call.path, "key": key})
@@ -45,17 +45,17 @@
         return Reply(500, {"error": "failed"})
     reply = Reply(200, {"service": service.name, "path": call.path})
     if call.method == "POST" and call.path.endswith("/filings"):
-        reply = Reply(200, file(service, json_object(call)["text"], key))
+        reply = Reply(200, record_filing(service, json_object(call)["text"], key))
     # The filing stands in the ledger by now: this is a lost answer, not a lost call.
     if service.faults.drop_answers > 0:
         left = service.faults.drop_answers - 1
         service.faults = service.faults._replace(drop_answers=left)
         return None
-    await thaw(service.freeze)
+    await wait_until_thawed(service.freeze)
     return reply
 
 
-async def give_ledger(service: Service, call: Call) -> Reply:
+async def get_ledger(service: Service, call: Call) -> Reply:
     """Answer every filing and call."""
     return Reply(200, {"filings": service.filings, "calls": service.calls})
 
@@ -72,7 +72,7 @@
 def service_app(service: Service):
     """Return the service's ASGI app."""
     routes = {
-        ("GET", "/ledger"): functools.partial(give_ledger, service),
+        ("GET", "/ledger"): functools.partial(get_ledger, service),
         ("POST", "/faults"): functools.partial(set_faults, service),
     }
     handler = route(routes, functools.partial(answer, service))
--- a/libs/fakes/test/test_orders.py
+++ b/libs/fakes/test/test_orders.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from cherryrudder.fakes.orders import Gate, Loaded, Order, follow
+from cherryrudder.fakes.orders import FenceCheck, Loaded, Order, apply_order
 
 LOADED = Loaded("briefing", "1", ("tours",))
 
@@ -18,11 +18,11 @@
             Order(1, "role", role="decode"): LOADED._replace(role="decode"),
         }
         for order, expected in cases.items():
-            self.assertEqual(follow(Gate(True), LOADED, order).ok, expected)
+            self.assertEqual(apply_order(FenceCheck(True), LOADED, order).ok, expected)
 
     def test_an_incomplete_or_unknown_order_is_refused(self):
         for order in (Order(1, "load-model"), Order(1, "dance", model="briefing")):
-            self.assertTrue(follow(Gate(False), LOADED, order).is_error())
+            self.assertTrue(apply_order(FenceCheck(False), LOADED, order).is_error())
 
     def test_only_an_engine_that_checks_refuses_an_old_fence(self):
         """A role order with fence 4 is held up and arrives after one with fence 5.
@@ -31,9 +31,9 @@
         other one follows it, which is why somebody else has to hold it back.
         """
         for checks, role in ((True, "decode"), (False, "prefill")):
-            gate = Gate(checks)
-            loaded = follow(gate, LOADED, Order(5, "role", role="decode")).ok
-            late = follow(gate, loaded, Order(4, "role", role="prefill"))
+            gate = FenceCheck(checks)
+            loaded = apply_order(gate, LOADED, Order(5, "role", role="decode")).ok
+            late = apply_order(gate, loaded, Order(4, "role", role="prefill"))
             self.assertEqual(late.default_value(loaded).role, role)
-            resent = follow(gate, loaded, Order(5, "role", role="decode"))
+            resent = apply_order(gate, loaded, Order(5, "role", role="decode"))
             self.assertTrue(resent.is_ok())
--- a/libs/fakes/test/test_prefixes.py
+++ b/libs/fakes/test/test_prefixes.py
@@ -74,7 +74,7 @@
     def test_the_load_is_told_after_the_lag(self):
         report = LoadReport(2.0)
         busy = Load(3, 1, 0.5)
-        load_report.note(report, busy, 10.0)
-        load_report.note(report, load_report.IDLE, 11.0)
+        load_report.record_load(report, busy, 10.0)
+        load_report.record_load(report, load_report.IDLE, 11.0)
         told = [load_report.read(report, now_s).running for now_s in (11.9, 12.0, 13.0)]
         self.assertEqual(told, [0, 3, 0])
--- a/libs/soak/src/cherryrudder/soak/__main__.py
+++ b/libs/soak/src/cherryrudder/soak/__main__.py
@@ -12,7 +12,7 @@
 from .run import Outcome, run
 
 # A run starts six processes and takes about half a core.
-MOST_AT_ONCE = 8
+MAX_AT_ONCE = 8
 
 
 def soak(
@@ -38,7 +38,7 @@
         Path(keep_in).mkdir(parents=True, exist_ok=True)
     chosen = range(first, first + seeds)
     failed = []
-    with ProcessPoolExecutor(min(at_once, MOST_AT_ONCE)) as workers:
+    with ProcessPoolExecutor(min(at_once, MAX_AT_ONCE)) as workers:
         lengths, folders = [length_s] * seeds, [keep_in] * seeds
         for outcome in workers.map(run, chosen, lengths, folders):
             state = "broken" if outcome.broken else "kept"
--- a/libs/soak/src/cherryrudder/soak/callers.py
+++ b/libs/soak/src/cherryrudder/soak/callers.py
@@ -10,10 +10,10 @@
 from cherryrudder.relay.errors import AnswerBroken, AnswerLate, ConnectFailed
 from cherryrudder.standin import requests
 
-from .promises import Answer
+from .guarantees import Answer
 
-WAIT_S = 12.0
-CONNECT_S = 1.0
+ANSWER_TIMEOUT_S = 12.0
+CONNECT_TIMEOUT_S = 1.0
 # So that a caller whose entry is down doesn't try without a pause.
 PAUSE_S = 0.05
 KINDS = ("stream", "stream", "filing", "filing", "query")
@@ -58,22 +58,26 @@
     async def _connect(self):
         if self._connection is None or self._connection.has_news():
             self.close()
-            opened = await open_connection(self.address, CONNECT_S, time.monotonic())
+            opened = await open_connection(
+                self.address, CONNECT_TIMEOUT_S, time.monotonic()
+            )
             self._connection = opened
         return self._connection
 
     async def _exchange(self, connection, kind, key, body):
         request_id = uuid.UUID(int=self.rng.getrandbits(128)).hex
-        sent = requests.request(kind, request_id, key, self.events, WAIT_S, body)
+        sent = requests.request(
+            kind, request_id, key, self.events, ANSWER_TIMEOUT_S, body
+        )
         answer = Answer(request_id, kind, key, self.node, time.monotonic(), 0.0, 0)
         pieces = []
         is_kept = False
         try:
-            with anyio.fail_after(WAIT_S):
+            with anyio.fail_after(ANSWER_TIMEOUT_S):
                 await connection.send(
                     sent.method.encode(), sent.path.encode(), sent.headers, sent.body
                 )
-                head = await connection.read_head(WAIT_S)
+                head = await connection.read_head(ANSWER_TIMEOUT_S)
                 answer = answer._replace(status=head.status)
                 while (piece := await connection.read()) is not None:
                     pieces.append(piece)
--- a/libs/soak/src/cherryrudder/soak/faults.py
+++ b/libs/soak/src/cherryrudder/soak/faults.py
@@ -11,7 +11,7 @@
 from .proxy import Mode
 
 
-class Kind(StrEnum):
+class FaultKind(StrEnum):
     """What happens."""
 
     KILL_ENTRY = "kill-entry"
@@ -43,38 +43,54 @@
     ENGINE_TELLS_CALLERS = "engine-tells-callers"
 
 
-ON_CONTROL = (
-    Kind.KILL_CONTROL,
-    Kind.STOP_CONTROL,
-    Kind.FREEZE_CONTROL,
-    Kind.WIPE_CONTROL,
-    Kind.TEAR_CONTROL,
-    Kind.KILL_ALL_CONTROLS,
+CONTROL_KINDS = (
+    FaultKind.KILL_CONTROL,
+    FaultKind.STOP_CONTROL,
+    FaultKind.FREEZE_CONTROL,
+    FaultKind.WIPE_CONTROL,
+    FaultKind.TEAR_CONTROL,
+    FaultKind.KILL_ALL_CONTROLS,
 )
-CHANGES = (Kind.CHANGE, Kind.CHANGE, Kind.RACE, Kind.BAD_CHANGE, Kind.REVOKE)
-BACKPRESSURE = (Kind.ENGINE_LIMITS, Kind.ENGINE_SHEDS, Kind.ENGINE_TELLS_CALLERS)
-ELSEWHERE = tuple(
+CHANGE_KINDS = (
+    FaultKind.CHANGE,
+    FaultKind.CHANGE,
+    FaultKind.RACE,
+    FaultKind.BAD_CHANGE,
+    FaultKind.REVOKE,
+)
+BACKPRESSURE_KINDS = (
+    FaultKind.ENGINE_LIMITS,
+    FaultKind.ENGINE_SHEDS,
+    FaultKind.ENGINE_TELLS_CALLERS,
+)
+OTHER_KINDS = tuple(
     kind
-    for kind in Kind
-    if kind not in (*ON_CONTROL, *CHANGES, *BACKPRESSURE, Kind.CRASHING_REQUEST)
+    for kind in FaultKind
+    if kind
+    not in (
+        *CONTROL_KINDS,
+        *CHANGE_KINDS,
+        *BACKPRESSURE_KINDS,
+        FaultKind.CRASHING_REQUEST,
+    )
 )
 LINK_MODES = (Mode.DELAY, Mode.SILENT, Mode.HOLD_REQUESTS, Mode.HOLD_ANSWERS)
 # Until a control VM that was lost counts as back; the users' pages give four seconds.
 CATCH_UP_S = 4.0
-LONGEST_S = 3.0
+MAX_FAULT_S = 3.0
 # Long enough for three engines to end, for that to be known, and some seconds more.
 CRASHING_S = (8.0, 12.0)
 CRASHING_SHARE = 0.5
 # Long enough for a limit to be known, and for a backoff to be renewed.
 BACKPRESSURE_S = (5.0, 9.0)
-MOST_BACKPRESSURE = 2
+MAX_BACKPRESSURE_FAULTS = 2
 
 
 class Fault(NamedTuple):
     """One fault; `pick` chooses among the things that it may strike."""
 
     at_s: float
-    kind: Kind
+    kind: FaultKind
     for_s: float
     pick: float
     mode: Mode = Mode.PASS
@@ -83,41 +99,41 @@
 def draw(seed: int, length_s: float) -> list[Fault]:
     """Return the faults of a run, in order."""
     rng = random.Random(seed)
-    faults = _on_controls(rng, length_s)
-    for kinds, count in ((ELSEWHERE, 5), (CHANGES, 3)):
+    faults = _control_faults(rng, length_s)
+    for kinds, count in ((OTHER_KINDS, 5), (CHANGE_KINDS, 3)):
         for _ in range(rng.randrange(1, count + 1)):
             faults.append(_fault(rng, rng.choice(kinds), rng.uniform(0, length_s)))
-    faults += _crashing(random.Random(f"crashing-{seed}"), length_s)
-    faults += _backpressure(random.Random(f"backpressure-{seed}"), length_s)
+    faults += _crashing_faults(random.Random(f"crashing-{seed}"), length_s)
+    faults += _backpressure_faults(random.Random(f"backpressure-{seed}"), length_s)
     return sorted(faults)
 
 
-def _backpressure(rng, length_s):
+def _backpressure_faults(rng, length_s):
     faults = []
-    for _ in range(rng.randrange(MOST_BACKPRESSURE + 1)):
-        kind = rng.choice(BACKPRESSURE)
+    for _ in range(rng.randrange(MAX_BACKPRESSURE_FAULTS + 1)):
+        kind = rng.choice(BACKPRESSURE_KINDS)
         fault = _fault(rng, kind, rng.uniform(0, length_s / 2))
         faults.append(fault._replace(for_s=rng.uniform(*BACKPRESSURE_S)))
     return faults
 
 
-def _crashing(rng, length_s):
+def _crashing_faults(rng, length_s):
     if rng.random() >= CRASHING_SHARE:
         return []
-    fault = _fault(rng, Kind.CRASHING_REQUEST, rng.uniform(0, length_s / 2))
+    fault = _fault(rng, FaultKind.CRASHING_REQUEST, rng.uniform(0, length_s / 2))
     return [fault._replace(for_s=rng.uniform(*CRASHING_S))]
 
 
-def _on_controls(rng, length_s):
+def _control_faults(rng, length_s):
     faults = []
     at_s = rng.uniform(0, length_s)
     while at_s < length_s:
-        fault = _fault(rng, rng.choice(ON_CONTROL), at_s)
+        fault = _fault(rng, rng.choice(CONTROL_KINDS), at_s)
         faults.append(fault)
         at_s += fault.for_s + CATCH_UP_S + rng.uniform(0, 3)
     return faults
 
 
 def _fault(rng, kind, at_s):
-    for_s = rng.uniform(0.2, LONGEST_S)
+    for_s = rng.uniform(0.2, MAX_FAULT_S)
     return Fault(at_s, kind, for_s, rng.random(), rng.choice(LINK_MODES))
--- a/libs/soak/src/cherryrudder/soak/promises.py
+++ b/libs/soak/src/cherryrudder/soak/guarantees.py
@@ -18,12 +18,12 @@
 REVOKE_S = 5.0
 DRAIN_S = 2.0
 # A request that was sent just before its connection closed may go unread.
-CROSSING_S = 0.2
+CLOSE_RACE_S = 0.2
 # A fault on the way stretches the bounds by the time that the pages give the system to
 # be in touch again, and an unstable core by five seconds more.
 UNSTABLE_S = 8.0
 # What engines and operators do in the course of things harms no link and no process.
-ORDINARY = frozenset(
+HARMLESS_KINDS = frozenset(
     {
         "engine-leaves",
         "engine-tells-callers",
@@ -37,17 +37,17 @@
 )
 # A request that has ended so many engines is sent no more than so often, once it could
 # be known everywhere.
-ENDED_ENGINES = 3
-MOST_LATE_SENDS = 3
+CRASHED_ENGINES = 3
+MAX_LATE_SENDS = 3
 CONTACT_S = 3.0
 # A limited engine gets one and a half times its limit and some requests more.
 WINDOW_S = 4.0
-LIMIT_SHARE = 1.5
-LIMIT_MORE = 5
+LIMIT_FACTOR = 1.5
+LIMIT_EXTRA = 5
 # Requests of one entry that reach an engine which has asked it to back off, this long
 # after that.
 BACKOFF_NOTICE_S = 0.5
-MOST_IN_BACKOFF = 2
+MAX_IN_BACKOFF = 2
 
 
 class Answer(NamedTuple):
@@ -88,7 +88,7 @@
     ends_s: float
 
 
-class Limited(NamedTuple):
+class EngineLimit(NamedTuple):
     """A limit of requests a second that an engine named for some time."""
 
     engine_id: str
@@ -110,16 +110,16 @@
     left_s: dict[str, float] = {}
     disturbances: tuple[Disturbance, ...] = ()
     # What ended, or never came back, without having been told to.
-    own_ends: tuple[str, ...] = ()
+    unexpected_exits: tuple[str, ...] = ()
     # The ids of each request that ends engines, and the engines that ended.
     crashing: tuple[frozenset[str], ...] = ()
     crashes: tuple[Crash, ...] = ()
-    limited: tuple[Limited, ...] = ()
+    limited: tuple[EngineLimit, ...] = ()
     turned_away: tuple[TurnedAway, ...] = ()
     events: int = 0
 
 
-def broken(history: History) -> list[str]:
+def find_violations(history: History) -> list[str]:
     """Return every promise that was broken, one line each."""
     checks = (
         _answers_are_whole_and_their_own,
@@ -132,7 +132,7 @@
         _crashing_requests_stop,
         _limits_are_kept,
         _backoffs_are_kept,
-        lambda history: [f"END: {what}" for what in history.own_ends],
+        lambda history: [f"END: {what}" for what in history.unexpected_exits],
     )
     return [fault for check in checks for fault in check(history)]
 
@@ -196,7 +196,9 @@
         if left_s is None:
             continue
         late_s = arrival.at_s - left_s - DRAIN_S
-        if late_s > 0 and not _is_disturbed(history, left_s, arrival.at_s, ORDINARY):
+        if late_s > 0 and not _is_disturbed(
+            history, left_s, arrival.at_s, HARMLESS_KINDS
+        ):
             yield f"DRAIN: {arrival.engine_id} got a request {late_s:.1f} s late"
 
 
@@ -211,7 +213,7 @@
         if answer.status and answer.is_whole:
             continue
         took_s = answer.ended_s - answer.sent_s
-        if answer.request_id not in passed_on and took_s < CROSSING_S:
+        if answer.request_id not in passed_on and took_s < CLOSE_RACE_S:
             # It crossed the close of its connection; the caller knows that nobody
             # has read it.
             continue
@@ -228,18 +230,18 @@
     """Count the sends while nothing has kept entries and control VMs apart."""
     for ids in history.crashing:
         ended_s = [one.at_s for one in history.crashes if one.request_id in ids]
-        if len(ended_s) < ENDED_ENGINES:
+        if len(ended_s) < CRASHED_ENGINES:
             continue
-        third_s = sorted(ended_s)[ENDED_ENGINES - 1]
+        third_s = sorted(ended_s)[CRASHED_ENGINES - 1]
         late = [
             arrival
             for arrival in history.arrivals
             if arrival.request_id in ids
             and arrival.at_s > third_s + CONTACT_S
-            and not _is_out_of_touch(history, third_s, arrival.at_s)
+            and not _is_contact_disturbed(history, third_s, arrival.at_s)
         ]
-        if len(late) > MOST_LATE_SENDS:
-            yield f"BUDGET: sent {len(late)} times after {ENDED_ENGINES} engines ended"
+        if len(late) > MAX_LATE_SENDS:
+            yield f"BUDGET: sent {len(late)} times after {CRASHED_ENGINES} engines ended"
 
 
 def _limits_are_kept(history):
@@ -247,20 +249,20 @@
     nodes = _nodes(history)
     for one in history.limited:
         since_s = one.begins_s + CONTACT_S
-        if _is_link_struck(history, one.begins_s, since_s):
+        if _is_link_disturbed(history, one.begins_s, since_s):
             continue
         times_s = sorted(
             arrival.at_s
             for arrival in history.arrivals
             if arrival.engine_id == one.engine_id
             and since_s <= arrival.at_s < one.ends_s
-            and not _is_entry_struck(
+            and not _is_entry_disturbed(
                 history, nodes.get(arrival.request_id), one.begins_s, arrival.at_s
             )
         )
         windows = [sum(t <= u < t + WINDOW_S for u in times_s) for t in times_s]
-        most, allowed = max(windows, default=0), LIMIT_SHARE * one.per_s * WINDOW_S
-        if most > allowed + LIMIT_MORE:
+        most, allowed = max(windows, default=0), LIMIT_FACTOR * one.per_s * WINDOW_S
+        if most > allowed + LIMIT_EXTRA:
             yield f"LIMIT: {one.engine_id} got {most} requests, {one.per_s} a second"
 
 
@@ -269,9 +271,9 @@
     nodes = _nodes(history)
     for one in history.turned_away:
         node, ends_s = nodes.get(one.request_id), one.at_s + one.backoff_s
-        if _is_link_struck(history, one.at_s - BACKOFF_NOTICE_S, ends_s):
+        if _is_link_disturbed(history, one.at_s - BACKOFF_NOTICE_S, ends_s):
             continue
-        if _is_entry_struck(history, node, one.at_s, ends_s):
+        if _is_entry_disturbed(history, node, one.at_s, ends_s):
             continue
         got = sum(
             arrival.engine_id == one.engine_id
@@ -279,7 +281,7 @@
             and one.at_s + BACKOFF_NOTICE_S <= arrival.at_s < ends_s
             for arrival in history.arrivals
         )
-        if got > MOST_IN_BACKOFF:
+        if got > MAX_IN_BACKOFF:
             yield f"BUDGET: {one.engine_id} got {got} requests of {node} in its backoff"
             return
 
@@ -289,7 +291,7 @@
     return {answer.request_id: answer.node for answer in history.answers}
 
 
-def _is_entry_struck(history, node, begins_s, ends_s):
+def _is_entry_disturbed(history, node, begins_s, ends_s):
     return any(
         one.kind.endswith("-entry")
         and one.target in (node, "")
@@ -299,7 +301,7 @@
     )
 
 
-def _is_link_struck(history, begins_s, ends_s):
+def _is_link_disturbed(history, begins_s, ends_s):
     return any(
         one.kind in ("engine-link", "engine-reset")
         and one.begins_s < ends_s
@@ -308,7 +310,7 @@
     )
 
 
-def _is_out_of_touch(history, begins_s, ends_s):
+def _is_contact_disturbed(history, begins_s, ends_s):
     return any(
         one.kind.endswith(("-entry", "-control", "-controls"))
         and one.begins_s < ends_s
--- a/libs/soak/src/cherryrudder/soak/strike.py
+++ b/libs/soak/src/cherryrudder/soak/injector.py
@@ -6,35 +6,35 @@
 
 import anyio
 
-from .faults import Fault, Kind
+from .faults import Fault, FaultKind
+from .guarantees import Disturbance, EngineLimit
 from .operator import Operator
-from .promises import Disturbance, Limited
 from .proxy import Mode
 from .testbed import Testbed
 
 # A leaving engine goes on for the users' two seconds and a little longer.
 LEAVE_S = 3.0
 # Engines stay in pairs, so that one copy of the layers is always there.
-FEWEST_MODEL_ENGINES = 4
-FEWEST_PLAIN_ENGINES = 1
+MIN_MODEL_ENGINES = 4
+MIN_PLAIN_ENGINES = 1
 CRASHING_PAUSE_S = 0.2
 # What a limited engine takes, and how long one that sheds wants nothing.
 LIMITS_PER_S = (1.0, 4.0)
 BACKOFFS_S = (1.0, 3.0)
 
 
-class Striker:
+class FaultInjector:
     """Carries faults out, and remembers when each took place."""
 
-    def __init__(self, field: Testbed, operator: Operator):
-        self.field = field
+    def __init__(self, testbed: Testbed, operator: Operator):
+        self.testbed = testbed
         self.operator = operator
         self.disturbances: list[Disturbance] = []
         self.left_s: dict[str, float] = {}
-        self.limited: list[Limited] = []
+        self.limited: list[EngineLimit] = []
         self._busy: set[str] = set()
 
-    async def strike(self, fault: Fault) -> None:
+    async def inject(self, fault: Fault) -> None:
         """Carry one fault out, from its beginning to its end."""
         handler = HANDLERS[fault.kind]
         begins_s = time.monotonic()
@@ -50,7 +50,7 @@
 
     async def _with_process(self, fault, role, work):
         """Work on one process, unless another fault does so already."""
-        node = self._pick(self.field.deployment.nodes, fault)
+        node = self._pick(self.testbed.deployment.nodes, fault)
         name = f"{node.name}-{role}"
         if name in self._busy or role not in node.processes:
             return node.name
@@ -62,38 +62,38 @@
         return node.name
 
     async def _kill(self, node, role, fault):
-        await self.field.end(node, role, signal.SIGKILL)
+        await self.testbed.end(node, role, signal.SIGKILL)
         await anyio.sleep(fault.for_s)
-        self.field.restart(node, role)
+        self.testbed.restart(node, role)
 
     async def _stop(self, node, role, fault):
-        await self.field.end(node, role, signal.SIGTERM)
-        self.field.restart(node, role)
+        await self.testbed.end(node, role, signal.SIGTERM)
+        self.testbed.restart(node, role)
 
     async def _freeze(self, node, role, fault):
-        self.field.signal(node, role, signal.SIGSTOP)
+        self.testbed.signal(node, role, signal.SIGSTOP)
         await anyio.sleep(fault.for_s)
-        self.field.signal(node, role, signal.SIGCONT)
+        self.testbed.signal(node, role, signal.SIGCONT)
 
-    async def _wipe(self, node, role, fault):
-        await self.field.end(node, role, signal.SIGKILL)
-        self.field.wipe(node)
+    async def _kill_and_wipe(self, node, role, fault):
+        await self.testbed.end(node, role, signal.SIGKILL)
+        self.testbed.wipe(node)
         await anyio.sleep(fault.for_s)
-        self.field.restart(node, role)
+        self.testbed.restart(node, role)
 
-    async def _tear(self, node, role, fault):
-        await self.field.end(node, role, signal.SIGKILL)
-        self.field.tear(node)
+    async def _kill_with_torn_log(self, node, role, fault):
+        await self.testbed.end(node, role, signal.SIGKILL)
+        self.testbed.append_torn_record(node)
         await anyio.sleep(fault.for_s)
-        self.field.restart(node, role)
+        self.testbed.restart(node, role)
 
     async def _kill_all(self, fault):
-        nodes = self.field.deployment.nodes
+        nodes = self.testbed.deployment.nodes
         for node in nodes:
-            await self.field.end(node, "control", signal.SIGKILL)
+            await self.testbed.end(node, "control", signal.SIGKILL)
         await anyio.sleep(min(1.0, fault.for_s))
         for node in nodes:
-            self.field.restart(node, "control")
+            self.testbed.restart(node, "control")
 
     async def _engine_dies(self, fault):
         engine = self._pick(self._spare_engines(), fault)
@@ -101,28 +101,28 @@
             return ""
         if int(fault.pick * 1000) % 2:
             # Back at once under its name, before anybody can have missed it.
-            await self.field.restart_engine(engine)
+            await self.testbed.restart_engine(engine)
             return f"{engine.engine_id} again"
-        await self.field.remove_engine(engine)
+        await self.testbed.remove_engine(engine)
         await anyio.sleep(fault.for_s)
-        await self.field.add_engine(engine.service, engine.kind)
+        await self.testbed.add_engine(engine.service, engine.kind)
         return engine.engine_id
 
     async def _engine_leaves(self, fault):
         engine = self._pick(self._spare_engines(), fault)
         if engine is None:
             return ""
-        replacement = await self.field.add_engine(engine.service, engine.kind)
+        replacement = await self.testbed.add_engine(engine.service, engine.kind)
         if int(fault.pick * 1000) % 2:
             await self._sign_off_first(engine)
         else:
             await self._drain_first(engine)
-        await self.field.remove_engine(engine)
+        await self.testbed.remove_engine(engine)
         return f"{engine.engine_id} for {replacement.engine_id}"
 
     async def _sign_off_first(self, engine):
         """Let an engine sign off and serve on for a while, as some do."""
-        if await self.field.deployment.depart(engine):
+        if await self.testbed.deployment.depart(engine):
             self.left_s[engine.engine_id] = time.monotonic()
         await anyio.sleep(LEAVE_S)
 
@@ -134,14 +134,14 @@
                 await anyio.sleep(0.02)
             self.left_s[engine.engine_id] = time.monotonic()
         await anyio.sleep(LEAVE_S)
-        await self.field.deployment.depart(engine)
+        await self.testbed.deployment.depart(engine)
 
     async def _crashing_request(self, fault):
         """Repeat a request at all entries that ends each engine which begins it."""
         body = f"ends engines {fault.pick}".encode()
-        answers = self.field.crashing[body] = []
-        self.field.deployment.fleet.crashing.add(body)
-        callers = self.field.new_callers()
+        answers = self.testbed.crashing[body] = []
+        self.testbed.deployment.fleet.crashing.add(body)
+        callers = self.testbed.new_callers()
         until_s = time.monotonic() + fault.for_s
         turns = itertools.cycle(callers)
         while time.monotonic() < until_s:
@@ -152,12 +152,12 @@
             await anyio.sleep(CRASHING_PAUSE_S)
         for caller in callers:
             caller.close()
-            self.field.first_answers += caller.answers
+            self.testbed.first_answers += caller.answers
         return body.decode()
 
     async def _engine_limits(self, fault):
         """Let an engine name a limit for some time."""
-        engine = self._pick(self._calm_engines(), fault)
+        engine = self._pick(self._engines_without_backpressure(), fault)
         if engine is None:
             return ""
         engine.limit_per_s = round(_between(LIMITS_PER_S, fault.pick * 10 % 1), 2)
@@ -165,13 +165,13 @@
         await anyio.sleep(fault.for_s)
         engine.limit_per_s = None
         self.limited.append(
-            Limited(engine.engine_id, limit_per_s, named_s, time.monotonic())
+            EngineLimit(engine.engine_id, limit_per_s, named_s, time.monotonic())
         )
         return f"{engine.engine_id} {limit_per_s} a second"
 
     async def _engine_sheds(self, fault):
         """Let an engine turn everything away for some time, and ask to back off."""
-        engine = self._pick(self._calm_engines(), fault)
+        engine = self._pick(self._engines_without_backpressure(), fault)
         if engine is None:
             return ""
         engine.backoff_s = round(_between(BACKOFFS_S, fault.pick * 10 % 1), 2)
@@ -184,18 +184,18 @@
         engine = self._pick(self._spare_engines(), fault)
         if engine is None:
             return ""
-        replacement = await self.field.add_engine(engine.service, engine.kind)
+        replacement = await self.testbed.add_engine(engine.service, engine.kind)
         engine.tells_callers = True
         with anyio.move_on_after(LEAVE_S):
             while engine.told_callers_s is None:
                 await anyio.sleep(0.02)
             self.left_s[engine.engine_id] = engine.told_callers_s
         await anyio.sleep(LEAVE_S)
-        await self.field.deployment.depart(engine)
-        await self.field.remove_engine(engine)
+        await self.testbed.deployment.depart(engine)
+        await self.testbed.remove_engine(engine)
         return f"{engine.engine_id} for {replacement.engine_id}"
 
-    def _calm_engines(self):
+    def _engines_without_backpressure(self):
         """Return the engines that ask for nothing yet."""
         return [
             engine
@@ -207,10 +207,10 @@
         """Return the engines that may be lost now."""
         found = []
         for service, fewest in (
-            ("llm", FEWEST_MODEL_ENGINES),
-            ("desk", FEWEST_PLAIN_ENGINES),
+            ("llm", MIN_MODEL_ENGINES),
+            ("desk", MIN_PLAIN_ENGINES),
         ):
-            there = [e for e in self.field.engines if e.service == service]
+            there = [e for e in self.testbed.engines if e.service == service]
             staying = [e for e in there if not (e.is_leaving or e.tells_callers)]
             found += staying if len(staying) > fewest else []
         return found
@@ -238,32 +238,32 @@
     )
 
 
-async def _operate(call):
+async def _call_operator(call):
     await call()
 
 
 HANDLERS = {
-    Kind.KILL_ENTRY: _on_process("entry", Striker._kill),
-    Kind.STOP_ENTRY: _on_process("entry", Striker._stop),
-    Kind.FREEZE_ENTRY: _on_process("entry", Striker._freeze),
-    Kind.KILL_CONTROL: _on_process("control", Striker._kill),
-    Kind.STOP_CONTROL: _on_process("control", Striker._stop),
-    Kind.FREEZE_CONTROL: _on_process("control", Striker._freeze),
-    Kind.WIPE_CONTROL: _on_process("control", Striker._wipe),
-    Kind.TEAR_CONTROL: _on_process("control", Striker._tear),
-    Kind.KILL_ALL_CONTROLS: Striker._kill_all,
-    Kind.ENGINE_DIES: Striker._engine_dies,
-    Kind.ENGINE_LEAVES: Striker._engine_leaves,
-    Kind.ENGINE_LINK: lambda s, f: s._link(s.field.engine_proxies, f),
-    Kind.ENGINE_RESET: lambda s, f: s._reset(s.field.engine_proxies, f),
-    Kind.CALLER_LINK: lambda s, f: s._link(s.field.caller_proxies, f),
-    Kind.CALLER_RESET: lambda s, f: s._reset(s.field.caller_proxies, f),
-    Kind.CHANGE: lambda s, f: _operate(s.operator.change),
-    Kind.RACE: lambda s, f: _operate(s.operator.race),
-    Kind.BAD_CHANGE: lambda s, f: _operate(s.operator.send_broken),
-    Kind.CRASHING_REQUEST: Striker._crashing_request,
-    Kind.ENGINE_LIMITS: Striker._engine_limits,
-    Kind.ENGINE_SHEDS: Striker._engine_sheds,
-    Kind.ENGINE_TELLS_CALLERS: Striker._engine_tells_callers,
-    Kind.REVOKE: lambda s, f: _operate(s.operator.revoke),
+    FaultKind.KILL_ENTRY: _on_process("entry", FaultInjector._kill),
+    FaultKind.STOP_ENTRY: _on_process("entry", FaultInjector._stop),
+    FaultKind.FREEZE_ENTRY: _on_process("entry", FaultInjector._freeze),
+    FaultKind.KILL_CONTROL: _on_process("control", FaultInjector._kill),
+    FaultKind.STOP_CONTROL: _on_process("control", FaultInjector._stop),
+    FaultKind.FREEZE_CONTROL: _on_process("control", FaultInjector._freeze),
+    FaultKind.WIPE_CONTROL: _on_process("control", FaultInjector._kill_and_wipe),
+    FaultKind.TEAR_CONTROL: _on_process("control", FaultInjector._kill_with_torn_log),
+    FaultKind.KILL_ALL_CONTROLS: FaultInjector._kill_all,
+    FaultKind.ENGINE_DIES: FaultInjector._engine_dies,
+    FaultKind.ENGINE_LEAVES: FaultInjector._engine_leaves,
+    FaultKind.ENGINE_LINK: lambda s, f: s._link(s.testbed.engine_proxies, f),
+    FaultKind.ENGINE_RESET: lambda s, f: s._reset(s.testbed.engine_proxies, f),
+    FaultKind.CALLER_LINK: lambda s, f: s._link(s.testbed.caller_proxies, f),
+    FaultKind.CALLER_RESET: lambda s, f: s._reset(s.testbed.caller_proxies, f),
+    FaultKind.CHANGE: lambda s, f: _call_operator(s.operator.change),
+    FaultKind.RACE: lambda s, f: _call_operator(s.operator.race),
+    FaultKind.BAD_CHANGE: lambda s, f: _call_operator(s.operator.send_invalid),
+    FaultKind.CRASHING_REQUEST: FaultInjector._crashing_request,
+    FaultKind.ENGINE_LIMITS: FaultInjector._engine_limits,
+    FaultKind.ENGINE_SHEDS: FaultInjector._engine_sheds,
+    FaultKind.ENGINE_TELLS_CALLERS: FaultInjector._engine_tells_callers,
+    FaultKind.REVOKE: lambda s, f: _call_operator(s.operator.revoke),
 }
--- a/libs/soak/src/cherryrudder/soak/operator.py
+++ b/libs/soak/src/cherryrudder/soak/operator.py
@@ -9,14 +9,14 @@
 from cherryrudder.relay.errors import RelayError
 from cherryrudder.standin import requests
 
-from .promises import Ack, Reading
+from .guarantees import Ack, Reading
 from .testbed import Testbed
 
-CALL_S = 2.0
+CALL_TIMEOUT_S = 2.0
 PAUSE_S = 0.1
 # After so many tries a change counts as having had no clear answer.
-TRIES = 60
-READ_EVERY_S = 0.5
+MAX_TRIES = 60
+READ_INTERVAL_S = 0.5
 FIRST_KEYS = ("k1", "k2", "k3")
 
 
@@ -32,7 +32,7 @@
         self.used_keys = list(FIRST_KEYS)
         self.acks: list[Ack] = []
         self.readings: list[Reading] = []
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.documents: dict[int, dict] = {}
 
     async def change(self, keys: tuple[str, ...] | None = None) -> None:
@@ -53,18 +53,18 @@
             self.keys = self.keys[1:]
         await self.change(self.keys)
 
-    async def send_broken(self) -> None:
+    async def send_invalid(self) -> None:
         """Send what has to be refused."""
         document = requests.broken_configuration(self.version + 100, self.keys)
         status = await self._call_any("POST", requests.REPLACE_PATH, document)
         if status is not None and status[0] == 200:
-            self.wrong.append("CONFIG: an invalid configuration was acknowledged")
+            self.violations.append("CONFIG: an invalid configuration was acknowledged")
 
     async def watch(self, is_over: anyio.Event) -> None:
         """Read back what is in force, again and again, at any control VM."""
         while not is_over.is_set():
             await self.read_once()
-            await anyio.sleep(READ_EVERY_S)
+            await anyio.sleep(READ_INTERVAL_S)
 
     async def read_once(self) -> Reading | None:
         """Read at one control VM; None when it is not sure or not there."""
@@ -75,7 +75,7 @@
         document = json.loads(answer[1])
         version = document["version"]
         if document != self.documents.get(version):
-            self.wrong.append(f"CONFIG: {version} was read with other content")
+            self.violations.append(f"CONFIG: {version} was read with other content")
         reading = Reading(version, asked_s)
         self.readings.append(reading)
         return reading
@@ -83,13 +83,15 @@
     async def _send(self, version, keys):
         document = requests.configuration(version, keys, 5000 + version)
         self.documents[version] = document
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             answer = await self._call_any("POST", requests.REPLACE_PATH, document)
             if answer is not None and answer[0] == 200:
                 self.acks.append(Ack(version, keys, time.monotonic()))
                 return
             if answer is not None and answer[0] < 500:
-                self.wrong.append(f"CONFIG: {version} was refused with {answer[0]}")
+                self.violations.append(
+                    f"CONFIG: {version} was refused with {answer[0]}"
+                )
                 return
             await anyio.sleep(PAUSE_S)
 
@@ -99,7 +101,7 @@
         node = self.rng.choice(deployment.nodes)
         address = deployment.control_address(node)
         try:
-            with anyio.fail_after(CALL_S):
+            with anyio.fail_after(CALL_TIMEOUT_S):
                 status, _, body = await deployment.call(address, method, path, document)
         except (RelayError, TimeoutError):
             # Down, frozen or cut off by the faults; what is owed is checked at the end.
--- a/libs/soak/src/cherryrudder/soak/proxy.py
+++ b/libs/soak/src/cherryrudder/soak/proxy.py
@@ -9,7 +9,7 @@
 
 READ_BYTES = 64 * 1024
 # Close with a reset in place of an orderly end.
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(StrEnum):
@@ -23,7 +23,7 @@
     SILENT = "silent"
 
 
-HELD = {
+HELD_DIRECTIONS = {
     Mode.HOLD_REQUESTS: {"requests"},
     Mode.HOLD_ANSWERS: {"answers"},
     Mode.SILENT: {"requests", "answers"},
@@ -62,12 +62,12 @@
             raw = stream.extra(SocketAttribute.raw_socket)
             # The other end may have closed it in this turn of the loop.
             if raw.fileno() >= 0:
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         for stream in streams:
             await anyio.aclose_forcefully(stream)
 
     async def _handle(self, caller):
-        await self._let_through("requests")
+        await self._apply_mode("requests")
         host, _, port = self.target.rpartition(":")
         try:
             target = await anyio.connect_tcp(host, int(port))
@@ -89,17 +89,17 @@
         try:
             while True:
                 data = await source.receive(READ_BYTES)
-                await self._let_through(direction)
+                await self._apply_mode(direction)
                 await sink.send(data)
         except anyio.EndOfStream:
             await _half_close(sink)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             group.cancel_scope.cancel()
 
-    async def _let_through(self, direction):
+    async def _apply_mode(self, direction):
         if self.mode is Mode.DELAY:
             await anyio.sleep(self.delay_s)
-        while direction in HELD.get(self.mode, ()):
+        while direction in HELD_DIRECTIONS.get(self.mode, ()):
             await self._changed.wait()
 
 
--- a/libs/soak/src/cherryrudder/soak/report.py
+++ b/libs/soak/src/cherryrudder/soak/report.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import TypedDict
 
-from .promises import Answer, Disturbance, History
+from .guarantees import Answer, Disturbance, History
 
 WINDOW_S = 1.0
 # The users' objectives: a stream's whole answer here takes 0.2 s on idle stand-ins, a
@@ -13,7 +13,7 @@
 OUTCOMES = ("in_time", "late", "denied", "refused", "failed")
 
 
-ENDS = {401: "denied", 429: "refused", 503: "refused"}
+OUTCOME_BY_STATUS = {401: "denied", 429: "refused", 503: "refused"}
 
 
 class Counts(TypedDict):
@@ -52,7 +52,7 @@
     if answer.status == 200 and answer.is_whole:
         took_s = answer.ended_s - answer.sent_s
         return "in_time" if took_s <= IN_TIME_S[answer.kind] else "late"
-    return ENDS.get(answer.status, "failed")
+    return OUTCOME_BY_STATUS.get(answer.status, "failed")
 
 
 def count(answers: Iterable[Answer]) -> Counts:
--- a/libs/soak/src/cherryrudder/soak/run.py
+++ b/libs/soak/src/cherryrudder/soak/run.py
@@ -9,19 +9,19 @@
 
 import anyio
 
-from . import faults, promises, report
+from . import faults, guarantees, report
 from .callers import Caller
 from .faults import Fault
+from .guarantees import History
+from .injector import FaultInjector
 from .operator import Operator
-from .promises import History
 from .report import Report
-from .strike import Striker
 from .testbed import EVENTS, Testbed
 
-START_S = 40.0
+START_TIMEOUT_S = 40.0
 # The users' pages give the system twelve seconds after the last fault; a caller's own
 # try may take some more.
-RECOVERY_S = 12.0
+RECOVERY_TIMEOUT_S = 12.0
 PAUSE_S = 0.1
 
 
@@ -40,41 +40,41 @@
     """Play the faults of a seed in a folder; return what was seen and what is wrong."""
     planned = faults.draw(seed, length_s)
     async with anyio.create_task_group() as group:
-        field = Testbed(folder, seed, group)
+        testbed = Testbed(folder, seed, group)
         try:
-            history, wrong = await _play(field, seed, planned, length_s)
+            history, wrong = await _play(testbed, seed, planned, length_s)
         finally:
-            field.stop()
+            testbed.stop()
             group.cancel_scope.cancel()
     return history, wrong
 
 
-async def _play(field, seed, planned: Sequence[Fault], length_s):
-    operator = Operator(field, random.Random(f"operator-{seed}"))
-    striker = Striker(field, operator)
+async def _play(testbed, seed, planned: Sequence[Fault], length_s):
+    operator = Operator(testbed, random.Random(f"operator-{seed}"))
+    injector = FaultInjector(testbed, operator)
     is_over = anyio.Event()
-    with anyio.fail_after(START_S):
-        await field.start()
+    with anyio.fail_after(START_TIMEOUT_S):
+        await testbed.start()
         await operator.change()
-        await wait_served(field, operator)
+        await wait_served(testbed, operator)
     async with anyio.create_task_group() as group:
-        for caller in field.callers:
+        for caller in testbed.callers:
             group.start_soon(caller.run, operator.used_keys, is_over)
         group.start_soon(operator.watch, is_over)
-        await _strike_all(striker, planned, length_s)
-        wrong = await _recover(field, operator)
+        await _inject_all(injector, planned, length_s)
+        wrong = await _recover(testbed, operator)
         is_over.set()
-    await _read_the_last(operator)
-    wrong += operator.wrong
-    return _history(field, operator, striker), wrong
+    await _read_back_newest(operator)
+    wrong += operator.violations
+    return _history(testbed, operator, injector), wrong
 
 
-async def _strike_all(striker, planned, length_s):
+async def _inject_all(injector, planned, length_s):
     began_s = time.monotonic()
     async with anyio.create_task_group() as group:
         for fault in planned:
             await anyio.sleep(max(0.0, began_s + fault.at_s - time.monotonic()))
-            group.start_soon(striker.strike, fault)
+            group.start_soon(injector.inject, fault)
         await anyio.sleep(max(0.0, began_s + length_s - time.monotonic()))
 
 
@@ -93,44 +93,46 @@
         testbed.first_answers += caller.answers
 
 
-async def _recover(field, operator):
+async def _recover(testbed, operator):
     """Return what is not served again in time, now that all faults are over."""
-    with anyio.move_on_after(RECOVERY_S) as scope:
-        await wait_served(field, operator)
+    with anyio.move_on_after(RECOVERY_TIMEOUT_S) as scope:
+        await wait_served(testbed, operator)
     if scope.cancelled_caught:
-        return [f"RECOVER: not all is served {RECOVERY_S:.0f} s after the last fault"]
+        return [
+            f"RECOVER: not all is served {RECOVERY_TIMEOUT_S:.0f} s after the last fault"
+        ]
     return []
 
 
-async def _read_the_last(operator):
+async def _read_back_newest(operator):
     """Read back until a control VM is sure what is in force."""
     newest = max((ack.version for ack in operator.acks), default=0)
-    with anyio.move_on_after(RECOVERY_S):
+    with anyio.move_on_after(RECOVERY_TIMEOUT_S):
         while (reading := await operator.read_once()) is None:
             await anyio.sleep(PAUSE_S)
         if reading.version >= newest:
             return
-    operator.wrong.append(f"CONFIG: {newest} was acknowledged and not read back")
+    operator.violations.append(f"CONFIG: {newest} was acknowledged and not read back")
 
 
-def _history(field, operator, striker):
-    fleet = field.deployment.fleet
-    answers = [a for caller in field.callers for a in caller.answers]
+def _history(testbed, operator, injector):
+    fleet = testbed.deployment.fleet
+    answers = [a for caller in testbed.callers for a in caller.answers]
     return History(
-        answers=(*field.first_answers, *answers),
+        answers=(*testbed.first_answers, *answers),
         acks=tuple(operator.acks),
         readings=tuple(operator.readings),
         runs=tuple(run.request_id for run in fleet.runs),
         arrivals=tuple(fleet.arrivals),
-        left_s=striker.left_s,
-        disturbances=tuple(striker.disturbances),
-        own_ends=tuple(field.own_ends()),
+        left_s=injector.left_s,
+        disturbances=tuple(injector.disturbances),
+        unexpected_exits=tuple(testbed.unexpected_exits()),
         crashing=tuple(
             frozenset(answer.request_id for answer in answers)
-            for answers in field.crashing.values()
+            for answers in testbed.crashing.values()
         ),
         crashes=tuple(fleet.crashes),
-        limited=tuple(striker.limited),
+        limited=tuple(injector.limited),
         turned_away=tuple(fleet.turned_away),
         events=EVENTS,
     )
@@ -140,13 +142,13 @@
     """Play one seed in a folder of its own and check the promises."""
     folder = tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=keep_in or None)
     history, wrong = anyio.run(play, seed, length_s, folder)
-    broken = wrong + promises.broken(history)
+    broken = wrong + guarantees.find_violations(history)
     answers = history.answers
     answered = sum(a.status == 200 and a.is_whole for a in answers)
     if not broken:
         _remove(Path(folder))
-    told = report.summarise(f"seed {seed}", history)
-    return Outcome(seed, broken, answered, len(answers), folder, told)
+    summary = report.summarise(f"seed {seed}", history)
+    return Outcome(seed, broken, answered, len(answers), folder, summary)
 
 
 def _remove(folder):
--- a/libs/soak/src/cherryrudder/soak/testbed.py
+++ b/libs/soak/src/cherryrudder/soak/testbed.py
@@ -13,7 +13,7 @@
 from cherryrudder.standin.engine import Engine
 
 from .callers import Caller
-from .promises import Answer
+from .guarantees import Answer
 from .proxy import Proxy
 
 MODEL_ENGINES = 6
@@ -21,7 +21,7 @@
 CALLERS_PER_ENTRY = 3
 EVENTS = 20
 # Loopback addresses of the proxies before the entries, behind those of the engines.
-FIRST_PROXY = 230
+FIRST_PROXY_HOST = 230
 
 
 class Testbed:
@@ -40,7 +40,7 @@
         self.first_answers: list[Answer] = []
         # By the body of a request that ends engines, what its client got.
         self.crashing: dict[bytes, list[Answer]] = {}
-        self._named = 0
+        self._engine_count = 0
 
     async def start(self) -> None:
         """Start all processes, engines, proxies and callers."""
@@ -52,7 +52,7 @@
         for _ in range(PLAIN_ENGINES):
             await self.add_engine("desk", "")
         for number, node in enumerate(self.deployment.nodes):
-            address = f"{self.deployment.net}.{FIRST_PROXY + number}:{CLIENT_PORT}"
+            address = f"{self.deployment.net}.{FIRST_PROXY_HOST + number}:{CLIENT_PORT}"
             proxy = Proxy(address, node.at(CLIENT_PORT))
             await proxy.serve(self.group)
             self.caller_proxies[node.name] = proxy
@@ -70,8 +70,8 @@
 
     async def add_engine(self, service: str, kind: str) -> Engine:
         """Start one more engine behind a proxy."""
-        self._named += 1
-        name = f"{service}-{self._named}"
+        self._engine_count += 1
+        name = f"{service}-{self._engine_count}"
         engine = self.deployment.add_engine(name, service, kind, is_proxied=True)
         proxy = Proxy(engine.address, engine.listen_address)
         await proxy.serve(self.group)
@@ -123,7 +123,7 @@
         """Empty a node's disk."""
         shutil.rmtree(self.disk(node), ignore_errors=True)
 
-    def tear(self, node: Node) -> None:
+    def append_torn_record(self, node: Node) -> None:
         """Leave a piece of a record at the end of the newest log file."""
         files = [path for path in self.disk(node).rglob("*") if path.is_file()]
         logs = [path for path in files if "log" in path.name]
@@ -132,7 +132,7 @@
             with newest.open("ab") as file:
                 file.write(b"\xc3CRQ\x00\x01")
 
-    def own_ends(self) -> list[str]:
+    def unexpected_exits(self) -> list[str]:
         """Return the processes that ended without having been told to."""
         return [
             f"{node.name} {role} ended with {process.returncode}"
--- a/libs/soak/test/builders.py
+++ b/libs/soak/test/builders.py
@@ -1,6 +1,6 @@
 """Builders of what was seen in a run, for the tests of the checks."""
 
-from cherryrudder.soak.promises import Ack, Answer, Disturbance, History
+from cherryrudder.soak.guarantees import Ack, Answer, Disturbance, History
 from cherryrudder.standin import requests
 from cherryrudder.standin.engine import Arrival
 
--- a/libs/soak/test/test_faults.py
+++ b/libs/soak/test/test_faults.py
@@ -1,7 +1,7 @@
 import unittest
 
 from cherryrudder.soak import faults
-from cherryrudder.soak.faults import CATCH_UP_S, ON_CONTROL, Kind
+from cherryrudder.soak.faults import CATCH_UP_S, CONTROL_KINDS, FaultKind
 
 LENGTH_S = 20.0
 
@@ -13,11 +13,11 @@
 
     def test_every_kind_comes(self):
         drawn = {f.kind for seed in range(100) for f in faults.draw(seed, LENGTH_S)}
-        self.assertEqual(drawn, set(Kind))
+        self.assertEqual(drawn, set(FaultKind))
 
     def test_control_vms_are_lost_one_at_a_time(self):
         """Two of three at once are more than the deployment is said to bear."""
         for seed in range(100):
-            lost = [f for f in faults.draw(seed, LENGTH_S) if f.kind in ON_CONTROL]
+            lost = [f for f in faults.draw(seed, LENGTH_S) if f.kind in CONTROL_KINDS]
             for one, other in zip(lost, lost[1:], strict=False):
                 self.assertGreaterEqual(other.at_s, one.at_s + one.for_s + CATCH_UP_S)
--- a/libs/soak/test/test_promises.py
+++ b/libs/soak/test/test_guarantees.py
@@ -8,8 +8,8 @@
     an_arrival,
 )
 
-from cherryrudder.soak import promises
-from cherryrudder.soak.promises import Limited, Reading
+from cherryrudder.soak import guarantees
+from cherryrudder.soak.guarantees import EngineLimit, Reading
 from cherryrudder.standin.engine import Crash, TurnedAway
 
 
@@ -17,11 +17,11 @@
     """Each check has to find the fault that it is there for, and nothing else."""
 
     def assert_broken(self, history, word):
-        found = promises.broken(history)
+        found = guarantees.find_violations(history)
         self.assertEqual([line.partition(":")[0] for line in found], [word], found)
 
     def assert_kept(self, history):
-        self.assertEqual(promises.broken(history), [])
+        self.assertEqual(guarantees.find_violations(history), [])
 
     def test_right_answers_break_nothing(self):
         self.assert_kept(a_history(an_answer(), an_answer("2", "stream")))
@@ -93,7 +93,7 @@
         self.assert_kept(a_history(**seen, arrivals=late, disturbances=beside))
 
     def test_an_engine_that_gets_more_than_its_limit(self):
-        limited = (Limited("e1", 1.0, 90.0, 99.0),)
+        limited = (EngineLimit("e1", 1.0, 90.0, 99.0),)
         times_s = [93.0 + n / 4 for n in range(12)]
         seen = {
             "limited": limited,
@@ -118,4 +118,4 @@
         self.assert_kept(a_history(an_answer(), **seen, disturbances=cut))
 
     def test_a_process_that_ends_by_itself(self):
-        self.assert_broken(a_history(own_ends=("front-0 entry",)), "END")
+        self.assert_broken(a_history(unexpected_exits=("front-0 entry",)), "END")
