--- a/libs/fakes/src/cherryrudder/fakes/asgi.py
+++ b/libs/fakes/src/cherryrudder/fakes/asgi.py
@@ -12,17 +12,17 @@
 from hypercorn.asyncio import serve
 from hypercorn.config import Config
 
-# A sidecar keeps its connections open for good, so one must not end after the
-# thousand requests that hypercorn allows by default.
+# Sidecars never close their connections, so the limit must be higher than the thousand
+# requests that hypercorn allows by default.
 KEEP_ALIVE_REQUESTS = 10_000_000
 KEEP_ALIVE_S = 600
 BACKLOG = 1024
-# Calls that a fault never answers must not hold up the end of the process for long.
+# Calls that a fault leaves unanswered must not delay the shutdown for long.
 STOP_WAIT_S = 3.0
 
 
 class Call(NamedTuple):
-    """One HTTP call as a handler sees it."""
+    """An HTTP request as passed to a handler."""
 
     method: str
     path: str
@@ -38,12 +38,12 @@
     value: object
 
 
-# A handler that gives None never answers: its caller waits until it gives up.
+# If a handler returns None, no answer is sent and the caller waits for its timeout.
 Handler = Callable[[Call], Awaitable[Reply | None]]
 
 
 def json_object(call: Call) -> dict:
-    """Return the JSON object of a call's body; raises ValueError if it is none."""
+    """Return the JSON object of a call's body; raise ValueError for anything else."""
     try:
         value = msgspec.json.decode(call.body)
     except msgspec.DecodeError as error:
@@ -54,7 +54,7 @@
 
 
 async def read_body(receive) -> bytes | None:
-    """Return the whole body, or None if the client went away before its end."""
+    """Return the whole body, or None if the client disconnected before its end."""
     parts = []
     while True:
         message = await receive()
@@ -66,7 +66,7 @@
 
 
 async def send_json(send, reply: Reply):
-    """Send a whole answer."""
+    """Send a reply as one JSON response."""
     body = msgspec.json.encode(reply.value)
     headers = [
         (b"content-type", b"application/json"),
@@ -78,10 +78,10 @@
 
 
 def make_app(handler: Handler, after_reply: Callable[[], None]):
-    """Return an ASGI app that gives each HTTP call to the handler.
+    """Return an ASGI app that passes each HTTP call to the handler.
 
-    `after_reply` runs when an answer has been sent; a process that is told to die
-    does so there, so that whoever told it has the answer.
+    `after_reply` runs when an answer has been sent. The `die` fault ends the process
+    there, so that the caller that set the fault gets its answer.
     """
 
     async def app(scope, receive, send):
@@ -118,12 +118,12 @@
 
 
 async def not_found(call: Call) -> Reply:
-    """Answer a call that no handler is for."""
+    """Answer a call without a handler with 404."""
     return Reply(404, {"error": f"no {call.method} {call.path}"})
 
 
 def route(routes: dict[tuple[str, str], Handler], other: Handler = not_found):
-    """Return a handler that picks one by method and path, or else the other."""
+    """Return a handler that dispatches by method and path, with `other` as default."""
 
     async def handler(call):
         return await routes.get((call.method, call.path), other)(call)
@@ -132,9 +132,9 @@
 
 
 async def serve_until_signal(app, address: str, background=None):
-    """Serve on IP:PORT until SIGTERM or SIGINT, next to a background function.
+    """Serve on IP:PORT until SIGTERM or SIGINT, beside a background function.
 
-    Port 0 takes a free port; the first line of output tells which.
+    Port 0 takes a free port; the first line of output contains it.
     """
     config = Config()
     config.bind = [f"fd://{_bound_socket(address)}"]
@@ -151,8 +151,8 @@
             await serve(app, config, shutdown_trigger=stopped)
             tasks.cancel_scope.cancel()
 
-        # Hypercorn cancels the task that it runs in when it stops; in the task of the
-        # group itself anyio would take that for a cancellation from outside.
+        # Hypercorn cancels the task that it runs in when it stops. If that were the
+        # task that owns the group, anyio would treat it as a cancellation from outside.
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(serve_then_stop)
             if background is not None:
@@ -163,6 +163,6 @@
     host, _, port = address.rpartition(":")
     listener = socket.create_server((host, int(port)), backlog=BACKLOG)
     bound_host, bound_port = listener.getsockname()
-    # Whoever started the process with port 0, or waits for it, reads this line.
+    # The parent process reads the port from this line, and that the process listens.
     print(f"listening on {bound_host}:{bound_port}", flush=True)
     return listener.detach()
--- a/libs/fakes/src/cherryrudder/fakes/batching.py
+++ b/libs/fakes/src/cherryrudder/fakes/batching.py
@@ -1,17 +1,17 @@
-"""Continuous batching: which work the next batch step takes, and how long it lasts.
+"""Continuous batching: choose the work of the next batch step and its duration.
 
-The batch is chosen anew before each step, so a call that arrives while others run
-joins at the next step, and an urgent one takes the place of a less urgent one.
+The batch is chosen again before each step, so a call that arrives while others run
+joins at the next step, and an urgent one replaces a less urgent one.
 """
 
 from typing import NamedTuple
 
-# What one more request adds to a decode step. Decoding is bound by reading the
-# weights, which the requests of a batch share; 3 % makes a batch of 32 about twice as
-# slow per step and sixteen times as productive as a batch of one.
+# Relative cost of one more request in a decode step. Decoding is limited by reading the
+# weights, which the requests of a batch share: with 3 % a step of 32 requests takes
+# about twice as long as a step of one, with sixteen times the throughput.
 STEP_COST_PER_REQUEST = 0.03
-# A prompt token costs this part of a lone decode step, since a prefill computes many
-# positions over one read of the weights.
+# Cost of a prompt token relative to a decode step of one request; it is low since a
+# prefill computes many positions for one read of the weights.
 PREFILL_COST = 0.02
 
 
@@ -24,7 +24,7 @@
 
 
 class Job:
-    """One step of a request in the engine; lower `priority` goes first."""
+    """A queued step of a request; lower `priority` runs first."""
 
     def __init__(self, number, request, position, inputs, priority):
         self.number = number
@@ -37,12 +37,12 @@
 
     @property
     def left(self) -> int:
-        """Return how many inputs have not been computed."""
+        """Return the number of inputs that are not computed yet."""
         return len(self.inputs) - len(self.outputs)
 
 
 class Work(NamedTuple):
-    """How many inputs of a job a batch step computes."""
+    """The number of a job's inputs that a batch step computes."""
 
     job: Job
     tokens: int
@@ -51,8 +51,8 @@
 def choose_batch(jobs: list[Job], limits: Limits) -> list[Work]:
     """Return the work of the next batch step.
 
-    Jobs of one request run in their order, at most one in a step. Long prompts are cut
-    so that prefills together stay within `prefill_tokens` a step.
+    Jobs of one request run in order, at most one per step. Long prompts are split so
+    that the prefills of a step stay within `prefill_tokens` together.
     """
     batch = []
     prefill_left = limits.prefill_tokens
@@ -73,7 +73,7 @@
 
 
 def batch_s(batch: list[Work], limits: Limits) -> float:
-    """Return how long a batch step lasts."""
+    """Return the duration of a batch step."""
     extra_tokens = sum(work.tokens - 1 for work in batch)
     share = 1 + STEP_COST_PER_REQUEST * (len(batch) - 1) + PREFILL_COST * extra_tokens
     return share / limits.tokens_per_s
--- a/libs/fakes/src/cherryrudder/fakes/core.py
+++ b/libs/fakes/src/cherryrudder/fakes/core.py
@@ -1,10 +1,10 @@
-"""The stand-in engine without network: requests' KV, their steps and the batch."""
+"""The stand-in engine without its HTTP API: KV of requests, their steps, the batch."""
 
 from typing import NamedTuple, NotRequired, TypedDict
 
 from expression import Error, Ok, Result
 
-from . import fold, ledger as book, prefixes
+from . import fold, ledger as ledgers, prefixes
 from .batching import Job, Limits, Work, choose_batch
 from .errors import StepRefused
 from .events import EventLog, publish
@@ -22,7 +22,7 @@
 
 
 class Step(TypedDict):
-    """One step of one request as a sidecar sends it."""
+    """A step of a request as a sidecar sends it."""
 
     request: str
     model: str
@@ -32,10 +32,10 @@
 
 
 class Sequence:
-    """One request's KV; `accepted` counts positions that are computed or queued.
+    """The KV of a request; `accepted` counts positions that are computed or queued.
 
-    `prefix` is the digest of the last whole block, None for an imported request, whose
-    earlier inputs the engine has not seen.
+    `prefix` is the digest up to the last whole block. It is None for an imported
+    request, since the engine has not received its earlier inputs.
     """
 
     def __init__(self, kv, next_position, prefix):
@@ -67,7 +67,7 @@
         self.jobs = {}
         self.batch = []
         self.cache = PrefixCache()
-        self.ledger = book.Ledger()
+        self.ledger = ledgers.Ledger()
         self.next_number = 0
 
 
@@ -95,17 +95,17 @@
 
 
 def begin_batch(engine: Engine, may_run=lambda job: True) -> list[Work]:
-    """Return the work of the next batch step, which is running from now on."""
+    """Choose the work of the next batch step, start it and return it."""
     jobs = [job for job in engine.jobs.values() if may_run(job)]
     engine.batch = choose_batch(jobs, engine.limits)
     return engine.batch
 
 
 def finish_batch(engine: Engine, now_s: float) -> list[Job]:
-    """Compute the running batch's positions and return the jobs that are complete."""
+    """Compute the positions of the running batch and return the completed jobs."""
     complete = []
     for job, tokens in engine.batch:
-        # A job that was freed while its batch ran must leave no KV behind.
+        # A job that was freed while its batch ran must not leave KV in the engine.
         if job.number not in engine.jobs:
             continue
         start = len(job.outputs)
@@ -119,7 +119,7 @@
 
 
 def free(engine: Engine, name: str) -> list[Job]:
-    """Drop a request and return its jobs, which are cancelled."""
+    """Drop a request, cancel its jobs and return them."""
     engine.sequences.pop(name, None)
     cancelled = [job for job in engine.jobs.values() if job.request == name]
     for job in cancelled:
@@ -129,9 +129,9 @@
 
 
 def load(engine: Engine, loaded: Loaded, now_s: float) -> list[Job]:
-    """Take what an order loaded; another model or version drops all KV.
+    """Replace what is loaded and return the jobs that this cancels.
 
-    Return the jobs that are cancelled by it.
+    Another model or version drops all KV and cancels all jobs.
     """
     kept = loaded[:2] == engine.loaded[:2]
     engine.loaded = loaded
@@ -143,12 +143,12 @@
 
 
 def live_tokens(engine: Engine) -> int:
-    """Return how many positions the live requests hold or have queued."""
+    """Return the number of positions that live requests hold or have queued."""
     return sum(sequence.accepted for sequence in engine.sequences.values())
 
 
 def measure(engine: Engine) -> Load:
-    """Return the load at this moment."""
+    """Return the current load."""
     running = sum(job.number in engine.jobs for job, _ in engine.batch)
     waiting = len(engine.jobs) - running
     return Load(running, waiting, live_tokens(engine) / engine.kv_tokens)
@@ -170,7 +170,7 @@
     job.outputs.extend(hit.outputs)
     for position in range(sequence.next_position):
         for layer in range(engine.layers.first, engine.layers.end):
-            book.record_reuse(engine.ledger, job.request, layer, position)
+            ledgers.record_reuse(engine.ledger, job.request, layer, position)
 
 
 def _compute(engine, name, value, now_s):
@@ -180,7 +180,7 @@
         output, sequence.kv[index] = fold.run_layer(
             engine.loaded.model, layer, sequence.kv[index], output
         )
-        book.record_run(engine.ledger, name, layer, sequence.next_position)
+        ledgers.record_run(engine.ledger, name, layer, sequence.next_position)
     sequence.next_position += 1
     if layers.end == layers.total:
         output = fold.pick_token(output)
@@ -204,7 +204,7 @@
 
 
 def _make_room(engine, now_s):
-    # Live requests go before cached prefixes, which only save time.
+    # Live requests take precedence over cached prefixes, which only save time.
     room_tokens = engine.kv_tokens - live_tokens(engine)
     for prefix in prefixes.shrink(engine.cache, room_tokens):
         publish(engine.events, "evicted", prefix, now_s)
--- a/libs/fakes/src/cherryrudder/fakes/deployment.py
+++ b/libs/fakes/src/cherryrudder/fakes/deployment.py
@@ -1,7 +1,7 @@
-"""A whole deployment of real processes on loopback, for the demo, tests and benches.
+"""A deployment of real processes on loopback, for the demo, tests and benchmarks.
 
-Each process gets a settings file of its own in one folder. Only processes that were
-started here are ever signalled, by their pid.
+Each process gets a settings file of its own in one folder. Signals are sent only to
+processes that were started here, by pid.
 """
 
 import itertools
@@ -23,12 +23,12 @@
 OPERATOR_KEY = "operator-key"
 START_TIMEOUT_S = 60.0
 POLL_S = 0.05
-# Below the ports that Linux gives to outgoing connections (32768 and up), which could
-# otherwise take a port between its choice and its use.
+# Below the ports that Linux uses for outgoing connections (32768 and up), which could
+# otherwise occupy a port between its choice and its use.
 FIRST_PORT = 10_000
 END_PORT = 32_768
-# More than a deployment needs, so that two test processes side by side, whose ids
-# mostly follow each other, begin far enough apart.
+# More than a deployment needs: parallel test processes mostly have consecutive pids,
+# and their port ranges must not overlap.
 PORTS_PER_PROCESS = 400
 
 
@@ -67,7 +67,7 @@
         self.process = None
 
     def start(self) -> None:
-        """Start the process; its output goes to its log file."""
+        """Start the process with its output appended to its log file."""
         with open(self.log_path, "ab") as log:
             self.process = subprocess.Popen(
                 self.command, stdout=log, stderr=subprocess.STDOUT
@@ -79,27 +79,27 @@
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
     def freeze(self) -> None:
-        """Stop the process from running, without ending it."""
+        """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process run again."""
+        """Resume a frozen process with SIGCONT."""
         self.signal(signal.SIGCONT)
 
     def stop(self, timeout_s: float = 30.0) -> int:
-        """Ask for a graceful shutdown and return the exit code."""
+        """Request a graceful shutdown and return the exit code."""
         self.signal(signal.SIGTERM)
         return self.process.wait(timeout_s)
 
 
 class Deployment:
-    """Control VMs, entries, engines and services, and how to reach them."""
+    """Control VMs, entries, engines and services with their addresses."""
 
     def __init__(self, folder, controls=3, entries=2, engines=(), services=()):
         self.folder = Path(folder)
@@ -139,14 +139,14 @@
             self.wait_ready(node)
 
     def close(self) -> None:
-        """End every process that was started here."""
+        """Kill every process that was started here."""
         for node in self.nodes.values():
             node.thaw()
             node.kill()
         self.http.close()
 
     def wait_ready(self, node: Node, timeout_s: float = START_TIMEOUT_S) -> None:
-        """Wait until a process says that it is ready."""
+        """Wait until a process reports that it is ready."""
         url = f"http://{node.addresses['internal']}/readyz"
         wait_for(lambda: self._status(url) == 200, timeout_s, f"{node.name} ready")
 
@@ -161,16 +161,16 @@
             wait_for(lambda: self._status(url), START_TIMEOUT_S, f"{name} answers")
 
     def wait_endpoints(self, count: int, timeout_s: float = START_TIMEOUT_S) -> None:
-        """Wait until every entry knows a number of endpoints."""
+        """Wait until every entry lists at least `count` endpoints."""
         for entry in self.entries:
             wait_for(
                 lambda entry=entry: len(self.dump(entry)["endpoints"]) >= count,
                 timeout_s,
-                f"{entry.name} knows {count} endpoints",
+                f"{entry.name} lists {count} endpoints",
             )
 
     def dump(self, node: Node) -> dict:
-        """Return a process's dump."""
+        """Return the state that a process reports at /v1/dump."""
         headers = {"authorization": f"Bearer {INTERNAL_KEY}"}
         url = f"http://{node.addresses['internal']}/v1/dump"
         return self.http.get(url, headers=headers).raise_for_status().json()
@@ -329,11 +329,11 @@
 
 
 def free_port() -> int:
-    """Return a loopback port that was free a moment ago, another one each time.
+    """Return a loopback port that is free now, a different one on each call.
 
-    A port that the kernel picks is free only until the next pick: the same one may
-    come twice, or go to a connection before its process listens. Then one process
-    does not start, or another one answers in its place.
+    A port that the kernel picks may be picked again, or be taken by a connection,
+    before its process listens. Then that process does not start, or another process
+    answers in its place.
     """
     for port in _ports:
         with socket.socket() as probe:
@@ -345,12 +345,12 @@
 
 
 def free_address() -> str:
-    """Return a loopback address that was free a moment ago."""
+    """Return a loopback address with a free port."""
     return f"127.0.0.1:{free_port()}"
 
 
 def wait_for(condition, timeout_s: float, what: str) -> float:
-    """Wait until a condition holds and return the seconds; raises TimeoutError."""
+    """Wait until a condition holds and return the seconds; raise TimeoutError."""
     started_s = time.monotonic()
     while not condition():
         if time.monotonic() - started_s > timeout_s:
--- a/libs/fakes/src/cherryrudder/fakes/engine.py
+++ b/libs/fakes/src/cherryrudder/fakes/engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine as a process: `python -m cherryrudder.fakes.engine`."""
+"""Command line of the stand-in engine: `python -m cherryrudder.fakes.engine`."""
 
 import functools
 import random
@@ -42,8 +42,8 @@
 
     :param listen: IP:PORT to listen on
     :param end_layer: first layer that the engine does not hold
-    :param tokens_per_s: decoding speed of a lone request
-    :param prefill_tokens: prompt tokens that one batch step takes at most
+    :param tokens_per_s: decoding speed of a single request
+    :param prefill_tokens: maximum of prompt tokens in one batch step
     :param kv_tokens: positions that requests and cached prefixes may hold together
     :param checks_fence: whether an order with an old fencing number is refused
     :param load_lag_s: how old a reported load is
--- a/libs/fakes/src/cherryrudder/fakes/engine_http.py
+++ b/libs/fakes/src/cherryrudder/fakes/engine_http.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's HTTP handlers."""
+"""HTTP handlers of the stand-in engine."""
 
 import functools
 import os
@@ -7,7 +7,7 @@
 import msgspec
 from expression import Error
 
-from . import core, kv, ledger as book, load_report
+from . import core, kv, ledger as ledgers, load_report
 from .asgi import Call, Reply, json_object, make_app, route
 from .core import Step
 from .engine_loop import DIED, EngineProcess, record_load, wake_callers
@@ -19,10 +19,10 @@
 
 
 async def run_steps(process: EngineProcess, call: Call) -> Reply:
-    """Answer a call of steps once each of them is computed or refused."""
+    """Queue the steps of a call and answer when each is computed or refused."""
     steps = msgspec.convert(json_object(call)["steps"], list[Step])
     now_s = anyio.current_time()
-    book.record_call(
+    ledgers.record_call(
         process.engine.ledger, "steps", [s["request"] for s in steps], now_s
     )
     results = [queue_step(process, step, now_s) for step in steps]
@@ -35,7 +35,7 @@
 
 
 def queue_step(process: EngineProcess, step: Step, now_s: float):
-    """Return the job of a step, or the error that refused it."""
+    """Queue a step; return its job, or the error why it is refused."""
     if process.faults.fail_steps > 0:
         left = process.faults.fail_steps - 1
         process.faults = process.faults._replace(fail_steps=left)
@@ -61,7 +61,7 @@
 async def free_requests(process: EngineProcess, call: Call) -> Reply:
     """Drop requests and cancel their jobs."""
     names = msgspec.convert(json_object(call)["requests"], list[str])
-    book.record_call(process.engine.ledger, "free", names, anyio.current_time())
+    ledgers.record_call(process.engine.ledger, "free", names, anyio.current_time())
     for name in names:
         wake_callers(process, core.free(process.engine, name))
     record_load(process)
@@ -69,9 +69,11 @@
 
 
 async def export_kv(process: EngineProcess, call: Call) -> Reply:
-    """Answer one request's KV."""
+    """Answer with the KV of one request."""
     name = msgspec.convert(json_object(call)["request"], str)
-    book.record_call(process.engine.ledger, "kv/export", [name], anyio.current_time())
+    ledgers.record_call(
+        process.engine.ledger, "kv/export", [name], anyio.current_time()
+    )
     result = kv.export_kv(process.engine, name)
     if result.is_error():
         return Reply(404, {"error": str(result.error)})
@@ -79,10 +81,10 @@
 
 
 async def import_kv(process: EngineProcess, call: Call) -> Reply:
-    """Take one request's KV."""
+    """Import the KV of one request."""
     export = msgspec.convert(json_object(call), kv.Export)
     names = [export["request"]]
-    book.record_call(process.engine.ledger, "kv/import", names, anyio.current_time())
+    ledgers.record_call(process.engine.ledger, "kv/import", names, anyio.current_time())
     result = kv.import_kv(process.engine, export)
     if result.is_error():
         return Reply(409, {"error": str(result.error)})
@@ -90,11 +92,11 @@
 
 
 async def handle_order(process: EngineProcess, call: Call) -> Reply:
-    """Follow or refuse an order; what it loads is there after `load_s`."""
+    """Apply or refuse an order; loading takes `load_s`."""
     value = json_object(call)
     order = merge(Order(), value)
     result = apply_order(process.fence_check, process.engine.loaded, order)
-    book.record_order(process.engine.ledger, value, result.is_ok())
+    ledgers.record_order(process.engine.ledger, value, result.is_ok())
     if result.is_error():
         return Reply(409, {"error": str(result.error)})
     if order.order != "role":
@@ -104,7 +106,7 @@
 
 
 async def get_info(process: EngineProcess, call: Call) -> Reply:
-    """Answer what the engine holds."""
+    """Answer with the layers, accelerator, model and role of the engine."""
     layers = process.engine.layers
     info = {
         "first_layer": layers.first,
@@ -117,26 +119,26 @@
 
 
 async def get_events(process: EngineProcess, call: Call) -> Reply:
-    """Answer the cache events after `?since=`."""
+    """Answer with the cache events after `?since=`."""
     since = int(call.query.get("since", ["0"])[0])
     events = read_since(process.engine.events, since, anyio.current_time())
     return Reply(200, {"events": [event._asdict() for event in events]})
 
 
 async def get_load(process: EngineProcess, call: Call) -> Reply:
-    """Answer the load as it was some time ago."""
+    """Answer with the load, delayed by the lag of the load report."""
     load = load_report.read(process.loads, anyio.current_time())
     return Reply(200, load._asdict())
 
 
 async def get_ledger(process: EngineProcess, call: Call) -> Reply:
-    """Answer the ledger, or one request's part with `?request=`."""
+    """Answer with the ledger, or with one request's part for `?request=`."""
     request = call.query.get("request", [None])[0]
-    return Reply(200, book.report(process.engine.ledger, request))
+    return Reply(200, ledgers.report(process.engine.ledger, request))
 
 
 async def set_faults(process: EngineProcess, call: Call) -> Reply:
-    """Change the faults named in the body; `freeze_s` counts from now."""
+    """Set the faults named in the body; `freeze_s` counts from now."""
     changes = json_object(call)
     process.faults = merge(process.faults, changes)
     if "freeze_s" in changes:
@@ -145,7 +147,7 @@
 
 
 def held_by_faults(process: EngineProcess, handler):
-    """Return the handler held back while the process is frozen or mute."""
+    """Return the handler with the faults `freeze_s` and `mute` applied."""
 
     async def held(call):
         await wait_until_thawed(process.freeze)
@@ -172,8 +174,8 @@
 
 def engine_app(process: EngineProcess):
     """Return the engine's ASGI app."""
-    # Tests read the ledger and lift faults while the engine is frozen, so these two
-    # are not held back.
+    # Tests read the ledger and end faults while the engine is frozen, so faults do not
+    # apply to these two routes.
     routes = {
         ("GET", "/v1/ledger"): functools.partial(get_ledger, process),
         ("POST", "/v1/faults"): functools.partial(set_faults, process),
--- a/libs/fakes/src/cherryrudder/fakes/engine_loop.py
+++ b/libs/fakes/src/cherryrudder/fakes/engine_loop.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's batch loop, and how faults slow, stop or end it."""
+"""The batch loop of the stand-in engine, with the faults that slow or stop it."""
 
 import os
 
@@ -12,12 +12,12 @@
 from .load_report import LoadReport
 from .orders import FenceCheck
 
-# The exit code of a process that a fault told to die (EX_SOFTWARE of sysexits).
+# Exit code of a process that a fault has ended (EX_SOFTWARE of sysexits).
 DIED = 70
 
 
 class EngineProcess:
-    """The engine, its faults and the calls that wait for it."""
+    """State of the engine's process: the engine, its faults and the waiting calls."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
 
 
 async def run_batches(process: EngineProcess):
-    """Run batch step after batch step for as long as there is work."""
+    """Run batch steps, and wait for work when there is none."""
     while True:
         await wait_until_thawed(process.freeze)
         process.step_number += 1
@@ -59,19 +59,19 @@
 
 
 def record_load(process: EngineProcess):
-    """Take a sample for the load report."""
+    """Record the current load for the load report."""
     load = core.measure(process.engine)
     load_report.record_load(process.loads, load, anyio.current_time())
 
 
 def wake_callers(process: EngineProcess, jobs):
-    """Wake the calls that wait for these jobs."""
+    """Wake the calls that wait for the given jobs."""
     for job in jobs:
         process.waiting.pop(job.number).set()
 
 
 def count_down_to_exit(process: EngineProcess):
-    """End the process at the batch step that a fault names."""
+    """End the process after the number of batch steps that a fault sets."""
     left = process.faults.die_after_steps
     if left > 0:
         process.faults = process.faults._replace(die_after_steps=left - 1)
--- a/libs/fakes/src/cherryrudder/fakes/errors.py
+++ b/libs/fakes/src/cherryrudder/fakes/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the stand-ins; their text is what the caller reads as `error`."""
+"""Errors of the stand-ins; their text is sent to the caller as `error`."""
 
 from cherryrudder.model.errors import CherryrudderError
 
 
 class FakesError(CherryrudderError):
-    """Base of the stand-ins' errors."""
+    """Base class of the stand-ins' errors."""
 
 
 class StepRefused(FakesError):
-    """A step that the engine does not run."""
+    """The engine refuses to run a step."""
 
 
 class OrderRefused(FakesError):
-    """An order that the engine does not follow."""
+    """The engine refuses to apply an order."""
 
 
 class KvRefused(FakesError):
-    """KV that the engine cannot export or import."""
+    """The engine cannot export or import a request's KV."""
--- a/libs/fakes/src/cherryrudder/fakes/events.py
+++ b/libs/fakes/src/cherryrudder/fakes/events.py
@@ -1,16 +1,16 @@
-"""Numbered cache events, published late and with gaps, as real engines do."""
+"""Numbered cache events, published with delay and losses as by real engines."""
 
 import random
 from collections import deque
 from typing import NamedTuple
 
-# Enough for the longest run of the tests; a reader that falls further behind sees a
-# gap, which it has to cope with anyway.
+# Enough for the longest run of the tests. A reader that falls further behind sees a
+# gap, which it must handle in any case.
 MAX_EVENTS = 10_000
 
 
 class Event(NamedTuple):
-    """A block that came into the cache (`stored`) or left it (`evicted`)."""
+    """A block was added to the cache (`stored`) or removed from it (`evicted`)."""
 
     number: int
     kind: str
@@ -18,7 +18,7 @@
 
 
 class EventLog:
-    """The events of one engine; a share of them is lost and leaves a gap."""
+    """The events of one engine; lost ones leave gaps in the numbers."""
 
     def __init__(self, lag_s: float, lost_share: float, rng: random.Random):
         self.lag_s = lag_s
@@ -30,11 +30,11 @@
 
 
 def publish(log: EventLog, kind: str, prefix: str, now_s: float):
-    """Number an event; it can be read after the lag, or never."""
+    """Add an event with the next number; it is readable after the lag, or lost."""
     log.last_number += 1
     lag_s = log.lag_s * log.rng.uniform(0.5, 1.5)
-    # An event is never read before an older one: engines number what they send in
-    # order, and only the delay varies.
+    # Events become readable in the order of their numbers, as engines send them; only
+    # the delay varies.
     log.visible_s = max(log.visible_s, now_s + lag_s)
     if log.rng.random() >= log.lost_share:
         event = Event(log.last_number, kind, prefix)
@@ -42,7 +42,7 @@
 
 
 def read_since(log: EventLog, number: int, now_s: float) -> list[Event]:
-    """Return the events after a number that have come out by now."""
+    """Return the events after a number that are readable by now."""
     return [
         event
         for visible_s, event in log.events
--- a/libs/fakes/src/cherryrudder/fakes/faults.py
+++ b/libs/fakes/src/cherryrudder/fakes/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a test can give a stand-in, and what they do to it."""
+"""Faults that a test can set on a stand-in."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 
 class EngineFaults(NamedTuple):
-    """Faults of an engine; a call to /v1/faults sets the fields it names.
+    """Faults of an engine; a call to /v1/faults sets the fields in its body.
 
-    `fail_steps` counts the steps still to fail. Requests past `long_tokens` positions
-    run in every `slow_long_factor`-th batch step only, so that short ones beside them
-    are as quick as ever. `mute` accepts calls and never answers them.
-    `die_after_steps` ends the process once so many more batch steps have run.
+    `fail_steps` is the number of steps still to fail. Requests past `long_tokens`
+    positions run only in every `slow_long_factor`-th batch step, while short ones keep
+    their speed. `mute` accepts calls and never answers them. `die_after_steps` ends the
+    process after that many more batch steps.
     """
 
     slow_factor: float = 1.0
@@ -26,7 +26,7 @@
 
 
 class ServiceFaults(NamedTuple):
-    """Faults of a plain service; `fail` and `drop_answers` count calls still to hit."""
+    """Faults of a plain service; `fail` and `drop_answers` count the calls affected."""
 
     delay_s: float = 0.0
     fail: int = 0
@@ -36,7 +36,7 @@
 
 
 def may_run(faults: EngineFaults, step_number: int) -> Callable[[Job], bool]:
-    """Return which jobs a batch step may take under the faults."""
+    """Return a predicate for the jobs that a batch step may take under the faults."""
     if step_number % max(1, faults.slow_long_factor) == 0:
         return lambda job: True
     return lambda job: job.position < faults.long_tokens
--- a/libs/fakes/src/cherryrudder/fakes/fields.py
+++ b/libs/fakes/src/cherryrudder/fakes/fields.py
@@ -1,13 +1,13 @@
-"""Typed values out of the JSON objects that callers send."""
+"""Conversion of the JSON objects that callers send to typed values."""
 
 import msgspec
 
 
 def merge(value, changes: dict):
-    """Return a NamedTuple with the named fields changed.
+    """Return a copy of a NamedTuple with the fields in `changes` replaced.
 
-    Raises ValueError (msgspec.ValidationError is one) for an unknown field or a value
-    of another type.
+    Raise ValueError (or its subclass msgspec.ValidationError) for an unknown field or
+    a value of the wrong type.
     """
     unknown = set(changes) - set(value._fields)
     if unknown:
--- a/libs/fakes/src/cherryrudder/fakes/fold.py
+++ b/libs/fakes/src/cherryrudder/fakes/fold.py
@@ -1,7 +1,7 @@
-"""The stand-in model: each layer folds its input into a hash.
+"""The stand-in model: each layer hashes its input and its KV.
 
 A layer that is skipped, run twice or run out of order changes every later token, so
-the text that a caller gets shows whether each layer ran exactly once per token.
+the generated text shows whether each layer ran exactly once per token.
 """
 
 import xxhash
@@ -15,7 +15,7 @@
 
 
 def tokenize(prompt: str) -> list[str]:
-    """Return the prompt's tokens."""
+    """Return the tokens of a prompt: its words."""
     return prompt.split()
 
 
@@ -26,12 +26,12 @@
 
 
 def pick_token(value: str) -> str:
-    """Return the token that the last layer's output stands for."""
+    """Return the token for an output of the last layer."""
     return WORDS[int(value, 16) % len(WORDS)]
 
 
 def generate(model: str, layers: int, prompt: str, max_tokens: int) -> list[str]:
-    """Return the tokens that one machine with every layer would generate."""
+    """Return the tokens that a single machine with all layers would generate."""
     kv = [EMPTY_KV] * layers
     pending = tokenize(prompt)
     tokens = []
@@ -46,5 +46,5 @@
 
 
 def _digest(text):
-    # xxhash 4 takes bytes only.
+    # xxhash 4 accepts bytes only.
     return xxhash.xxh64_hexdigest(text.encode())
--- a/libs/fakes/src/cherryrudder/fakes/kv.py
+++ b/libs/fakes/src/cherryrudder/fakes/kv.py
@@ -1,4 +1,4 @@
-"""Export and import of one request's KV."""
+"""Export and import of the KV of a request."""
 
 from typing import TypedDict
 
@@ -9,7 +9,7 @@
 
 
 class LayerKv(TypedDict):
-    """The KV of an engine's layers; layer numbers are text, as JSON keys are."""
+    """The KV of an engine's layers; layer numbers are strings, for JSON."""
 
     model: str
     version: str
@@ -17,7 +17,7 @@
 
 
 class Export(TypedDict):
-    """One request's KV as another engine can take it."""
+    """The KV of a request in the form that another engine imports."""
 
     request: str
     next_position: int
@@ -25,7 +25,7 @@
 
 
 def export_kv(engine: Engine, name: str) -> Result[Export, KvRefused]:
-    """Return a request's KV after the positions that are computed by now."""
+    """Return the KV of a request, up to the last computed position."""
     sequence = engine.sequences.get(name)
     if sequence is None:
         return Error(KvRefused("unknown request"))
@@ -37,9 +37,9 @@
 
 
 def import_kv(engine: Engine, export: Export) -> Result[int, KvRefused]:
-    """Take a request's KV in place of what is held; return its next position.
+    """Replace a request's KV with the exported one; return its next position.
 
-    The export may hold more layers than this engine, but none of its own may lack.
+    The export may have more layers than this engine, but must have all of its layers.
     """
     kv, name = export["kv"], export["request"]
     if (kv["model"], kv["version"]) != engine.loaded[:2]:
--- a/libs/fakes/src/cherryrudder/fakes/ledger.py
+++ b/libs/fakes/src/cherryrudder/fakes/ledger.py
@@ -1,10 +1,10 @@
-"""The ledger of an engine: every layer run, call and order, for tests to read."""
+"""The ledger of an engine: a record of every layer run, call and order, for tests."""
 
 from collections import Counter
 
 
 class Ledger:
-    """What an engine did; a position that was taken from the cache is `reused`."""
+    """Record of an engine's work; positions taken from the cache count as `reused`."""
 
     def __init__(self):
         self.runs = Counter()
@@ -14,22 +14,22 @@
 
 
 def record_run(ledger: Ledger, request: str, layer: int, position: int):
-    """Note that a layer computed a position of a request."""
+    """Record that a layer computed a position of a request."""
     ledger.runs[request, layer, position] += 1
 
 
 def record_reuse(ledger: Ledger, request: str, layer: int, position: int):
-    """Note that the prefix cache stood in for computing a position."""
+    """Record that a position was taken from the prefix cache."""
     ledger.reused[request, layer, position] += 1
 
 
 def record_call(ledger: Ledger, call: str, requests: list[str], now_s: float):
-    """Note a call and the requests that it was for."""
+    """Record a call and the requests that it was for."""
     ledger.calls.append({"call": call, "requests": requests, "at_s": now_s})
 
 
 def record_order(ledger: Ledger, order: dict, accepted: bool):
-    """Note an order and whether the engine took it."""
+    """Record an order and whether the engine accepted it."""
     ledger.orders.append({**order, "accepted": accepted})
 
 
--- a/libs/fakes/src/cherryrudder/fakes/load.py
+++ b/libs/fakes/src/cherryrudder/fakes/load.py
@@ -1,4 +1,4 @@
-"""The load and measuring tool: `python -m cherryrudder.fakes.load`."""
+"""Load generator: `python -m cherryrudder.fakes.load`."""
 
 import random
 import sys
@@ -14,10 +14,10 @@
 from .load_stats import Report, format_report, summarize
 from .samples import check
 
-# A caller who waits longer has given up; it also bounds the tool's own run.
+# Real callers give up by then; it also limits the duration of the tool's run.
 ANSWER_TIMEOUT_S = 120.0
 BAD_INPUT = 2
-# A run without any arrival has no rate; it must not end in a division by zero.
+# Avoids a division by zero for a run without arrivals.
 MIN_RUN_S = 0.001
 
 
@@ -26,16 +26,16 @@
     target: Target,
     transport: httpx.AsyncBaseTransport | None = None,
 ) -> Report:
-    """Send the arrivals to the entries in turn and return what came of them."""
+    """Send the arrivals to the entries in turn and return a report of the answers."""
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=None)
     async with httpx.AsyncClient(
         limits=limits, timeout=ANSWER_TIMEOUT_S, transport=transport, trust_env=False
     ) as client:
-        # Idempotency keys must differ from those of the run before.
+        # Idempotency keys must differ from those of earlier runs.
         run = Run(client, target, run_id=uuid.uuid4().hex)
         await run_load(run, arrivals)
     elapsed_s = max(MIN_RUN_S, anyio.current_time() - run.start_s)
-    # The texts are checked after the run, so that hashing takes no time from it.
+    # The texts are checked after the run, so that hashing does not slow it down.
     samples = [check(sample, target) for sample in run.samples]
     return summarize(samples, elapsed_s, run.late_start_s)
 
@@ -84,7 +84,7 @@
 
 
 def report_fields(value):
-    """Return a report with its NamedTuples as dicts, so that JSON names the fields."""
+    """Return a report with its NamedTuples as dicts, for JSON with field names."""
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
         return {key: report_fields(item) for key, item in value._asdict().items()}
     if isinstance(value, list):
--- a/libs/fakes/src/cherryrudder/fakes/load_client.py
+++ b/libs/fakes/src/cherryrudder/fakes/load_client.py
@@ -1,4 +1,4 @@
-"""Sends the requests of a load run and notes what each caller saw."""
+"""Send the requests of a load run and record the answers."""
 
 import itertools
 
@@ -18,12 +18,12 @@
 from .sse import EventParser, feed
 
 STREAM_END = "[DONE]"
-# What a caller's own library may raise over an answer that is broken or not there.
+# Errors that the HTTP and JSON libraries raise for a broken or missing answer.
 ANSWER_ERRORS = (httpx.HTTPError, httpx.StreamError, msgspec.DecodeError, LookupError)
 
 
 class Run:
-    """A load run: its target, and its samples so far."""
+    """State of a load run: its target and the samples so far."""
 
     def __init__(self, client: httpx.AsyncClient, target: Target, run_id: str):
         self.client = client
@@ -48,7 +48,7 @@
 
 
 async def send(run: Run, arrival: Arrival):
-    """Send one request and note its sample."""
+    """Send one request and record its sample."""
     streams = run.target.stream and not run.target.service
     try:
         sample = await (send_stream if streams else send_whole)(run, arrival)
@@ -58,7 +58,7 @@
 
 
 async def send_whole(run: Run, arrival: Arrival) -> Sample:
-    """Send a request that is answered as a whole."""
+    """Send a request whose answer is not streamed."""
     answer = await run.client.send(request_of(run, arrival))
     sample = refusal_or_none(arrival, answer)
     if sample is not None:
@@ -71,7 +71,7 @@
 
 
 async def send_stream(run: Run, arrival: Arrival) -> Sample:
-    """Send a request that is answered token by token."""
+    """Send a request whose answer is streamed token by token."""
     answer = await run.client.send(request_of(run, arrival), stream=True)
     try:
         sample = refusal_or_none(arrival, answer)
@@ -83,7 +83,7 @@
 
 
 async def read_stream(run: Run, arrival: Arrival, answer) -> Sample:
-    """Read a stream to its end, its error event or its cut."""
+    """Read a stream until it ends, reports an error or breaks off."""
     parser, texts, times_s = EventParser(), [], []
     result = Result.CUT
     try:
@@ -98,12 +98,12 @@
                 result = error_of(event)
                 break
             text = text_of(event)
-            # The last event carries the reason of the end and no token.
+            # The last event has the finish reason and no token.
             if text:
                 texts.append(text)
                 times_s.append(elapsed_s(run, arrival))
     except httpx.HTTPError:
-        # The stream broke after its start with no error event: that is a cut too.
+        # The connection broke during the stream without an error event: also a cut.
         pass
     gaps_s = tuple(later - sooner for sooner, later in itertools.pairwise(times_s))
     first_s = times_s[0] if times_s else 0.0
@@ -112,7 +112,7 @@
 
 
 def request_of(run: Run, arrival: Arrival) -> httpx.Request:
-    """Return the HTTP request of an arrival, at the entry whose turn it is."""
+    """Return the HTTP request of an arrival, for the next entry in turn."""
     target = run.target
     headers = {"Authorization": f"Bearer {arrival.customer.key}"}
     if target.deadline_s:
@@ -138,7 +138,7 @@
 
 
 def refusal_or_none(arrival: Arrival, answer) -> Sample | None:
-    """Return the sample of an answer other than 200."""
+    """Return the sample of an answer other than 200, or None for 200."""
     if answer.status_code == httpx.codes.OK:
         return None
     return Sample(
@@ -152,7 +152,7 @@
 def elapsed_s(run: Run, arrival: Arrival) -> float:
     """Return the time since the planned arrival.
 
-    Counting from the moment of sending would leave out the wait in a tool that has
-    fallen behind, and make an overloaded system look quick.
+    Measuring from the time of sending would omit the delay of a tool that has fallen
+    behind its plan, and make an overloaded system look fast.
     """
     return anyio.current_time() - run.start_s - arrival.at_s
--- a/libs/fakes/src/cherryrudder/fakes/load_plan.py
+++ b/libs/fakes/src/cherryrudder/fakes/load_plan.py
@@ -1,4 +1,4 @@
-"""The arrivals of a load run, drawn from a seed before the run begins."""
+"""Plan of a load run: arrivals drawn from a seed before the run starts."""
 
 import random
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Shape(NamedTuple):
-    """What the requests of a load run look like."""
+    """Prompt and answer lengths of a load run's requests."""
 
     prompt_tokens: tuple[int, ...]
     max_tokens: tuple[int, ...]
@@ -33,7 +33,7 @@
 
 
 class Target(NamedTuple):
-    """Where a load run sends its requests, and what it asks for.
+    """Addresses and parameters of a load run's requests.
 
     With a `service` each request is a filing, otherwise a completion.
     """
@@ -49,7 +49,7 @@
 def parse_customer(text: str) -> Customer:
     """Return the customer of NAME:KEY:REQUESTS_PER_S[:WEIGHT[:PRIORITY]].
 
-    Raises ValueError for any other text.
+    Raise ValueError for any other text.
     """
     parts = text.split(":")
     if not 3 <= len(parts) <= 5:
@@ -65,10 +65,10 @@
 def plan_arrivals(
     customers: list[Customer], shape: Shape, duration_s: float, rng: random.Random
 ) -> list[Arrival]:
-    """Return Poisson arrivals of all customers, in order of time.
+    """Return Poisson arrivals of all customers, ordered by time.
 
-    The load is open-loop: a slow answer delays no later request, as with callers who
-    know nothing of each other. A closed loop would ease off just when it must not.
+    The load is open-loop: a slow answer delays no later request, as with independent
+    callers. A closed loop would reduce the load just when the system is overloaded.
     """
     drawn = []
     for customer in customers:
--- a/libs/fakes/src/cherryrudder/fakes/load_report.py
+++ b/libs/fakes/src/cherryrudder/fakes/load_report.py
@@ -1,11 +1,11 @@
-"""The engine's load as it was some seconds ago."""
+"""Load report of the stand-in engine, delayed as on real engines."""
 
 from collections import deque
 from typing import NamedTuple
 
 
 class Load(NamedTuple):
-    """How busy an engine is; `kv_used` is the share that live requests hold."""
+    """Load of an engine; `kv_used` is the share of KV that live requests hold."""
 
     running: int
     waiting: int
@@ -16,7 +16,7 @@
 
 
 class LoadReport:
-    """The loads that are still to be reported, oldest first."""
+    """Samples of the load that are still to be reported, oldest first."""
 
     def __init__(self, lag_s: float):
         self.lag_s = lag_s
@@ -24,14 +24,14 @@
 
 
 def record_load(report: LoadReport, load: Load, now_s: float):
-    """Take a sample of the load."""
+    """Record a sample if the load has changed."""
     if report.samples[-1][1] != load:
         report.samples.append((now_s, load))
     _drop_old(report, now_s)
 
 
 def read(report: LoadReport, now_s: float) -> Load:
-    """Return the load as of the lag before now."""
+    """Return the load as it was `lag_s` ago."""
     _drop_old(report, now_s)
     return report.samples[0][1]
 
--- a/libs/fakes/src/cherryrudder/fakes/load_stats.py
+++ b/libs/fakes/src/cherryrudder/fakes/load_stats.py
@@ -1,4 +1,4 @@
-"""The figures of a load run, out of its samples."""
+"""Statistics of a load run, calculated from its samples."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class Percentiles(NamedTuple):
-    """Points of a distribution of times."""
+    """Percentiles and maximum of a distribution of times."""
 
     p50_s: float
     p95_s: float
@@ -25,9 +25,9 @@
 
 
 class Figures(NamedTuple):
-    """What one customer, or all of them, received.
+    """Results of one customer, or of all customers together.
 
-    Goodput counts the tokens of whole and right answers only.
+    Goodput counts only the tokens of complete and correct answers.
     """
 
     customer: str
@@ -41,24 +41,24 @@
     goodput_requests_per_s: float
     refusal: Percentiles
     retry_after: Percentiles
-    # Refusals that do not say when to come back, which the promises forbid.
+    # Refusals without Retry-After, which the guarantees forbid.
     no_retry_after: int
 
 
 class Report(NamedTuple):
-    """A whole load run; Jain's index is over goodput per weight."""
+    """Report of a load run; Jain's index is over goodput per weight."""
 
     customers: list[Figures]
     together: Figures
     jain: float
     elapsed_s: float
-    # How far the tool itself fell behind its plan; above some milliseconds the
-    # figures tell of the tool and not of the system.
+    # The longest delay of the tool behind its plan. Above some milliseconds the figures
+    # measure the tool instead of the system.
     late_start_s: float
 
 
 def percentiles(times_s: Iterable[float]) -> Percentiles:
-    """Return points of a distribution, to three digits."""
+    """Return the percentiles of times, to three significant digits."""
     histogram = HdrHistogram(1, MAX_TIME_US, DIGITS)
     for time_s in times_s:
         histogram.record_value(min(MAX_TIME_US, max(1, round(time_s * MICROSECONDS))))
@@ -69,13 +69,13 @@
 
 
 def jain_index(shares: list[float]) -> float:
-    """Return Jain's index: 1 if all shares are equal, 1/n if one has everything."""
+    """Return Jain's index: 1 if all n shares are equal, 1/n if only one is not 0."""
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 1.0
 
 
 def figures(name: str, samples: list[Sample], elapsed_s: float) -> Figures:
-    """Return the figures of some samples."""
+    """Return the statistics of the given samples."""
     done = [sample for sample in samples if sample.result == Result.DONE]
     refused = [sample for sample in samples if sample.status in REFUSALS]
     waits_s = [sample.retry_after_s for sample in refused if sample.retry_after_s]
@@ -98,7 +98,7 @@
 
 
 def summarize(samples: list[Sample], elapsed_s: float, late_start_s: float) -> Report:
-    """Return the report of a run that took so long."""
+    """Return the report of a run that took `elapsed_s`."""
     by_customer = {}
     for sample in samples:
         by_customer.setdefault(sample.arrival.customer, []).append(sample)
@@ -111,7 +111,7 @@
 
 
 def format_report(report: Report) -> str:
-    """Return the report as a table for people."""
+    """Return the report as a text table."""
     heads = ("customer", "sent", "done", "not-run", "unknown", "bad", "tokens/s")
     heads += ("ttft p50", "p99", "tbt p50", "p99", "refusal p99", "retry-after")
     lines = [f"{heads[0]:14}" + "".join(f"{head:>12}" for head in heads[1:])]
--- a/libs/fakes/src/cherryrudder/fakes/orders.py
+++ b/libs/fakes/src/cherryrudder/fakes/orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine, and the fencing number that guards them on some engines."""
+"""Orders to an engine, and the fencing number that some engines check."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Order(NamedTuple):
-    """An order; which of the other fields count depends on `order`."""
+    """An order to load something or change the role; `order` is its kind."""
 
     fence: int = -1
     order: str = ""
@@ -28,7 +28,7 @@
 
 
 class FenceCheck:
-    """The highest fencing number seen; an engine that does not check ignores it."""
+    """The highest fencing number received, and whether orders are checked for it."""
 
     def __init__(self, checks_fence: bool):
         self.checks_fence = checks_fence
@@ -50,9 +50,9 @@
     field = NEEDED_FIELD.get(order.order)
     if field is None or not getattr(order, field):
         return Error(OrderRefused(f"bad order {order.order!r}"))
-    # An order that was held up on its way would otherwise undo a newer one: the
-    # engine would go back to an old model while the system believes in the new one.
-    # A number below the highest is that case; the same number is a resend.
+    # A delayed order would otherwise undo a newer one: the engine would return to an
+    # old model while the system uses it as if the new one were loaded. A number below
+    # the highest shows that case; the same number is a resend.
     if fence_check.checks_fence and order.fence < fence_check.highest_fence:
         return Error(OrderRefused("old fence"))
     fence_check.highest_fence = max(fence_check.highest_fence, order.fence)
--- a/libs/fakes/src/cherryrudder/fakes/prefixes.py
+++ b/libs/fakes/src/cherryrudder/fakes/prefixes.py
@@ -1,12 +1,12 @@
-"""The prefix cache: KV of whole blocks of inputs, least recently used out first."""
+"""The prefix cache: KV of whole blocks of inputs, with LRU eviction."""
 
 from collections import OrderedDict
 from typing import NamedTuple
 
 import xxhash
 
-# vLLM's default block: small enough that a shared instruction of a few dozen tokens
-# is worth caching, large enough that the table stays small beside the KV itself.
+# The default of vLLM: small enough to cache a shared instruction of a few dozen tokens,
+# large enough to keep the table small compared to the KV itself.
 BLOCK_TOKENS = 16
 
 
@@ -18,7 +18,7 @@
 
 
 class Hit(NamedTuple):
-    """What the cache holds of a prompt; `prefix` names the last block found."""
+    """The cached part of a prompt; `prefix` is the digest of the last block found."""
 
     prefix: str
     kv: tuple[str, ...]
@@ -26,7 +26,7 @@
 
 
 class PrefixCache:
-    """Cached blocks by the digest of all inputs up to their end."""
+    """Cached blocks, by the digest of all inputs up to their end."""
 
     def __init__(self):
         self.blocks = OrderedDict()
@@ -43,10 +43,10 @@
 
 
 def match(cache: PrefixCache, root: str, inputs: list[str]) -> Hit | None:
-    """Return the longest cached prefix of a prompt, which becomes the newest.
+    """Return the longest cached prefix of a prompt and mark it as recently used.
 
-    The last input is always left to compute, since a step without any would give the
-    engine no output of its own.
+    The last input is always left to compute, since the engine needs at least one to
+    produce an output.
     """
     found = []
     prefix = root
@@ -57,8 +57,8 @@
         found.append(prefix)
     if not found:
         return None
-    # A block is of no use without those before it; touching the last block first
-    # makes the least recently used one a block that no other stands on.
+    # A block is useless without those before it. Marking the last block first ensures
+    # that the least recently used block is one that no other depends on.
     for prefix in reversed(found):
         cache.blocks.move_to_end(prefix)
     outputs = [value for prefix in found for value in cache.blocks[prefix].outputs]
@@ -66,7 +66,7 @@
 
 
 def store(cache: PrefixCache, prefix: str, block: Block) -> bool:
-    """Keep a block and tell whether it is new."""
+    """Add a block and return whether it is new."""
     new = prefix not in cache.blocks
     cache.blocks[prefix] = block
     cache.blocks.move_to_end(prefix)
@@ -74,7 +74,7 @@
 
 
 def shrink(cache: PrefixCache, room_tokens: int) -> list[str]:
-    """Evict blocks until the cache fits the room; return their prefixes."""
+    """Evict blocks until the cache fits into `room_tokens`; return their prefixes."""
     evicted = []
     while len(cache.blocks) * BLOCK_TOKENS > max(0, room_tokens):
         prefix, _ = cache.blocks.popitem(last=False)
--- a/libs/fakes/src/cherryrudder/fakes/samples.py
+++ b/libs/fakes/src/cherryrudder/fakes/samples.py
@@ -1,4 +1,4 @@
-"""What one request of a load run came to, read from its answer."""
+"""Results of the requests of a load run, read from their answers."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -11,22 +11,22 @@
 
 
 class Result(StrEnum):
-    """What the caller of one request is left with."""
+    """Result of a request for its caller."""
 
     DONE = "done"
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
-    # The promises forbid these three: a stream that ends without a word, an answer
-    # without an outcome, and a text that is not the model's.
+    # The guarantees forbid these three: a stream that ends without an end or error
+    # event, an answer without an outcome, and a text that the model does not generate.
     CUT = "cut"
     NO_OUTCOME = "no-outcome"
     WRONG = "wrong"
-    # The connection broke or the load tool gave up waiting.
+    # The connection broke or the load tool's timeout expired.
     TRANSPORT = "transport"
 
 
 class Sample(NamedTuple):
-    """One request as its caller saw it; times count from the planned arrival."""
+    """A request as its caller saw it; times are since the planned arrival."""
 
     arrival: Arrival
     result: Result
@@ -39,14 +39,14 @@
 
 
 def outcome_of(headers) -> Result:
-    """Return the outcome that the headers of an answer tell."""
+    """Return the outcome in the headers of an answer."""
     text = headers.get("cherryrudder-outcome", "")
     known = (Result.DONE, Result.NOT_RUN, Result.UNKNOWN)
     return Result(text) if text in known else Result.NO_OUTCOME
 
 
 def retry_after_of(headers) -> float:
-    """Return the wait that the headers ask for, 0 if they name none."""
+    """Return the Retry-After time of an answer in seconds, 0 if it has none."""
     try:
         return float(headers.get("retry-after", "0"))
     except ValueError:
@@ -54,18 +54,18 @@
 
 
 def text_of(event: ServerEvent) -> str:
-    """Return the text that an event of a stream adds."""
+    """Return the text in an event of a stream."""
     return msgspec.json.decode(event.data)["choices"][0]["text"]
 
 
 def error_of(event: ServerEvent) -> Result:
-    """Return the outcome that the error event of a broken stream tells."""
+    """Return the outcome in the error event of a broken stream."""
     outcome = msgspec.json.decode(event.data).get("outcome", "")
     return outcome_of({"cherryrudder-outcome": outcome})
 
 
 def check(sample: Sample, target: Target) -> Sample:
-    """Return the sample as `wrong` if it is done with another text than it should."""
+    """Return the sample, with result `wrong` if its text is not the expected one."""
     if sample.result != Result.DONE:
         return sample
     arrival = sample.arrival
--- a/libs/fakes/src/cherryrudder/fakes/service.py
+++ b/libs/fakes/src/cherryrudder/fakes/service.py
@@ -1,4 +1,7 @@
-"""The stand-in plain service as a process: `python -m cherryrudder.fakes.service`."""
+"""Command line of the stand-in plain service: `python -m cherryrudder.fakes.service`.
+
+It has a ledger of its filings and calls, and faults that a test can set.
+"""
 
 import functools
 import os
@@ -15,7 +18,7 @@
 
 
 class Service:
-    """A service's filings, calls and faults."""
+    """State of a service: its filings, calls and faults."""
 
     def __init__(self, name: str):
         self.name = name
@@ -26,7 +29,7 @@
 
 
 def record_filing(service: Service, text: str, key: str) -> dict:
-    """Stamp a receipt on a filing and enter it in the ledger."""
+    """Record a filing in the ledger and return it with its receipt."""
     receipt = f"{service.name}-{len(service.filings) + 1}"
     service.filings.append({"receipt": receipt, "text": text, "key": key})
     return {"receipt": receipt, "text": text}
@@ -46,7 +49,7 @@
     reply = Reply(200, {"service": service.name, "path": call.path})
     if call.method == "POST" and call.path.endswith("/filings"):
         reply = Reply(200, record_filing(service, json_object(call)["text"], key))
-    # The filing stands in the ledger by now: this is a lost answer, not a lost call.
+    # The filing is already in the ledger: the answer is lost, not the call.
     if service.faults.drop_answers > 0:
         left = service.faults.drop_answers - 1
         service.faults = service.faults._replace(drop_answers=left)
@@ -56,12 +59,12 @@
 
 
 async def get_ledger(service: Service, call: Call) -> Reply:
-    """Answer every filing and call."""
+    """Answer with all filings and calls."""
     return Reply(200, {"filings": service.filings, "calls": service.calls})
 
 
 async def set_faults(service: Service, call: Call) -> Reply:
-    """Change the faults named in the body; `freeze_s` counts from now."""
+    """Set the faults named in the body; `freeze_s` counts from now."""
     changes = json_object(call)
     service.faults = merge(service.faults, changes)
     if "freeze_s" in changes:
@@ -83,7 +86,7 @@
     """Run a stand-in plain service until SIGTERM.
 
     :param listen: IP:PORT to listen on
-    :param name: name that starts each receipt
+    :param name: prefix of each receipt
     """
     anyio.run(serve_until_signal, service_app(Service(name)), listen)
 
--- a/libs/fakes/src/cherryrudder/fakes/sse.py
+++ b/libs/fakes/src/cherryrudder/fakes/sse.py
@@ -1,18 +1,18 @@
-"""Server-sent events as a caller reads them off a stream."""
+"""Parser of server-sent events."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
 
 class ServerEvent(NamedTuple):
-    """One event; `kind` is `message` unless the stream names another."""
+    """One event; `kind` is `message` unless the stream sets another."""
 
     kind: str
     data: str
 
 
 class EventParser:
-    """The lines of an event that is not complete yet."""
+    """State of the parser: the lines of the incomplete event."""
 
     def __init__(self):
         self.kind = "message"
@@ -20,7 +20,7 @@
 
 
 def feed(parser: EventParser, line: str) -> ServerEvent | None:
-    """Take one line without its end; return the event that it completes, if any."""
+    """Parse a line without its line end; return the event that it completes, if any."""
     if line:
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
--- a/libs/fakes/test/test_core.py
+++ b/libs/fakes/test/test_core.py
@@ -5,7 +5,7 @@
 from builders import MODEL, NaiveEngine, a_step, an_engine, ask, run_to_end
 from hypothesis import given, settings, strategies as st
 
-from cherryrudder.fakes import core, fold, ledger as book
+from cherryrudder.fakes import core, fold, ledger as ledgers
 from cherryrudder.fakes.kv import export_kv, import_kv
 from cherryrudder.fakes.orders import Loaded
 
@@ -113,7 +113,7 @@
         self.assertEqual(ask(engine, "s", 0, PROMPT), first)
         runs = {
             (run["request"], run["position"]): (run["times"], run["reused"])
-            for run in book.report(engine.ledger)["runs"]
+            for run in ledgers.report(engine.ledger)["runs"]
         }
         self.assertEqual(runs["r", 0], (1, 0))
         self.assertEqual(runs["s", 31], (0, 1))
