--- a/libs/fakes/test/builders.py
+++ b/libs/fakes/test/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the stand-ins' tests."""
+"""Builders of test data for the tests of the stand-ins."""
 
 import json
 import os
@@ -19,13 +19,13 @@
 
 
 def a_job(number, inputs=1, priority=0, request=None):
-    """Return a job of a request of its own."""
+    """Return a job, by default of a request that has no other job."""
     name = request or f"r{number}"
     return Job(number, name, 0, ["a"] * inputs, priority)
 
 
 def an_engine(first=0, end=4, total=4, kv_tokens=1000, max_batch=4, prefill_tokens=8):
-    """Return an engine whose cache events are neither late nor lost."""
+    """Return an engine whose cache events have neither delay nor losses."""
     limits = Limits(100.0, max_batch, prefill_tokens)
     events = EventLog(0.0, 0.0, random.Random(1))
     layers = Range(first, end, total)
@@ -33,7 +33,7 @@
 
 
 def a_step(request, position, inputs, priority=0):
-    """Return a step of the model that every engine here holds."""
+    """Return a step for the model that the tests' engines have loaded."""
     return core.Step(
         request=request,
         model=MODEL,
@@ -44,20 +44,20 @@
 
 
 def run_to_end(engine, now_s=0.0):
-    """Run batch steps until no job is left."""
+    """Run batch steps until all jobs are complete."""
     while core.begin_batch(engine):
         core.finish_batch(engine, now_s)
 
 
 def ask(engine, request, position, inputs):
-    """Return the outputs of one step that is run at once."""
+    """Submit one step, run it to its end and return its outputs."""
     job = core.submit(engine, a_step(request, position, inputs), 0.0).ok
     run_to_end(engine)
     return job.outputs
 
 
-class NaiveEngine:
-    """One request's layers run at once, one position after the other, no cache."""
+class ReferenceEngine:
+    """Reference engine: runs one position after the other, without batch or cache."""
 
     def __init__(self, layers):
         self.layers = layers
@@ -93,7 +93,7 @@
 
 
 class FakeEntry:
-    """An entry for the load tool: answers whole, refuses, cuts or garbles."""
+    """An entry for tests of the load tool, with one behaviour for each API key."""
 
     def __init__(self, layers, behaviours):
         self.layers = layers
--- a/libs/fakes/test/test_core.py
+++ b/libs/fakes/test/test_core.py
@@ -1,8 +1,8 @@
-"""Tests of the engine against a naive one, and of what it refuses."""
+"""Tests of the engine against a reference engine, and of its refusals."""
 
 import unittest
 
-from builders import MODEL, NaiveEngine, a_step, an_engine, ask, run_to_end
+from builders import MODEL, ReferenceEngine, a_step, an_engine, ask, run_to_end
 from hypothesis import given, settings, strategies as st
 
 from cherryrudder.fakes import core, fold, ledger as ledgers
@@ -22,12 +22,12 @@
 
 
 class Fuzz:
-    """Two engines, the naive engine, and what the jobs ought to give."""
+    """Two engines, the reference engine, and the outputs expected from the jobs."""
 
     def __init__(self):
         self.engines = [an_engine(kv_tokens=400), an_engine(kv_tokens=400)]
         self.home = dict.fromkeys("abc", 0)
-        self.naive = NaiveEngine(4)
+        self.reference = ReferenceEngine(4)
         self.expected = []
         self.sent = dict.fromkeys("abc", 0)
 
@@ -40,7 +40,7 @@
         result = core.submit(self.engine(name), step, 0.0)
         if result.is_ok():
             self.sent[name] += size
-            self.expected.append((result.ok, self.naive.run(name, inputs)))
+            self.expected.append((result.ok, self.reference.run(name, inputs)))
         return result
 
     def gap(self, name, size, _):
@@ -56,7 +56,7 @@
 
     def free(self, name, *_):
         core.free(self.engine(name), name)
-        self.naive.kv.pop(name, None)
+        self.reference.kv.pop(name, None)
         self.sent[name] = 0
 
     def move(self, name, *_):
@@ -73,12 +73,11 @@
 class EngineTest(unittest.TestCase):
     @settings(derandomize=True, database=None, deadline=None, max_examples=400)
     @given(OPERATIONS)
-    def test_any_order_of_calls_gives_the_naive_engine_s_outputs(self, operations):
-        """Callers' steps, cancels and moves come in any order, batched as they come.
+    def test_any_order_of_calls_gives_the_reference_outputs(self, operations):
+        """Outputs equal those of an engine that runs one request at a time.
 
-        What each caller gets must be what an engine gives that runs one request at a
-        time: a cached prefix, a batch shared with others, a cancel in the middle of a
-        step or KV taken along to another engine may change the time, never the text.
+        Cached prefixes, shared batches, a cancel during a step and KV moved to another
+        engine may change the timing, never the text.
         """
         fuzz = Fuzz()
         for operation, *arguments in operations:
@@ -95,7 +94,7 @@
             if not job.error:
                 self.assertEqual(job.outputs, outputs)
 
-    def test_a_chain_of_ranges_generates_the_model_s_text(self):
+    def test_chain_of_layer_ranges_generates_the_model_s_text(self):
         stages = [an_engine(0, 1, 6), an_engine(1, 4, 6), an_engine(4, 6, 6)]
         pending, position, tokens = PROMPT, 0, []
         while len(tokens) < 5:
@@ -107,7 +106,7 @@
             tokens += pending
         self.assertEqual(tokens, fold.generate(MODEL, 6, " ".join(PROMPT), 5))
 
-    def test_the_ledger_tells_a_reused_position_from_a_computed_one(self):
+    def test_ledger_distinguishes_reused_and_computed_positions(self):
         engine = an_engine()
         first = ask(engine, "r", 0, PROMPT)
         self.assertEqual(ask(engine, "s", 0, PROMPT), first)
@@ -120,7 +119,7 @@
         self.assertEqual(runs["s", 32], (1, 0))
         self.assertEqual({sum(counts) for counts in runs.values()}, {1})
 
-    def test_refusals_name_their_cause(self):
+    def test_refusals_have_a_cause(self):
         engine = an_engine(kv_tokens=10)
         other = a_step("r", 0, ["a"]) | {"model": "other"}
         for step, error in (
@@ -132,7 +131,7 @@
             self.assertEqual(str(core.submit(engine, step, 0.0).error), error)
         self.assertFalse(engine.sequences)
 
-    def test_loading_another_version_cancels_what_runs(self):
+    def test_loading_another_version_cancels_running_jobs(self):
         engine = an_engine()
         ask(engine, "r", 0, PROMPT)
         job = core.submit(engine, a_step("s", 0, ["a"]), 0.0).ok
@@ -141,21 +140,20 @@
         self.assertEqual(job.error, "cancelled")
         self.assertFalse(engine.sequences or engine.cache.blocks)
 
-    def test_an_imported_request_leaves_no_wrong_prefix_behind(self):
-        """KV comes in from another engine; its request goes on with a long input.
+    def test_imported_request_is_not_cached_as_a_prefix(self):
+        """Blocks of an imported request are not cached as the start of a prompt.
 
-        The engine has not seen what came before, so those blocks must not be cached
-        as the start of a prompt: the next caller with that prompt would get the text
-        of another conversation.
+        The engine has not received the inputs before the import. The next caller with
+        that prompt would get the text of another conversation.
         """
         source, target = an_engine(), an_engine()
         ask(source, "r", 0, ["a"])
         import_kv(target, export_kv(source, "r").ok)
         ask(target, "r", 1, PROMPT)
-        expected = NaiveEngine(4).run("s", PROMPT)
+        expected = ReferenceEngine(4).run("s", PROMPT)
         self.assertEqual(ask(target, "s", 0, PROMPT), expected)
 
-    def test_import_refuses_what_does_not_fit(self):
+    def test_import_refuses_missing_layers(self):
         source = an_engine(0, 2)
         ask(source, "r", 0, ["a"])
         export = export_kv(source, "r").ok
--- a/libs/fakes/test/test_deployment.py
+++ b/libs/fakes/test/test_deployment.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of ports for a deployment."""
+"""Tests of the selection of ports for a deployment."""
 
 import socket
 import unittest
@@ -7,11 +7,11 @@
 
 
 class FreePortTest(unittest.TestCase):
-    def test_a_port_is_given_once_and_never_one_in_use(self):
-        """A deployment draws all its ports before any of its processes listens.
+    def test_free_port_is_never_repeated_or_in_use(self):
+        """No port is returned twice, as a deployment draws all before any is bound.
 
-        A port that came twice would go to two processes; one of them ends at its
-        start, and the other answers calls that are not meant for it.
+        Of two processes with the same port one ends at its start, and the other answers
+        calls that are not meant for it.
         """
         first = free_port()
         with socket.socket() as taken:
--- a/libs/fakes/test/test_engine.py
+++ b/libs/fakes/test/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in engine as real processes."""
+"""Tests of the stand-in engine in processes of its own."""
 
 import unittest
 from concurrent.futures import ThreadPoolExecutor
@@ -60,11 +60,11 @@
         second = self.steps(two, a_step("r", 1, first))[0]["outputs"]
         self.assertEqual(first + second, fold.generate(MODEL, 6, "a", 2))
 
-    def test_faults_do_what_they_name(self):
-        """A test freezes the engine, lifts it, makes steps fail, then lets it die.
+    def test_faults_have_their_effect(self):
+        """The faults freeze_s, fail_steps and die_after_steps have their effect.
 
-        The frozen engine answers nothing but the ledger; a failed step ran no layer;
-        the dead one is gone in the middle of a step, with no answer to its caller.
+        A frozen engine answers only calls for the ledger and faults; a failed step runs
+        no layer; a dying engine ends during a step, without an answer to its caller.
         """
         process, client = self.start("--end-layer", "6")
         self.post(client, "/v1/faults", freeze_s=600)
--- a/libs/fakes/test/test_faults.py
+++ b/libs/fakes/test/test_faults.py
@@ -1,4 +1,4 @@
-"""Tests of the faults that are decided without a process."""
+"""Tests of the faults that need no process."""
 
 import unittest
 
@@ -10,11 +10,11 @@
 
 
 class FaultTest(unittest.TestCase):
-    def test_only_long_answers_are_slowed(self):
-        """An engine is told to be four times slower past 100 tokens.
+    def test_only_long_requests_are_slowed(self):
+        """An engine is four times slower past 100 tokens, for long requests only.
 
-        A watcher that judges it by short requests sees nothing; callers of long ones
-        get a quarter of their tokens.
+        Monitoring by short requests does not detect it, while callers of long ones get
+        a quarter of their tokens.
         """
         short, long = a_job(1), a_job(2)
         long.position = 100
@@ -26,11 +26,11 @@
         self.assertEqual(ran, [[1], [1], [1], [1, 2]])
         self.assertTrue(may_run(EngineFaults(), 1)(long))
 
-    def test_a_step_without_work_takes_time_too(self):
+    def test_empty_batch_step_takes_time(self):
         limits = Limits(100.0, 4, 8)
         self.assertGreater(batch_s(choose_batch([], limits), limits), 0)
 
-    def test_changes_are_checked_by_type(self):
+    def test_changes_of_wrong_type_or_name_are_refused(self):
         self.assertEqual(merge(EngineFaults(), {"mute": True}).mute, True)
         for changes in ({"mute": "yes"}, {"slow": 1}):
             with self.assertRaises(ValueError):
--- a/libs/fakes/test/test_load.py
+++ b/libs/fakes/test/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the load tool: its plan, its figures and its verdicts."""
+"""Tests of the load tool: its plan, its statistics and its check of answers."""
 
 import random
 import unittest
@@ -35,7 +35,7 @@
         self.assertEqual(len(starts), 2)
         self.assertEqual({len(a.prompt.split()) for a in plan}, {8, 23})
 
-    def test_a_customer_is_parsed_or_refused(self):
+    def test_customer_text_is_parsed_or_refused(self):
         self.assertEqual(parse_customer("a:k:5"), Customer("a", "k", 5.0))
         self.assertEqual(parse_customer("a:k:5:2:1"), Customer("a", "k", 5.0, 2.0, 1))
         for text in ("a:k", "a:k:x", "a:k:0", "a:k:1:0", "a:k:1:1:1:1"):
@@ -44,7 +44,7 @@
 
 
 class FigureTest(unittest.TestCase):
-    def test_jain_index_goes_from_one_to_one_part(self):
+    def test_jain_index_is_between_one_and_one_nth(self):
         self.assertEqual(jain_index([3.0, 3.0, 3.0]), 1.0)
         self.assertAlmostEqual(jain_index([9.0, 0.0, 0.0]), 1 / 3)
 
@@ -54,7 +54,7 @@
         self.assertAlmostEqual(points.p99_s, 0.099, delta=0.0005)
         self.assertEqual(percentiles([]).max_s, 0.0)
 
-    def test_events_are_parsed_off_their_lines(self):
+    def test_events_are_parsed_from_lines(self):
         lines = ["data: a", "", ": note", "event: error", "data:b", "data: c", ""]
         events = [ServerEvent("message", "a"), ServerEvent("error", "b\nc")]
         self.assertEqual(list(parse(lines)), events)
@@ -80,11 +80,10 @@
             figures.customer: set(figures.results) for figures in self.report.customers
         }
 
-    def test_each_kind_of_answer_is_told_apart(self):
-        """Five customers get a whole text, a short one, a cut, an error, a refusal.
+    def test_each_kind_of_answer_is_distinguished(self):
+        """A whole text, a short one, a cut, an error and a refusal are distinguished.
 
-        A tool that counts status 200 as success takes four of them for served; only
-        the first caller has what it asked for.
+        Four of them have status 200, but only the first is a correct answer.
         """
         results = self.measure(stream=True)
         self.assertEqual(
@@ -113,7 +112,7 @@
         self.assertEqual(results["garble"], {"wrong"})
         self.assertFalse(any(body["stream"] for body in self.entry.bodies))
 
-    def test_filings_carry_a_key_each(self):
+    def test_each_filing_has_its_own_key(self):
         results = self.measure(service="slots")
         self.assertEqual(results["whole"], {"done"})
         self.assertEqual(results["refuse"], {"not-run"})
--- a/libs/fakes/test/test_orders.py
+++ b/libs/fakes/test/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders and the fence in front of them."""
+"""Tests of orders and their fencing numbers."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_each_order_changes_what_it_names(self):
+    def test_each_order_changes_its_field(self):
         cases = {
             Order(1, "load-model", model="dispatch"): Loaded("dispatch", "1"),
             Order(1, "load-version", version="2"): Loaded("briefing", "2"),
@@ -20,20 +20,22 @@
         for order, expected in cases.items():
             self.assertEqual(apply_order(FenceCheck(True), LOADED, order).ok, expected)
 
-    def test_an_incomplete_or_unknown_order_is_refused(self):
+    def test_incomplete_or_unknown_order_is_refused(self):
         for order in (Order(1, "load-model"), Order(1, "dance", model="briefing")):
             self.assertTrue(apply_order(FenceCheck(False), LOADED, order).is_error())
 
-    def test_only_an_engine_that_checks_refuses_an_old_fence(self):
-        """A role order with fence 4 is held up and arrives after one with fence 5.
+    def test_only_an_engine_that_checks_fences_refuses_an_old_one(self):
+        """A delayed role order with fence 4 arrives after one with fence 5.
 
-        The engine that checks refuses it and stays what the newer order made it; the
-        other one follows it, which is why somebody else has to hold it back.
+        An engine that checks refuses it and keeps the newer role. Another engine
+        applies it, so the sender must prevent late orders to such engines.
         """
         for checks, role in ((True, "decode"), (False, "prefill")):
-            gate = FenceCheck(checks)
-            loaded = apply_order(gate, LOADED, Order(5, "role", role="decode")).ok
-            late = apply_order(gate, loaded, Order(4, "role", role="prefill"))
+            fence_check = FenceCheck(checks)
+            loaded = apply_order(
+                fence_check, LOADED, Order(5, "role", role="decode")
+            ).ok
+            late = apply_order(fence_check, loaded, Order(4, "role", role="prefill"))
             self.assertEqual(late.default_value(loaded).role, role)
-            resent = apply_order(gate, loaded, Order(5, "role", role="decode"))
+            resent = apply_order(fence_check, loaded, Order(5, "role", role="decode"))
             self.assertTrue(resent.is_ok())
--- a/libs/fakes/test/test_prefixes.py
+++ b/libs/fakes/test/test_prefixes.py
@@ -26,7 +26,7 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
-    def test_the_longest_cached_prefix_is_found(self):
+    def test_longest_cached_prefix_is_found(self):
         cache, names = filled(a_prompt(3))
         other = a_prompt(3)
         other[-2] = "another"
@@ -43,7 +43,7 @@
         prefixes.match(cache, "root", a_prompt(3))
         self.assertEqual(prefixes.shrink(cache, BLOCK_TOKENS), [names[2], names[1]])
 
-    def test_live_requests_push_cached_prefixes_out(self):
+    def test_live_requests_evict_cached_prefixes(self):
         engine = an_engine(kv_tokens=40)
         ask(engine, "r", 0, ["a"] * 33)
         self.assertEqual(len(engine.cache.blocks), 0)
@@ -52,11 +52,10 @@
 
 
 class EventLogTest(unittest.TestCase):
-    def test_events_come_late_in_order_and_with_gaps(self):
-        """A reader polls the events of an engine that loses a third of them.
+    def test_events_are_delayed_in_order_and_with_gaps(self):
+        """Events of a log that loses a third of them come late, but in order.
 
-        It sees none before its time and never an older one after a newer one, so a
-        missing number always means a lost event and not one that is still to come.
+        A missing number therefore always means a lost event, not one that is delayed.
         """
         log = EventLog(1.0, 0.33, random.Random(3))
         for number in range(60):
@@ -71,10 +70,12 @@
 
 
 class LoadReportTest(unittest.TestCase):
-    def test_the_load_is_told_after_the_lag(self):
+    def test_load_is_reported_after_the_lag(self):
         report = LoadReport(2.0)
         busy = Load(3, 1, 0.5)
         load_report.record_load(report, busy, 10.0)
         load_report.record_load(report, load_report.IDLE, 11.0)
-        told = [load_report.read(report, now_s).running for now_s in (11.9, 12.0, 13.0)]
-        self.assertEqual(told, [0, 3, 0])
+        reported = [
+            load_report.read(report, now_s).running for now_s in (11.9, 12.0, 13.0)
+        ]
+        self.assertEqual(reported, [0, 3, 0])
--- a/libs/fakes/test/test_service.py
+++ b/libs/fakes/test/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in plain service as a real process."""
+"""Tests of the stand-in plain service in a process of its own."""
 
 import unittest
 
@@ -7,11 +7,11 @@
 
 
 class ServiceProcessTest(unittest.TestCase):
-    def test_a_filing_stands_in_the_ledger_even_when_its_answer_is_lost(self):
-        """A filing is stamped, then the service drops the answer to the next one.
+    def test_filing_with_a_lost_answer_is_in_the_ledger(self):
+        """The ledger has a filing whose answer the service drops.
 
-        The caller of the second sees a timeout and cannot tell whether it ran; the
-        ledger can, since the service enters a filing before it answers.
+        Its caller gets a timeout, which does not show whether the filing ran. The
+        service records a filing before it answers.
         """
         process, base = start_process("service", "--name", "slots")
         self.addCleanup(process.kill)
--- a/libs/soak/src/cherryrudder/soak/injector.py
+++ b/libs/soak/src/cherryrudder/soak/injector.py
@@ -234,8 +234,8 @@
 
 
 def _on_process(role, work):
-    return lambda striker, fault: striker._with_process(
-        fault, role, lambda *args: work(striker, *args)
+    return lambda injector, fault: injector._with_process(
+        fault, role, lambda *args: work(injector, *args)
     )
 
 
--- a/libs/soak/src/cherryrudder/soak/run.py
+++ b/libs/soak/src/cherryrudder/soak/run.py
@@ -42,11 +42,11 @@
     async with anyio.create_task_group() as group:
         testbed = Testbed(folder, seed, group)
         try:
-            history, wrong = await _play(testbed, seed, planned, length_s)
+            history, violations = await _play(testbed, seed, planned, length_s)
         finally:
             testbed.stop()
             group.cancel_scope.cancel()
-    return history, wrong
+    return history, violations
 
 
 async def _play(testbed, seed, planned: Sequence[Fault], length_s):
@@ -62,11 +62,11 @@
             group.start_soon(caller.run, operator.used_keys, is_over)
         group.start_soon(operator.watch, is_over)
         await _inject_all(injector, planned, length_s)
-        wrong = await _recover(testbed, operator)
+        violations = await _recover(testbed, operator)
         is_over.set()
     await _read_back_newest(operator)
-    wrong += operator.violations
-    return _history(testbed, operator, injector), wrong
+    violations += operator.violations
+    return _history(testbed, operator, injector), violations
 
 
 async def _inject_all(injector, planned, length_s):
@@ -141,8 +141,8 @@
 def run(seed: int, length_s: float, keep_in: str = "") -> Outcome:
     """Play one seed in a folder of its own and check the guarantees."""
     folder = tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=keep_in or None)
-    history, wrong = anyio.run(play, seed, length_s, folder)
-    broken = wrong + guarantees.find_violations(history)
+    history, violations = anyio.run(play, seed, length_s, folder)
+    broken = violations + guarantees.find_violations(history)
     answers = history.answers
     answered = sum(a.status == 200 and a.is_whole for a in answers)
     if not broken:
--- a/libs/soak/test/test_proxy.py
+++ b/libs/soak/test/test_proxy.py
@@ -9,7 +9,7 @@
 
 
 class ProxyTest(unittest.TestCase):
-    """A caller speaks to an echo through the proxy."""
+    """A caller is connected to an echo server through the proxy."""
 
     def play(self, scenario):
         async def run():
@@ -27,14 +27,14 @@
 
         anyio.run(run)
 
-    def test_bytes_go_both_ways(self):
+    def test_bytes_are_passed_in_both_directions(self):
         async def scenario(proxy, caller):
             await caller.send(b"hello")
             self.assertEqual(await caller.receive(), b"hello")
 
         self.play(scenario)
 
-    def test_held_bytes_come_once_the_link_is_back(self):
+    def test_held_bytes_are_passed_on_after_the_hold(self):
         for mode in (Mode.SILENT, Mode.HOLD_REQUESTS, Mode.HOLD_ANSWERS):
 
             async def scenario(proxy, caller, mode=mode):
@@ -49,7 +49,7 @@
             with self.subTest(mode=mode):
                 self.play(scenario)
 
-    def test_a_reset_ends_connections_and_lets_new_ones_in(self):
+    def test_reset_closes_connections_and_accepts_new_ones(self):
         async def scenario(proxy, caller):
             await caller.send(b"hello")
             await caller.receive()
@@ -65,7 +65,7 @@
 
 
 async def echo(stream):
-    """Send back what comes."""
+    """Send back all received bytes."""
     try:
         while True:
             await stream.send(await stream.receive())
