--- a/libs/fakes/src/cherryrudder/fakes/asgi.py
+++ b/libs/fakes/src/cherryrudder/fakes/asgi.py
@@ -163,6 +163,6 @@
     host, _, port = address.rpartition(":")
     listener = socket.create_server((host, int(port)), backlog=BACKLOG)
     bound_host, bound_port = listener.getsockname()
-    # A parent process waits for this line; it reads the port from it if it gave port 0.
+    # A parent process waits for this line; with port 0 it also reads the port from it.
     print(f"listening on {bound_host}:{bound_port}", flush=True)
     return listener.detach()
--- a/libs/fakes/src/cherryrudder/fakes/deployment.py
+++ b/libs/fakes/src/cherryrudder/fakes/deployment.py
@@ -215,8 +215,10 @@
             "frames": free_address(),
         }
         quorum = {"data_folder": self.folder / f"control-{index}.data"}
-        place = f"dc-{index % 3 + 1}"
-        return self._daemon(f"control-{index}", "control", listen, place, quorum=quorum)
+        data_centre = f"dc-{index % 3 + 1}"
+        return self._daemon(
+            f"control-{index}", "control", listen, data_centre, quorum=quorum
+        )
 
     def _entry(self, index):
         listen = {
@@ -225,8 +227,8 @@
             "frames": free_address(),
         }
         entry = {"drain_s": 0.5}
-        place = f"dc-{index % 3 + 1}"
-        return self._daemon(f"entry-{index}", "entry", listen, place, entry=entry)
+        data_centre = f"dc-{index % 3 + 1}"
+        return self._daemon(f"entry-{index}", "entry", listen, data_centre, entry=entry)
 
     def _engine(self, spec: EngineSpec):
         back_end = self._stand_in(
--- a/libs/soak/src/cherryrudder/soak/faults.py
+++ b/libs/soak/src/cherryrudder/soak/faults.py
@@ -91,7 +91,7 @@
 
     at_s: float
     kind: FaultKind
-    for_s: float
+    duration_s: float
     pick: float
     mode: Mode = Mode.PASS
 
@@ -113,7 +113,7 @@
     for _ in range(rng.randrange(MAX_BACKPRESSURE_FAULTS + 1)):
         kind = rng.choice(BACKPRESSURE_KINDS)
         fault = _fault(rng, kind, rng.uniform(0, length_s / 2))
-        faults.append(fault._replace(for_s=rng.uniform(*BACKPRESSURE_S)))
+        faults.append(fault._replace(duration_s=rng.uniform(*BACKPRESSURE_S)))
     return faults
 
 
@@ -121,7 +121,7 @@
     if rng.random() >= CRASHING_SHARE:
         return []
     fault = _fault(rng, FaultKind.CRASHING_REQUEST, rng.uniform(0, length_s / 2))
-    return [fault._replace(for_s=rng.uniform(*CRASHING_S))]
+    return [fault._replace(duration_s=rng.uniform(*CRASHING_S))]
 
 
 def _control_faults(rng, length_s):
@@ -130,10 +130,10 @@
     while at_s < length_s:
         fault = _fault(rng, rng.choice(CONTROL_KINDS), at_s)
         faults.append(fault)
-        at_s += fault.for_s + CATCH_UP_S + rng.uniform(0, 3)
+        at_s += fault.duration_s + CATCH_UP_S + rng.uniform(0, 3)
     return faults
 
 
 def _fault(rng, kind, at_s):
-    for_s = rng.uniform(0.2, MAX_FAULT_S)
-    return Fault(at_s, kind, for_s, rng.random(), rng.choice(LINK_MODES))
+    duration_s = rng.uniform(0.2, MAX_FAULT_S)
+    return Fault(at_s, kind, duration_s, rng.random(), rng.choice(LINK_MODES))
--- a/libs/soak/src/cherryrudder/soak/guarantees.py
+++ b/libs/soak/src/cherryrudder/soak/guarantees.py
@@ -114,7 +114,7 @@
     # Ids of each request that crashes engines, and the crashes.
     crashing: tuple[frozenset[str], ...] = ()
     crashes: tuple[Crash, ...] = ()
-    limited: tuple[EngineLimit, ...] = ()
+    engine_limits: tuple[EngineLimit, ...] = ()
     turned_away: tuple[TurnedAway, ...] = ()
     events: int = 0
 
@@ -122,22 +122,22 @@
 def find_violations(history: History) -> list[str]:
     """Return every violation of a guarantee, one line each."""
     checks = (
-        _answers_are_whole_and_their_own,
-        _filings_run_once,
-        _not_run_is_true,
-        _configurations_stay,
-        _keys_stop,
-        _leaving_engines_get_nothing,
-        _planned_stops_cut_nothing,
-        _crashing_requests_stop,
-        _limits_are_kept,
-        _backoffs_are_kept,
+        _find_wrong_answers,
+        _find_unasked_and_repeated_runs,
+        _find_refused_filings_that_ran,
+        _find_stale_readings,
+        _find_runs_with_revoked_keys,
+        _find_arrivals_after_leaving,
+        _find_answers_cut_by_stops,
+        _find_crashing_requests_sent_on,
+        _find_exceeded_limits,
+        _find_ignored_backoffs,
         lambda history: [f"END: {what}" for what in history.unexpected_exits],
     )
     return [fault for check in checks for fault in check(history)]
 
 
-def _answers_are_whole_and_their_own(history):
+def _find_wrong_answers(history):
     for answer in history.answers:
         if answer.status != 200 or not answer.is_whole:
             continue
@@ -148,7 +148,7 @@
             yield f"MIXED: {answer.kind} {answer.request_id} has another body"
 
 
-def _filings_run_once(history):
+def _find_unasked_and_repeated_runs(history):
     kinds = {answer.request_id: answer.kind for answer in history.answers}
     for request_id, count in Counter(history.runs).items():
         if request_id not in kinds:
@@ -157,16 +157,16 @@
             yield f"TWICE: filing {request_id} ran {count} times"
 
 
-def _not_run_is_true(history):
+def _find_refused_filings_that_ran(history):
     """Find refused filings that ran; idempotent requests may run before a refusal."""
     ran = set(history.runs)
     for answer in history.answers:
-        is_promised = answer.status in NOT_RUN and answer.kind == "filing"
-        if is_promised and answer.request_id in ran:
+        is_guaranteed = answer.status in NOT_RUN and answer.kind == "filing"
+        if is_guaranteed and answer.request_id in ran:
             yield f"REFUSED: filing {answer.request_id}, {answer.status}, has run"
 
 
-def _configurations_stay(history):
+def _find_stale_readings(history):
     for reading in history.readings:
         for ack in history.acks:
             age_s = reading.asked_s - ack.at_s
@@ -177,7 +177,7 @@
                 )
 
 
-def _keys_stop(history):
+def _find_runs_with_revoked_keys(history):
     """Find requests that ran with a key that was revoked REVOKE_S or longer ago."""
     ran = set(history.runs)
     newest_first = sorted(history.acks, reverse=True)
@@ -190,7 +190,7 @@
             yield f"CONFIG: {answer.request_id} ran with a key taken away"
 
 
-def _leaving_engines_get_nothing(history):
+def _find_arrivals_after_leaving(history):
     for arrival in history.arrivals:
         left_s = history.left_s.get(arrival.engine_id)
         if left_s is None:
@@ -202,7 +202,7 @@
             yield f"DRAIN: {arrival.engine_id} got a request {late_s:.1f} s late"
 
 
-def _planned_stops_cut_nothing(history):
+def _find_answers_cut_by_stops(history):
     """Find answers cut by the planned stop of an entry, with no other fault near."""
     stops = defaultdict(list)
     for one in history.disturbances:
@@ -226,7 +226,7 @@
                 yield f"LOST: {answer.kind} {answer.request_id} was cut by a stop"
 
 
-def _crashing_requests_stop(history):
+def _find_crashing_requests_sent_on(history):
     """Find crashing requests sent too often while entries reached control VMs."""
     for ids in history.crashing:
         ended_s = [one.at_s for one in history.crashes if one.request_id in ids]
@@ -244,13 +244,13 @@
             yield f"BUDGET: sent {len(late)} times after {MAX_CRASHES} engines ended"
 
 
-def _limits_are_kept(history):
+def _find_exceeded_limits(history):
     """Find engines that got more than their limit from undisturbed entries.
 
     The limit holds while a control VM is lost, too.
     """
-    nodes = _nodes(history)
-    for one in history.limited:
+    nodes = _entries_by_request(history)
+    for one in history.engine_limits:
         since_s = one.begins_s + CONTACT_S
         if _is_link_disturbed(history, one.begins_s, since_s):
             continue
@@ -269,9 +269,9 @@
             yield f"LIMIT: {one.engine_id} got {most} requests, {one.per_s} a second"
 
 
-def _backoffs_are_kept(history):
+def _find_ignored_backoffs(history):
     """Find entries that kept sending to an engine that asked them to back off."""
-    nodes = _nodes(history)
+    nodes = _entries_by_request(history)
     for one in history.turned_away:
         node, ends_s = nodes.get(one.request_id), one.at_s + one.backoff_s
         if _is_link_disturbed(history, one.at_s - BACKOFF_NOTICE_S, ends_s):
@@ -289,7 +289,7 @@
             return
 
 
-def _nodes(history):
+def _entries_by_request(history):
     """Return the entry that received each request, by request id."""
     return {answer.request_id: answer.node for answer in history.answers}
 
--- a/libs/soak/src/cherryrudder/soak/injector.py
+++ b/libs/soak/src/cherryrudder/soak/injector.py
@@ -32,7 +32,7 @@
         self.operator = operator
         self.disturbances: list[Disturbance] = []
         self.left_s: dict[str, float] = {}
-        self.limited: list[EngineLimit] = []
+        self.engine_limits: list[EngineLimit] = []
         self._busy: set[str] = set()
 
     async def inject(self, fault: Fault) -> None:
@@ -40,7 +40,7 @@
         handler = HANDLERS[fault.kind]
         begins_s = time.monotonic()
         number = len(self.disturbances)
-        # The checks must see the fault even if it never ends.
+        # Recorded at once, so that the checks consider a fault that never ends.
         self.disturbances.append(Disturbance(fault.kind, "", begins_s, float("inf")))
         target = await handler(self, fault)
         one = Disturbance(fault.kind, target or "", begins_s, time.monotonic())
@@ -64,7 +64,7 @@
 
     async def _kill(self, node, role, fault):
         await self.testbed.end(node, role, signal.SIGKILL)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self.testbed.restart(node, role)
 
     async def _stop(self, node, role, fault):
@@ -73,26 +73,26 @@
 
     async def _freeze(self, node, role, fault):
         self.testbed.signal(node, role, signal.SIGSTOP)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self.testbed.signal(node, role, signal.SIGCONT)
 
     async def _kill_and_wipe(self, node, role, fault):
         await self.testbed.end(node, role, signal.SIGKILL)
         self.testbed.wipe(node)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self.testbed.restart(node, role)
 
     async def _kill_with_torn_log(self, node, role, fault):
         await self.testbed.end(node, role, signal.SIGKILL)
         self.testbed.append_torn_record(node)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self.testbed.restart(node, role)
 
     async def _kill_all(self, fault):
         nodes = self.testbed.deployment.nodes
         for node in nodes:
             await self.testbed.end(node, "control", signal.SIGKILL)
-        await anyio.sleep(min(1.0, fault.for_s))
+        await anyio.sleep(min(1.0, fault.duration_s))
         for node in nodes:
             self.testbed.restart(node, "control")
 
@@ -105,7 +105,7 @@
             await self.testbed.restart_engine(engine)
             return f"{engine.engine_id} again"
         await self.testbed.remove_engine(engine)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         await self.testbed.add_engine(engine.service, engine.kind)
         return engine.engine_id
 
@@ -143,7 +143,7 @@
         answers = self.testbed.crashing[body] = []
         self.testbed.deployment.fleet.crashing.add(body)
         callers = self.testbed.new_callers()
-        until_s = time.monotonic() + fault.for_s
+        until_s = time.monotonic() + fault.duration_s
         turns = itertools.cycle(callers)
         while time.monotonic() < until_s:
             key = self.operator.keys[-1]
@@ -153,7 +153,7 @@
             await anyio.sleep(CRASHING_PAUSE_S)
         for caller in callers:
             caller.close()
-            self.testbed.first_answers += caller.answers
+            self.testbed.extra_answers += caller.answers
         return body.decode()
 
     async def _engine_limits(self, fault):
@@ -162,11 +162,11 @@
         if engine is None:
             return ""
         engine.limit_per_s = round(_between(LIMITS_PER_S, fault.pick * 10 % 1), 2)
-        named_s, limit_per_s = time.monotonic(), engine.limit_per_s
-        await anyio.sleep(fault.for_s)
+        begins_s, limit_per_s = time.monotonic(), engine.limit_per_s
+        await anyio.sleep(fault.duration_s)
         engine.limit_per_s = None
-        self.limited.append(
-            EngineLimit(engine.engine_id, limit_per_s, named_s, time.monotonic())
+        self.engine_limits.append(
+            EngineLimit(engine.engine_id, limit_per_s, begins_s, time.monotonic())
         )
         return f"{engine.engine_id} {limit_per_s} a second"
 
@@ -176,7 +176,7 @@
         if engine is None:
             return ""
         engine.backoff_s = round(_between(BACKOFFS_S, fault.pick * 10 % 1), 2)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         engine.backoff_s = None
         return engine.engine_id
 
@@ -207,19 +207,19 @@
     def _spare_engines(self):
         """Return the engines that may be lost without breaking the deployment."""
         found = []
-        for service, fewest in (
+        for service, minimum in (
             ("llm", MIN_MODEL_ENGINES),
             ("desk", MIN_PLAIN_ENGINES),
         ):
-            there = [e for e in self.testbed.engines if e.service == service]
-            staying = [e for e in there if not (e.is_leaving or e.tells_callers)]
-            found += staying if len(staying) > fewest else []
+            engines = [e for e in self.testbed.engines if e.service == service]
+            staying = [e for e in engines if not (e.is_leaving or e.tells_callers)]
+            found += staying if len(staying) > minimum else []
         return found
 
     async def _link(self, proxies, fault):
         proxy = self._pick(list(proxies.values()), fault)
         proxy.set_mode(fault.mode)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         proxy.set_mode(Mode.PASS)
         return f"{proxy.listen_address} {fault.mode}"
 
--- a/libs/soak/src/cherryrudder/soak/plot.py
+++ b/libs/soak/src/cherryrudder/soak/plot.py
@@ -27,11 +27,11 @@
         "<!doctype html><meta charset=utf-8>"
         f"<title>{escape(report['title'])}</title>"
         f"<h1>{escape(report['title'])}</h1><p>{key}</p>"
-        f"{picture(report)}<pre>{escape(table(report))}</pre>"
+        f"{chart(report)}<pre>{escape(table(report))}</pre>"
     )
 
 
-def picture(report: Report) -> str:
+def chart(report: Report) -> str:
     """Return an SVG chart with a bar for each second and the faults below."""
     windows = report["windows"]
     most = max((window["counts"]["asked"] for window in windows), default=0) or 1
@@ -42,7 +42,7 @@
     for number, window in enumerate(windows):
         x = MARGIN_PX + number * BAR_PX
         parts += _bar(window["counts"], x, HEIGHT_PX / most)
-        parts += _marks(window["faults"], rows, x)
+        parts += _fault_marks(window["faults"], rows, x)
     for number, fault in enumerate(rows):
         y = HEIGHT_PX + LABEL_PX * (number + 1)
         x = MARGIN_PX + BAR_PX * len(windows) + 4
@@ -63,7 +63,7 @@
         )
 
 
-def _marks(faults, rows, x):
+def _fault_marks(faults, rows, x):
     for fault in faults:
         y = HEIGHT_PX + LABEL_PX * rows.index(fault) + 5
         yield f'<rect x="{x}" y="{y}" width="{BAR_PX}" height="8" fill="#999"/>'
--- a/libs/soak/src/cherryrudder/soak/run.py
+++ b/libs/soak/src/cherryrudder/soak/run.py
@@ -90,7 +90,7 @@
                     break
                 await anyio.sleep(PAUSE_S)
         caller.close()
-        testbed.first_answers += caller.answers
+        testbed.extra_answers += caller.answers
 
 
 async def _recover(testbed, operator):
@@ -119,7 +119,7 @@
     fleet = testbed.deployment.fleet
     answers = [a for caller in testbed.callers for a in caller.answers]
     return History(
-        answers=(*testbed.first_answers, *answers),
+        answers=(*testbed.extra_answers, *answers),
         acks=tuple(operator.acks),
         readings=tuple(operator.readings),
         runs=tuple(run.request_id for run in fleet.runs),
@@ -132,7 +132,7 @@
             for answers in testbed.crashing.values()
         ),
         crashes=tuple(fleet.crashes),
-        limited=tuple(injector.limited),
+        engine_limits=tuple(injector.engine_limits),
         turned_away=tuple(fleet.turned_away),
         events=EVENTS,
     )
--- a/libs/soak/src/cherryrudder/soak/testbed.py
+++ b/libs/soak/src/cherryrudder/soak/testbed.py
@@ -37,8 +37,8 @@
         self.engine_proxies: dict[str, Proxy] = {}
         self.caller_proxies: dict[str, Proxy] = {}
         self.callers: list[Caller] = []
-        # Answers to requests that only check whether all is served.
-        self.first_answers: list[Answer] = []
+        # Answers outside the running callers: to probes and to crashing requests.
+        self.extra_answers: list[Answer] = []
         # Answers to each request that crashes engines, by its body.
         self.crashing: dict[bytes, list[Answer]] = {}
         self._engine_count = 0
--- a/libs/soak/test/test_faults.py
+++ b/libs/soak/test/test_faults.py
@@ -20,4 +20,6 @@
         for seed in range(100):
             lost = [f for f in faults.draw(seed, LENGTH_S) if f.kind in CONTROL_KINDS]
             for one, other in zip(lost, lost[1:], strict=False):
-                self.assertGreaterEqual(other.at_s, one.at_s + one.for_s + CATCH_UP_S)
+                self.assertGreaterEqual(
+                    other.at_s, one.at_s + one.duration_s + CATCH_UP_S
+                )
--- a/libs/soak/test/test_guarantees.py
+++ b/libs/soak/test/test_guarantees.py
@@ -96,7 +96,7 @@
         limited = (EngineLimit("e1", 1.0, 90.0, 99.0),)
         times_s = [93.0 + n / 4 for n in range(12)]
         seen = {
-            "limited": limited,
+            "engine_limits": limited,
             "arrivals": tuple(an_arrival(at_s=at_s) for at_s in times_s),
         }
         self.assert_broken(a_history(an_answer(), **seen), "LIMIT")
