--- a/libs/daemon/src/cherryrudder/daemon/completions.py
+++ b/libs/daemon/src/cherryrudder/daemon/completions.py
@@ -235,7 +235,7 @@
 
     async with anyio.create_task_group() as group:
         group.start_soon(work)
-        await request.disconnected()
+        await request.wait_disconnected()
         group.cancel_scope.cancel()
     if failure:
         raise failure[0]
--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -3,7 +3,7 @@
 import anyio
 
 from cherryrudder.platform import messages
-from cherryrudder.platform.messages import AnswerFacts, Sending
+from cherryrudder.platform.messages import AnswerFacts, ForwardHeaders
 from cherryrudder.policy import sharedbudget
 from cherryrudder.policy.retries import Attempt, Verdict
 from cherryrudder.relay import pool
@@ -38,12 +38,12 @@
     """
     timeout_s = max(0.0, min(CONNECT_S, job.left_s()))
     if not job.is_idempotent:
-        return await pool.take_new(job.state.pool, address, timeout_s, now_s())
-    connection, _ = await pool.take(job.state.pool, address, timeout_s, now_s())
+        return await pool.acquire_new(job.state.pool, address, timeout_s, now_s())
+    connection, _ = await pool.acquire(job.state.pool, address, timeout_s, now_s())
     return connection
 
 
-async def send(job: Job, connection: EngineConnection, sending: Sending) -> None:
+async def send(job: Job, connection: EngineConnection, sending: ForwardHeaders) -> None:
     """Send the request; raises AnswerBroken."""
     request = job.exchange.request
     headers = job.engine_headers(sending)
--- a/libs/node/src/cherryrudder/node/controlapi.py
+++ b/libs/node/src/cherryrudder/node/controlapi.py
@@ -36,7 +36,7 @@
         """Answer one call."""
         request = exchange.request
         target = request.target.decode("latin-1")
-        asked = calls.find_call(request.method.decode(), target)
+        asked = calls.parse_call(request.method.decode(), target)
         if asked is None:
             await _fail(exchange, 404, "no such call")
         elif asked.call is Call.HEARTBEAT:
--- a/libs/node/src/cherryrudder/node/enginecalls.py
+++ b/libs/node/src/cherryrudder/node/enginecalls.py
@@ -65,7 +65,7 @@
 
 async def _exchange(address, call, timeout_s, kept):
     method, path, body = call
-    connection, _ = await pool.take(kept, address, timeout_s, now_s())
+    connection, _ = await pool.acquire(kept, address, timeout_s, now_s())
     is_done = False
     try:
         headers = [(b"host", address.encode())]
@@ -79,7 +79,7 @@
         return head.status, answer
     finally:
         if is_done and method == b"GET":
-            pool.give_back(kept, connection, now_s())
+            pool.release(kept, connection, now_s())
         else:
             connection.close()
 
--- a/libs/node/src/cherryrudder/node/entry.py
+++ b/libs/node/src/cherryrudder/node/entry.py
@@ -89,7 +89,7 @@
         now = now_s()
         live = endpoints.live(state.endpoints.table, now)
         known = {announcement.address for announcement in live}
-        pool.sweep(state.pool, known, now)
+        pool.close_expired(state.pool, known, now)
         door.watch.stalls.forget(known)
 
 
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from cherryrudder.platform import messages
-from cherryrudder.platform.messages import RequestFacts, Sending
+from cherryrudder.platform.messages import ForwardHeaders, RequestFacts
 from cherryrudder.relay.server import Exchange
 from cherryrudder.replica.clock import now_s
 from cherryrudder.routing.authorization import CUT_OFF, Admitted, Refused
@@ -142,15 +142,17 @@
             "request", event, is_kept, request_id=self.facts.request_id, **fields
         )
 
-    def engine_headers(self, sending: Sending) -> messages.Headers:
+    def engine_headers(self, sending: ForwardHeaders) -> messages.Headers:
         """Return the request's headers on their way to an engine."""
         request = self.exchange.request
         return messages.engine_headers(request.headers, sending, len(request.body))
 
-    def sending(self, engine_id: str, **fields) -> Sending:
+    def sending(self, engine_id: str, **fields) -> ForwardHeaders:
         """Return what this system adds to the request for an engine."""
         name = entrystate.engine_name(self.state, engine_id)
-        return Sending(name, self.end_s - now_s(), self.admitted.account, **fields)
+        return ForwardHeaders(
+            name, self.end_s - now_s(), self.admitted.account, **fields
+        )
 
     async def pass_on(self, whole: Whole) -> None:
         """Send an engine's whole answer to the client, unchanged."""
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -166,7 +166,7 @@
         return Failed(str(error), is_not_run=False, is_broken=True)
     finally:
         if is_kept:
-            pool.give_back(job.state.pool, connection, now_s())
+            pool.release(job.state.pool, connection, now_s())
         else:
             connection.close()
 
--- a/libs/node/src/cherryrudder/node/stalls.py
+++ b/libs/node/src/cherryrudder/node/stalls.py
@@ -150,7 +150,7 @@
         engine_id = engine.engine_id
         suspicion.record_failure(state.suspicions, engine_id, now, is_unreached)
         state.engine_died.set()
-        pool.drop(state.pool, address)
+        pool.close_idle(state.pool, address)
         self.uplink.report_suspect(engine_id, engine.vm_zone)
         state.metrics.beliefs.labels("engine-dead").inc()
         state.sink.write(
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -173,7 +173,7 @@
         hangs.record_end(job.state.hangs, first.engine_id, job.facts.request_id)
         stream.watch.streams.discard(stream)
         if is_kept:
-            pool.give_back(job.state.pool, connection, now_s())
+            pool.release(job.state.pool, connection, now_s())
         else:
             connection.close()
 
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -315,7 +315,7 @@
         before = state.incarnations.get(address, announcement.engine_id)
         state.incarnations[address] = announcement.engine_id
         if before != announcement.engine_id:
-            pool.drop(state.pool, address)
+            pool.close_idle(state.pool, address)
             self.publish_crashes(crashes.record_engine_end(state, before, now_s()))
 
     def _log_endpoint(self, entry: endpoints.TableEntry):
--- a/libs/relay/src/cherryrudder/relay/client.py
+++ b/libs/relay/src/cherryrudder/relay/client.py
@@ -38,7 +38,7 @@
 
     def __init__(self, address: str, stream: sockets.Stream, opened_s: float):
         self.address = address
-        self.used_s = opened_s
+        self.last_used_s = opened_s
         # Idle time after which the engine closes; set by its answers.
         self.keep_alive_s: float | None = None
         self._stream = stream
@@ -99,19 +99,19 @@
         if rest:
             self._http.receive_data(rest)
 
-    def finish(self, now_s: float) -> bool:
+    def prepare_reuse(self, now_s: float) -> bool:
         """Get ready for the next request; false when the connection must close."""
         if self._http.their_state is not h11.DONE or not self._has_length:
             return False
         if self._http.our_state is not h11.DONE or self._http.trailing_data[0]:
             return False
         self._http.start_next_cycle()
-        self.used_s = now_s
-        return not self.has_news()
+        self.last_used_s = now_s
+        return not self.is_readable()
 
-    def has_news(self) -> bool:
+    def is_readable(self) -> bool:
         """Tell whether the idle connection was closed or got bytes nobody asked for."""
-        return self._stream.has_news()
+        return self._stream.is_readable()
 
     def close(self) -> None:
         """Close at once, also in the middle of an answer."""
--- a/libs/relay/src/cherryrudder/relay/pool.py
+++ b/libs/relay/src/cherryrudder/relay/pool.py
@@ -4,12 +4,12 @@
 
 # An engine closes after the idle time that it states; one that goes out at the last
 # moment crosses the close on its way.
-SAFETY_S = 1.0
+KEEP_ALIVE_MARGIN_S = 1.0
 # Used for engines that state no idle time.
-DEFAULT_IDLE_S = 4.0
+DEFAULT_KEEP_ALIVE_S = 4.0
 # Idle connections kept to one engine. Each counts against the engine's own limit, which
 # all entries share.
-MAX_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 
 
 class Pool:
@@ -20,20 +20,20 @@
         self.opened = 0
 
 
-async def take(
+async def acquire(
     pool: Pool, address: str, timeout_s: float, now_s: float
 ) -> tuple[EngineConnection, bool]:
     """Return a connection, and whether it is a new one; raises ConnectFailed."""
     waiting = pool.idle.get(address, [])
     while waiting:
         connection = waiting.pop()
-        if _is_fresh(connection, now_s) and not connection.has_news():
+        if _is_fresh(connection, now_s) and not connection.is_readable():
             return connection, False
         connection.close()
-    return await take_new(pool, address, timeout_s, now_s), True
+    return await acquire_new(pool, address, timeout_s, now_s), True
 
 
-async def take_new(
+async def acquire_new(
     pool: Pool, address: str, timeout_s: float, now_s: float
 ) -> EngineConnection:
     """Return a new connection; raises ConnectFailed."""
@@ -41,16 +41,16 @@
     return await open_connection(address, timeout_s, now_s)
 
 
-def give_back(pool: Pool, connection: EngineConnection, now_s: float) -> None:
+def release(pool: Pool, connection: EngineConnection, now_s: float) -> None:
     """Keep a connection whose answer was read in full, or close it."""
     waiting = pool.idle.setdefault(connection.address, [])
-    if connection.finish(now_s) and len(waiting) < MAX_IDLE:
+    if connection.prepare_reuse(now_s) and len(waiting) < MAX_IDLE_CONNECTIONS:
         waiting.append(connection)
     else:
         connection.close()
 
 
-def drop(pool: Pool, address: str) -> None:
+def close_idle(pool: Pool, address: str) -> None:
     """Close the idle connections to an engine that is thought to be dead.
 
     A request on one of them would be reset, and count as one that may have run.
@@ -59,7 +59,7 @@
         connection.close()
 
 
-def sweep(pool: Pool, known: set[str], now_s: float) -> None:
+def close_expired(pool: Pool, known: set[str], now_s: float) -> None:
     """Close what is too old, and all to addresses that are no longer known."""
     for address, waiting in list(pool.idle.items()):
         is_known = address in known
@@ -74,5 +74,5 @@
 
 def _is_fresh(connection, now_s):
     limit_s = connection.keep_alive_s
-    limit_s = DEFAULT_IDLE_S if limit_s is None else limit_s - SAFETY_S
-    return now_s - connection.used_s < limit_s
+    limit_s = DEFAULT_KEEP_ALIVE_S if limit_s is None else limit_s - KEEP_ALIVE_MARGIN_S
+    return now_s - connection.last_used_s < limit_s
--- a/libs/relay/src/cherryrudder/relay/server.py
+++ b/libs/relay/src/cherryrudder/relay/server.py
@@ -19,10 +19,10 @@
 
 READ_BYTES = 64 * 1024
 # What a client may send ahead while its request is being answered.
-MAX_AHEAD_BYTES = 64 * 1024
+MAX_PIPELINED_BYTES = 64 * 1024
 # A client that takes no byte for so long is gone. The platform's clients give up on a
 # stream after two seconds of silence.
-WRITE_S = 5.0
+WRITE_TIMEOUT_S = 5.0
 
 log = logger.bind(part="clients")
 
@@ -134,12 +134,12 @@
         data = self._http.send(event)
         if not data:
             return
-        if not self._stream.is_full:
+        if not self._stream.is_write_paused:
             # The usual case, without the cost of a timer for each event.
             self._write_now(data)
             return
         try:
-            with anyio.fail_after(WRITE_S):
+            with anyio.fail_after(WRITE_TIMEOUT_S):
                 await self._stream.send(data)
         except (TimeoutError, StreamBroken) as error:
             raise ClientGone("the client takes nothing more") from error
@@ -181,7 +181,7 @@
         An engine would otherwise work on for nobody, on a place that others wait for.
         """
         ahead = 0
-        while ahead < MAX_AHEAD_BYTES:
+        while ahead < MAX_PIPELINED_BYTES:
             try:
                 data = await self._stream.receive(READ_BYTES)
             except (StreamEnded, StreamBroken):
--- a/libs/relay/test/test_client.py
+++ b/libs/relay/test/test_client.py
@@ -84,18 +84,18 @@
         async with scripted_engine(OK, OK) as (address, _):
             kept = Pool()
             for expected in (True, False):
-                connection, is_new = await pool.take(kept, address, 1.0, 0.0)
+                connection, is_new = await pool.acquire(kept, address, 1.0, 0.0)
                 self.assertEqual(is_new, expected)
                 self.assertEqual(await ask(connection), (200, b"ok"))
-                pool.give_back(kept, connection, 0.0)
+                pool.release(kept, connection, 0.0)
 
     @in_loop
     async def test_bytes_behind_an_answer_end_the_connection(self):
         async with scripted_engine(OK + OK) as (address, _):
             kept = Pool()
-            connection, _ = await pool.take(kept, address, 1.0, 0.0)
+            connection, _ = await pool.acquire(kept, address, 1.0, 0.0)
             await ask(connection)
-            pool.give_back(kept, connection, 0.0)
+            pool.release(kept, connection, 0.0)
             self.assertEqual(kept.idle[address], [])
 
     @in_loop
@@ -108,12 +108,12 @@
 
         async with scripted_engine(late, OK) as (address, _):
             kept = Pool()
-            connection, _ = await pool.take(kept, address, 1.0, 0.0)
+            connection, _ = await pool.acquire(kept, address, 1.0, 0.0)
             await ask(connection)
-            pool.give_back(kept, connection, 0.0)
-            while not connection.has_news():
+            pool.release(kept, connection, 0.0)
+            while not connection.is_readable():
                 await asyncio.sleep(0.01)
-            _, is_new = await pool.take(kept, address, 1.0, 0.0)
+            _, is_new = await pool.acquire(kept, address, 1.0, 0.0)
             self.assertTrue(is_new)
 
     @in_loop
@@ -121,12 +121,12 @@
         answer = OK.replace(b"\r\n\r\n", b"\r\nkeep-alive: timeout=5\r\n\r\n")
         async with scripted_engine(answer) as (address, _):
             kept = Pool()
-            connection, _ = await pool.take(kept, address, 1.0, 0.0)
+            connection, _ = await pool.acquire(kept, address, 1.0, 0.0)
             await ask(connection)
-            pool.give_back(kept, connection, 0.0)
-            pool.sweep(kept, {address}, 3.9)
+            pool.release(kept, connection, 0.0)
+            pool.close_expired(kept, {address}, 3.9)
             self.assertIn(address, kept.idle)
-            pool.sweep(kept, {address}, 4.1)
+            pool.close_expired(kept, {address}, 4.1)
             self.assertNotIn(address, kept.idle)
 
     @in_loop
--- a/libs/soak/src/cherryrudder/soak/callers.py
+++ b/libs/soak/src/cherryrudder/soak/callers.py
@@ -56,7 +56,7 @@
             self._connection = None
 
     async def _connect(self):
-        if self._connection is None or self._connection.has_news():
+        if self._connection is None or self._connection.is_readable():
             self.close()
             opened = await open_connection(self.address, CONNECT_S, time.monotonic())
             self._connection = opened
@@ -78,7 +78,7 @@
                 while (piece := await connection.read()) is not None:
                     pieces.append(piece)
             answer = answer._replace(is_whole=True)
-            is_kept = connection.finish(time.monotonic())
+            is_kept = connection.prepare_reuse(time.monotonic())
         except (AnswerBroken, AnswerLate, TimeoutError):
             # It stays an answer that isn't whole, which the checks look at.
             pass
--- a/libs/soak/src/cherryrudder/soak/promises.py
+++ b/libs/soak/src/cherryrudder/soak/promises.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from cherryrudder.standin import requests
-from cherryrudder.standin.engine import Arrival, Crash, TurnedAway
+from cherryrudder.standin.engine import Arrival, Crash, Rejection
 
 # To callers these statuses promise that the request has not run and never will.
 NOT_RUN = frozenset({408, 421, 429, 503})
@@ -115,7 +115,7 @@
     crashing: tuple[frozenset[str], ...] = ()
     crashes: tuple[Crash, ...] = ()
     limited: tuple[Limited, ...] = ()
-    turned_away: tuple[TurnedAway, ...] = ()
+    turned_away: tuple[Rejection, ...] = ()
     events: int = 0
 
 
@@ -141,9 +141,9 @@
     for answer in history.answers:
         if answer.status != 200 or not answer.is_whole:
             continue
-        expected = requests.receipt(answer.request_id)
+        expected = requests.expected_receipt(answer.request_id)
         if answer.kind == "stream":
-            expected = requests.whole_stream(answer.request_id, history.events)
+            expected = requests.expected_stream(answer.request_id, history.events)
         if answer.body != expected:
             yield f"MIXED: {answer.kind} {answer.request_id} has another body"
 
--- a/libs/soak/src/cherryrudder/soak/run.py
+++ b/libs/soak/src/cherryrudder/soak/run.py
@@ -131,7 +131,7 @@
         ),
         crashes=tuple(fleet.crashes),
         limited=tuple(striker.limited),
-        turned_away=tuple(fleet.turned_away),
+        turned_away=tuple(fleet.rejections),
         events=EVENTS,
     )
 
--- a/libs/soak/src/cherryrudder/soak/strike.py
+++ b/libs/soak/src/cherryrudder/soak/strike.py
@@ -130,7 +130,7 @@
         """Let an engine drain for a while and then sign off."""
         engine.is_leaving = True
         with anyio.move_on_after(LEAVE_S):
-            while not engine.is_leaving_known:
+            while not engine.is_leaving_acknowledged:
                 await anyio.sleep(0.02)
             self.left_s[engine.engine_id] = time.monotonic()
         await anyio.sleep(LEAVE_S)
@@ -185,11 +185,11 @@
         if engine is None:
             return ""
         replacement = await self.field.add_engine(engine.service, engine.kind)
-        engine.tells_callers = True
+        engine.announces_leaving = True
         with anyio.move_on_after(LEAVE_S):
-            while engine.told_callers_s is None:
+            while engine.leaving_announced_s is None:
                 await anyio.sleep(0.02)
-            self.left_s[engine.engine_id] = engine.told_callers_s
+            self.left_s[engine.engine_id] = engine.leaving_announced_s
         await anyio.sleep(LEAVE_S)
         await self.field.deployment.depart(engine)
         await self.field.remove_engine(engine)
@@ -211,7 +211,7 @@
             ("desk", FEWEST_PLAIN_ENGINES),
         ):
             there = [e for e in self.field.engines if e.service == service]
-            staying = [e for e in there if not (e.is_leaving or e.tells_callers)]
+            staying = [e for e in there if not (e.is_leaving or e.announces_leaving)]
             found += staying if len(staying) > fewest else []
         return found
 
--- a/libs/soak/test/builders.py
+++ b/libs/soak/test/builders.py
@@ -9,9 +9,9 @@
 
 def an_answer(request_id="1", kind="filing", **changes):
     """Return a whole and right answer."""
-    body = requests.receipt(request_id)
+    body = requests.expected_receipt(request_id)
     if kind == "stream":
-        body = requests.whole_stream(request_id, EVENTS)
+        body = requests.expected_stream(request_id, EVENTS)
     answer = Answer(request_id, kind, "k1", "front-0", 100.0, 100.1, 200, body, True)
     return answer._replace(**changes)
 
--- a/libs/soak/test/test_promises.py
+++ b/libs/soak/test/test_promises.py
@@ -10,7 +10,7 @@
 
 from cherryrudder.soak import promises
 from cherryrudder.soak.promises import Limited, Reading
-from cherryrudder.standin.engine import Crash, TurnedAway
+from cherryrudder.standin.engine import Crash, Rejection
 
 
 class CheckTest(unittest.TestCase):
@@ -109,7 +109,7 @@
 
     def test_an_engine_that_gets_requests_in_its_backoff(self):
         seen = {
-            "turned_away": (TurnedAway("1", "e1", 90.0, 3.0),),
+            "turned_away": (Rejection("1", "e1", 90.0, 3.0),),
             "arrivals": tuple(an_arrival(at_s=91.0 + n / 4) for n in range(3)),
         }
         self.assert_broken(a_history(an_answer(), **seen), "BUDGET")
--- a/libs/wire/src/cherryrudder/wire/asgi.py
+++ b/libs/wire/src/cherryrudder/wire/asgi.py
@@ -93,7 +93,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise RequestError(400, "bad-json", str(error)) from None
 
-    async def disconnected(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Wait until the caller goes away; read the body first."""
         while (await self._receive())["type"] != "http.disconnect":
             pass
@@ -204,7 +204,7 @@
         async def stop_when_gone():
             # A caller that closes its connection cancels the whole stream, so that
             # its work ends at the engines too.
-            await request.disconnected()
+            await request.wait_disconnected()
             group.cancel_scope.cancel()
 
         group.start_soon(stop_when_gone)
--- a/libs/wire/src/cherryrudder/wire/client.py
+++ b/libs/wire/src/cherryrudder/wire/client.py
@@ -14,7 +14,7 @@
 
 from .errors import StatusError, WireError
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # Errors after which no byte of the request can have left this process. Every other
 # failure leaves it open whether the far side has acted.
 NEVER_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
@@ -57,7 +57,7 @@
         self, method, url, content, headers=(), timeout_s=5.0
     ) -> httpx.Response:
         """Send bytes and return the whole answer; raises WireError."""
-        timeout = httpx.Timeout(timeout_s, connect=min(CONNECT_S, timeout_s))
+        timeout = httpx.Timeout(timeout_s, connect=min(CONNECT_TIMEOUT_S, timeout_s))
         try:
             return await self._http.request(
                 method, url, content=content, headers=list(headers), timeout=timeout
--- a/libs/wire/src/cherryrudder/wire/links.py
+++ b/libs/wire/src/cherryrudder/wire/links.py
@@ -21,13 +21,13 @@
 # it only after a second: with a limit of that length, entries that were back first had
 # their configuration 0.4 s after the others. A way there and back takes 40 ms between
 # regions.
-CONNECT_S = 0.35
+CONNECT_TIMEOUT_S = 0.35
 # A peer that takes no byte for this long is treated as lost: a frozen process keeps
 # its TCP connection open, and its callers would wait for ever.
-WRITE_S = 3.0
+WRITE_TIMEOUT_S = 3.0
 # Unsent messages to one peer; past it the peer is treated as lost, so that a peer
 # that stopped reading cannot fill this process's memory.
-MAX_WAITING = 20_000
+MAX_QUEUED_MESSAGES = 20_000
 READ_BYTES = 256 * 1024
 
 log = logger.bind(part="links")
@@ -64,7 +64,7 @@
             self._group.start_soon(self._run, address, link)
         link.waiting.append(message)
         link.wake.set()
-        if len(link.waiting) > MAX_WAITING:
+        if len(link.waiting) > MAX_QUEUED_MESSAGES:
             self._drop(address, link)
 
     def peers(self) -> list[str]:
@@ -79,7 +79,7 @@
 
     async def _run(self, address, link):
         try:
-            stream = await sockets.connect(address, CONNECT_S)
+            stream = await sockets.connect(address, CONNECT_TIMEOUT_S)
             try:
                 async with anyio.create_task_group() as group:
                     group.start_soon(self._watch_end, stream, group.cancel_scope)
@@ -104,7 +104,7 @@
         while self._links.get(address) is link:
             messages += link.waiting
             link.waiting = []
-            with anyio.move_on_after(WRITE_S) as scope:
+            with anyio.move_on_after(WRITE_TIMEOUT_S) as scope:
                 await stream.send(self._codec.encode(messages))
             if scope.cancelled_caught:
                 raise StreamBroken("the peer takes nothing more")
--- a/libs/wire/src/cherryrudder/wire/server.py
+++ b/libs/wire/src/cherryrudder/wire/server.py
@@ -12,7 +12,7 @@
 # Long polls and idle pooled connections stay open this long.
 KEEP_ALIVE_S = 75.0
 # Work is drained before a listener is closed, so what is left are idle connections.
-CLOSE_WAIT_S = 1.0
+CLOSE_TIMEOUT_S = 1.0
 BACKLOG = 1024
 
 log = logger.bind(part="http")
@@ -27,8 +27,8 @@
     config.errorlog = None
     config.backlog = BACKLOG
     config.keep_alive_timeout = KEEP_ALIVE_S
-    config.graceful_timeout = CLOSE_WAIT_S
-    config.shutdown_timeout = CLOSE_WAIT_S
+    config.graceful_timeout = CLOSE_TIMEOUT_S
+    config.shutdown_timeout = CLOSE_TIMEOUT_S
     config.include_server_header = False
     config.include_date_header = False
     return config
--- a/libs/wire/src/cherryrudder/wire/sockets.py
+++ b/libs/wire/src/cherryrudder/wire/sockets.py
@@ -19,10 +19,10 @@
 BACKLOG = 1024
 # Bytes that wait for their reader before the peer is held back; some packets more than
 # one read takes.
-HIGH_BYTES = 256 * 1024
+HIGH_WATER_BYTES = 256 * 1024
 # A peer behind a cut neither answers nor resets. What is unacknowledged for this long
 # ends the connection; three lost packets in a row are retried within it.
-SILENCE_S = 2.5
+UNACKED_TIMEOUT_S = 2.5
 # Probes on idle connections find peers that went away without a word.
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_PROBE_S = 1
@@ -39,7 +39,7 @@
         self._reader: asyncio.Future | None = None
         self._writer: asyncio.Future | None = None
         # The peer is behind: `send` waits.
-        self.is_full = False
+        self.is_write_paused = False
         self._is_held = False
         # Set when the peer has ended or the connection is lost.
         self._has_ended = False
@@ -59,7 +59,7 @@
                 self._reader = None
         data = bytes(self._data[:max_bytes])
         del self._data[:max_bytes]
-        if self._is_held and len(self._data) < HIGH_BYTES:
+        if self._is_held and len(self._data) < HIGH_WATER_BYTES:
             self._is_held = False
             self._transport.resume_reading()
         return data
@@ -74,7 +74,7 @@
     async def send(self, data: bytes) -> None:
         """Write bytes, and wait while the peer is behind; raises StreamBroken."""
         self.write(data)
-        while self.is_full and not self._is_lost:
+        while self.is_write_paused and not self._is_lost:
             self._writer = asyncio.get_running_loop().create_future()
             try:
                 await self._writer
@@ -83,7 +83,7 @@
         if self._is_lost:
             raise StreamBroken("the connection is lost")
 
-    def has_news(self) -> bool:
+    def is_readable(self) -> bool:
         """Tell whether bytes wait or the connection has ended."""
         return bool(self._data) or self._has_ended or self._is_lost
 
@@ -107,7 +107,7 @@
     def data_received(self, data):
         """Keep bytes for the reader, and hold back a peer that is far ahead."""
         self._data += data
-        if len(self._data) >= HIGH_BYTES and not self._is_held:
+        if len(self._data) >= HIGH_WATER_BYTES and not self._is_held:
             self._is_held = True
             self._transport.pause_reading()
         _wake(self._reader)
@@ -126,11 +126,11 @@
 
     def pause_writing(self):
         """Take note that the peer is behind."""
-        self.is_full = True
+        self.is_write_paused = True
 
     def resume_writing(self):
         """Take note that the peer has caught up."""
-        self.is_full = False
+        self.is_write_paused = False
         _wake(self._writer)
 
 
@@ -169,7 +169,7 @@
 
 def _set_options(raw):
     """Make a silent peer show within seconds."""
-    timeout_ms = int(SILENCE_S * 1000)
+    timeout_ms = int(UNACKED_TIMEOUT_S * 1000)
     # The peer may have closed already; the next read or write tells.
     with contextlib.suppress(OSError):
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
--- a/tools/platformdemo.py
+++ b/tools/platformdemo.py
@@ -47,7 +47,9 @@
 
 def whole(answers):
     """Return the answers whose every token ran each layer once, in order."""
-    return [a for a in answers if a.body == requests.whole_stream(a.request_id, EVENTS)]
+    return [
+        a for a in answers if a.body == requests.expected_stream(a.request_id, EVENTS)
+    ]
 
 
 async def show_streams(field, story):
