--- a/libs/relay/src/cherryrudder/relay/client.py
+++ b/libs/relay/src/cherryrudder/relay/client.py
@@ -69,15 +69,15 @@
         try:
             with anyio.fail_after(max(0.0, timeout_s)):
                 while True:
-                    event = await self._next()
+                    event = await self._next_event()
                     if isinstance(event, h11.Response):
-                        return self._take_head(event)
+                        return self._record_head(event)
         except TimeoutError as error:
             raise AnswerLate("the engine did not answer in time") from error
 
     async def read(self) -> bytes | None:
         """Return a piece of the body, None at its complete end; raises AnswerBroken."""
-        event = await self._next()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -117,10 +117,10 @@
         """Close at once, also in the middle of an answer."""
         self._stream.abort()
 
-    def _take_head(self, event):
+    def _record_head(self, event):
         headers = [(bytes(name), bytes(value)) for name, value in event.headers]
         found = dict(headers)
-        self.keep_alive_s = _keep_alive_s(found.get(b"keep-alive", b""))
+        self.keep_alive_s = _parse_keep_alive_s(found.get(b"keep-alive", b""))
         self._has_length = (
             b"content-length" in found
             or b"transfer-encoding" in found
@@ -128,7 +128,7 @@
         )
         return Head(event.status_code, headers)
 
-    async def _next(self):
+    async def _next_event(self):
         while True:
             try:
                 event = self._http.next_event()
@@ -141,9 +141,9 @@
                 raise AnswerBroken(f"no HTTP: {error}") from error
             except StreamBroken as error:
                 raise AnswerBroken("the connection was reset") from error
-            self._receive(data)
+            self._feed(data)
 
-    def _receive(self, data):
+    def _feed(self, data):
         try:
             self._http.receive_data(data)
         except RuntimeError as error:
@@ -165,7 +165,7 @@
     return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
 
-def _keep_alive_s(value):
+def _parse_keep_alive_s(value):
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout":
--- a/libs/relay/src/cherryrudder/relay/pool.py
+++ b/libs/relay/src/cherryrudder/relay/pool.py
@@ -24,9 +24,9 @@
     pool: Pool, address: str, timeout_s: float, now_s: float
 ) -> tuple[EngineConnection, bool]:
     """Return a connection, and whether it is a new one; raises ConnectFailed."""
-    waiting = pool.idle.get(address, [])
-    while waiting:
-        connection = waiting.pop()
+    idle = pool.idle.get(address, [])
+    while idle:
+        connection = idle.pop()
         if _is_fresh(connection, now_s) and not connection.is_readable():
             return connection, False
         connection.close()
@@ -43,9 +43,9 @@
 
 def release(pool: Pool, connection: EngineConnection, now_s: float) -> None:
     """Keep a connection whose answer was read in full, or close it."""
-    waiting = pool.idle.setdefault(connection.address, [])
-    if connection.prepare_reuse(now_s) and len(waiting) < MAX_IDLE_CONNECTIONS:
-        waiting.append(connection)
+    idle = pool.idle.setdefault(connection.address, [])
+    if connection.prepare_reuse(now_s) and len(idle) < MAX_IDLE_CONNECTIONS:
+        idle.append(connection)
     else:
         connection.close()
 
@@ -61,10 +61,10 @@
 
 def close_expired(pool: Pool, known: set[str], now_s: float) -> None:
     """Close what is too old, and all to addresses that are no longer known."""
-    for address, waiting in list(pool.idle.items()):
+    for address, idle in list(pool.idle.items()):
         is_known = address in known
-        kept = [c for c in waiting if is_known and _is_fresh(c, now_s)]
-        dropped = [c for c in waiting if c not in kept]
+        kept = [c for c in idle if is_known and _is_fresh(c, now_s)]
+        dropped = [c for c in idle if c not in kept]
         pool.idle[address] = kept
         for connection in dropped:
             connection.close()
--- a/libs/relay/src/cherryrudder/relay/server.py
+++ b/libs/relay/src/cherryrudder/relay/server.py
@@ -110,7 +110,7 @@
     async def run(self, handler: Handler) -> None:
         """Answer requests until the client or this side ends the connection."""
         try:
-            while await self._next(handler):
+            while await self._serve_one(handler):
                 self._http.start_next_cycle()
         except (ClientGone, WireError):
             # What it left unfinished was logged with its request.
@@ -150,48 +150,48 @@
         except StreamBroken as error:
             raise ClientGone("the client has gone") from error
 
-    async def _next(self, handler):
+    async def _serve_one(self, handler):
         """Answer one request; tell whether another may follow."""
         try:
             request = await self._read_request()
         except BadRequest as error:
-            await self._refuse(error)
+            await self._send_error(error)
             return False
         if request is None:
             return False
         exchange = Exchange(self, request)
-        await self._answer(handler, exchange)
+        await self._run_handler(handler, exchange)
         self.is_busy = False
         if not exchange.is_done:
             return False
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
-    async def _answer(self, handler, exchange):
+    async def _run_handler(self, handler, exchange):
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._watch, exchange, group.cancel_scope)
+                group.start_soon(self._watch_disconnect, exchange, group.cancel_scope)
                 await handler(exchange)
                 group.cancel_scope.cancel()
         except* (ClientGone, WireError):
             exchange.is_gone = True
 
-    async def _watch(self, exchange, scope):
+    async def _watch_disconnect(self, exchange, scope):
         """Read on while the answer is made, and end the work when the client leaves.
 
         An engine would otherwise work on for nobody, on a place that others wait for.
         """
-        ahead = 0
-        while ahead < MAX_PIPELINED_BYTES:
+        pipelined_bytes = 0
+        while pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 data = await self._stream.receive(READ_BYTES)
             except (StreamEnded, StreamBroken):
                 exchange.is_gone = True
                 scope.cancel()
                 return
-            ahead += len(data)
+            pipelined_bytes += len(data)
             self._http.receive_data(data)
 
-    async def _refuse(self, error):
+    async def _send_error(self, error):
         """Answer a request that can't be read, and close."""
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -215,7 +215,7 @@
         limits = self._limits
         timeout_s = limits.idle_timeout_s
         while True:
-            event = self._event()
+            event = self._next_event()
             if isinstance(event, h11.Request):
                 # The parser bounds only a head that comes in several reads.
                 if _head_bytes(event) > limits.max_header_bytes:
@@ -243,7 +243,7 @@
             await self.write(h11.InformationalResponse(status_code=100, headers=[]))
         pieces, size = [], 0
         while True:
-            event = self._event()
+            event = self._next_event()
             if isinstance(event, h11.Data):
                 pieces.append(bytes(event.data))
                 size += len(event.data)
@@ -272,7 +272,7 @@
         self._http.receive_data(data)
         return True
 
-    def _event(self):
+    def _next_event(self):
         try:
             return self._http.next_event()
         except h11.RemoteProtocolError as error:
--- a/libs/wire/src/cherryrudder/wire/asgi.py
+++ b/libs/wire/src/cherryrudder/wire/asgi.py
@@ -88,7 +88,7 @@
             return jsoncodec.decode(data, kind)
         except msgspec.ValidationError as error:
             raise RequestError(
-                400, "bad-field", str(error), _field(str(error))
+                400, "bad-field", str(error), _parse_field(str(error))
             ) from None
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise RequestError(400, "bad-json", str(error)) from None
@@ -148,7 +148,7 @@
 
 async def _answer(routes, key, request):
     try:
-        handler = _find(routes, request)
+        handler = _find_handler(routes, request)
         open_path = request.path in ("/livez", "/readyz")
         if key and not open_path and not hmac.compare_digest(request.bearer(), key):
             raise RequestError(401, "wrong-key", "the key is missing or wrong")
@@ -164,7 +164,7 @@
         return error_reply(RequestError(500, "internal", "an internal error"))
 
 
-def _find(routes, request):
+def _find_handler(routes, request):
     path = request.path
     known = False
     while path:
@@ -187,34 +187,34 @@
             return
 
 
-def _start(reply):
+def _start_message(reply):
     headers = [(name.encode(), value.encode()) for name, value in reply.headers]
     return {"type": "http.response.start", "status": reply.status, "headers": headers}
 
 
 async def _send(reply, send):
     size = ("content-length", str(len(reply.body)))
-    await send(_start(reply._replace(headers=(*reply.headers, size))))
+    await send(_start_message(reply._replace(headers=(*reply.headers, size))))
     await send({"type": "http.response.body", "body": reply.body})
 
 
 async def _send_stream(reply, request, send):
     async with anyio.create_task_group() as group, aclosing(reply.chunks) as chunks:
 
-        async def stop_when_gone():
+        async def cancel_on_disconnect():
             # A caller that closes its connection cancels the whole stream, so that
             # its work ends at the engines too.
             await request.wait_disconnected()
             group.cancel_scope.cancel()
 
-        group.start_soon(stop_when_gone)
-        await send(_start(reply))
+        group.start_soon(cancel_on_disconnect)
+        await send(_start_message(reply))
         async for chunk in chunks:
             await send({"type": "http.response.body", "body": chunk, "more_body": True})
         await send({"type": "http.response.body", "body": b""})
         group.cancel_scope.cancel()
 
 
-def _field(message):
+def _parse_field(message):
     _, _, path = message.partition("`$.")
     return path.rstrip("`") or None
--- a/libs/wire/src/cherryrudder/wire/links.py
+++ b/libs/wire/src/cherryrudder/wire/links.py
@@ -35,7 +35,7 @@
 
 class _Link:
     def __init__(self):
-        self.waiting = []
+        self.queued = []
         self.wake = anyio.Event()
 
 
@@ -62,16 +62,16 @@
         if link is None:
             link = self._links[address] = _Link()
             self._group.start_soon(self._run, address, link)
-        link.waiting.append(message)
+        link.queued.append(message)
         link.wake.set()
-        if len(link.waiting) > MAX_QUEUED_MESSAGES:
-            self._drop(address, link)
+        if len(link.queued) > MAX_QUEUED_MESSAGES:
+            self._remove(address, link)
 
     def peers(self) -> list[str]:
         """Return the addresses that links are open to."""
         return list(self._links)
 
-    def _drop(self, address, link):
+    def _remove(self, address, link):
         if self._links.get(address) is link:
             del self._links[address]
             log.debug("Link to {} is down.", address)
@@ -82,16 +82,16 @@
             stream = await sockets.connect(address, CONNECT_TIMEOUT_S)
             try:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self._watch_end, stream, group.cancel_scope)
+                    group.start_soon(self._watch_disconnect, stream, group.cancel_scope)
                     await self._write(address, link, stream)
             finally:
                 stream.abort()
         except* WireError:
             # `_drop` tells of it.
             pass
-        self._drop(address, link)
+        self._remove(address, link)
 
-    async def _watch_end(self, stream, scope):
+    async def _watch_disconnect(self, stream, scope):
         # The peer never writes on this connection: anything but silence is its end.
         try:
             await stream.receive(1)
@@ -102,14 +102,14 @@
     async def _write(self, address, link, stream):
         messages = [self._hello]
         while self._links.get(address) is link:
-            messages += link.waiting
-            link.waiting = []
+            messages += link.queued
+            link.queued = []
             with anyio.move_on_after(WRITE_TIMEOUT_S) as scope:
                 await stream.send(self._codec.encode(messages))
             if scope.cancelled_caught:
                 raise StreamBroken("the peer takes nothing more")
             messages = []
-            if not link.waiting:
+            if not link.queued:
                 link.wake = anyio.Event()
                 await link.wake.wait()
 
@@ -150,13 +150,13 @@
         for body in frames.feed(await stream.receive(READ_BYTES)):
             messages = codec.decode(body)
             if peer is None:
-                peer = _greet(messages, key)
+                peer = _check_hello(messages, key)
                 messages = messages[1:]
             if messages:
                 on_messages(peer, messages)
 
 
-def _greet(messages, key):
+def _check_hello(messages, key):
     hello = messages[0] if messages else None
     if not isinstance(hello, Hello) or not hmac.compare_digest(hello.key, key):
         raise FrameError("the first message is no greeting with the right key")
--- a/libs/wire/src/cherryrudder/wire/metrics.py
+++ b/libs/wire/src/cherryrudder/wire/metrics.py
@@ -5,7 +5,7 @@
 from cherryrudder.model.settings import StatsdSettings, split_address
 
 
-class _Silent:
+class _NullMetrics:
     def incr(self, name, count=1, rate=1):
         """Drop a count."""
 
@@ -19,6 +19,6 @@
 def open_metrics(settings: StatsdSettings, role: str):
     """Return a statsd client (incr, timing in ms, gauge) for a role."""
     if not settings.address:
-        return _Silent()
+        return _NullMetrics()
     host, port = split_address(settings.address)
     return statsd.StatsClient(host, port, prefix=f"{settings.prefix}.{role}")
--- a/libs/wire/src/cherryrudder/wire/sockets.py
+++ b/libs/wire/src/cherryrudder/wire/sockets.py
@@ -36,11 +36,11 @@
         self._on_open = on_open
         self._transport: asyncio.Transport | None = None
         self._data = bytearray()
-        self._reader: asyncio.Future | None = None
-        self._writer: asyncio.Future | None = None
+        self._read_waiter: asyncio.Future | None = None
+        self._write_waiter: asyncio.Future | None = None
         # The peer is behind: `send` waits.
         self.is_write_paused = False
-        self._is_held = False
+        self._is_read_paused = False
         # Set when the peer has ended or the connection is lost.
         self._has_ended = False
         self._is_lost = False
@@ -52,15 +52,15 @@
                 raise StreamBroken("the connection is lost")
             if self._has_ended:
                 raise StreamEnded("the peer has ended")
-            self._reader = asyncio.get_running_loop().create_future()
+            self._read_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._reader
+                await self._read_waiter
             finally:
-                self._reader = None
+                self._read_waiter = None
         data = bytes(self._data[:max_bytes])
         del self._data[:max_bytes]
-        if self._is_held and len(self._data) < HIGH_WATER_BYTES:
-            self._is_held = False
+        if self._is_read_paused and len(self._data) < HIGH_WATER_BYTES:
+            self._is_read_paused = False
             self._transport.resume_reading()
         return data
 
@@ -75,11 +75,11 @@
         """Write bytes, and wait while the peer is behind; raises StreamBroken."""
         self.write(data)
         while self.is_write_paused and not self._is_lost:
-            self._writer = asyncio.get_running_loop().create_future()
+            self._write_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._writer
+                await self._write_waiter
             finally:
-                self._writer = None
+                self._write_waiter = None
         if self._is_lost:
             raise StreamBroken("the connection is lost")
 
@@ -107,22 +107,22 @@
     def data_received(self, data):
         """Keep bytes for the reader, and hold back a peer that is far ahead."""
         self._data += data
-        if len(self._data) >= HIGH_WATER_BYTES and not self._is_held:
-            self._is_held = True
+        if len(self._data) >= HIGH_WATER_BYTES and not self._is_read_paused:
+            self._is_read_paused = True
             self._transport.pause_reading()
-        _wake(self._reader)
+        _wake(self._read_waiter)
 
     def eof_received(self):
         """Take note that the peer writes no more; this side may still write."""
         self._has_ended = True
-        _wake(self._reader)
+        _wake(self._read_waiter)
         return True
 
     def connection_lost(self, error):
         """Wake everybody who waits for this connection."""
         self._is_lost = True
-        _wake(self._reader)
-        _wake(self._writer)
+        _wake(self._read_waiter)
+        _wake(self._write_waiter)
 
     def pause_writing(self):
         """Take note that the peer is behind."""
@@ -131,7 +131,7 @@
     def resume_writing(self):
         """Take note that the peer has caught up."""
         self.is_write_paused = False
-        _wake(self._writer)
+        _wake(self._write_waiter)
 
 
 async def listen(
--- a/libs/wire/test/test_links.py
+++ b/libs/wire/test/test_links.py
@@ -11,7 +11,7 @@
 from cherryrudder.wire.links import Links, listen_frames
 
 
-class Note(NamedTuple):
+class Message(NamedTuple):
     number: int
     words: tuple[str, ...]
 
@@ -25,8 +25,8 @@
 
 class CodecTest(unittest.TestCase):
     def test_frames_cut_anywhere_come_back_whole(self):
-        codec = FrameCodec([Note])
-        notes = [Note(n, ("a", "b")) for n in range(3)]
+        codec = FrameCodec([Message])
+        notes = [Message(n, ("a", "b")) for n in range(3)]
         data = codec.encode(notes[:2]) + codec.encode(notes[2:])
         for cut in range(len(data)):
             buffer = FrameBuffer()
@@ -36,7 +36,7 @@
 
     def test_bytes_that_are_no_frame_are_refused(self):
         with self.assertRaises(FrameError):
-            FrameCodec([Note]).decode(b"\xc1")
+            FrameCodec([Message]).decode(b"\xc1")
         with self.assertRaises(FrameError):
             FrameBuffer().feed(b"\xff" * 8)
 
@@ -45,7 +45,7 @@
     def run_pair(self, sender_key, act):
         """Run a listener and a sender; return what arrived and what went down."""
         address = free_address()
-        codec = FrameCodec([Note])
+        codec = FrameCodec([Message])
         got, down = [], []
 
         async def main():
@@ -71,7 +71,7 @@
     def test_messages_arrive_in_order(self):
         async def act(links, address, got, down):
             for number in range(500):
-                links.send(address, Note(number, ()))
+                links.send(address, Message(number, ()))
             while len(got) < 500:
                 await anyio.sleep(0.01)
 
@@ -80,7 +80,7 @@
 
     def test_a_sender_without_the_key_is_refused(self):
         async def act(links, address, got, down):
-            links.send(address, Note(1, ()))
+            links.send(address, Message(1, ()))
             while not down:
                 await anyio.sleep(0.01)
 
@@ -92,7 +92,7 @@
         nowhere = free_address()
 
         async def act(links, address, got, down):
-            links.send(nowhere, Note(1, ()))
+            links.send(nowhere, Message(1, ()))
             while not down:
                 await anyio.sleep(0.01)
 
