--- a/libs/relay/src/cherryrudder/relay/__init__.py
+++ b/libs/relay/src/cherryrudder/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Strict HTTP/1.1 on both sides of a router, and event streams."""
+"""Strict HTTP/1.1 towards clients and engines, and parsing of event streams."""
--- a/libs/relay/src/cherryrudder/relay/client.py
+++ b/libs/relay/src/cherryrudder/relay/client.py
@@ -1,8 +1,8 @@
-"""The side towards engines: one request at a time on a connection, read strictly.
+"""HTTP client for engines: one request at a time per connection, parsed strictly.
 
-The house's first choice, httpx, was left for h11 on the same sockets: it hides whether
-a request has left, whether bytes follow a complete answer, and whether an answer
-without a length ended or was reset.
+It uses h11 on plain sockets instead of httpx, which hides whether a request was sent,
+whether bytes follow a complete answer, and whether an answer without a length ended or
+was reset.
 """
 
 from typing import NamedTuple
@@ -20,26 +20,26 @@
 from .errors import AnswerBroken, AnswerLate, ConnectFailed
 
 READ_BYTES = 64 * 1024
-# Far above the head of any engine's answer, which is some hundred bytes.
+# Engines send some hundred bytes of headers; the limit only stops invalid peers.
 MAX_HEAD_BYTES = 64 * 1024
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class Head(NamedTuple):
-    """An answer's head."""
+    """Status and headers of an answer."""
 
     status: int
     headers: Headers
 
 
 class EngineConnection:
-    """One connection to an engine."""
+    """A keep-alive connection to an engine."""
 
     def __init__(self, address: str, stream: sockets.Stream, opened_s: float):
         self.address = address
         self.last_used_s = opened_s
-        # Idle time after which the engine closes; set by its answers.
+        # Idle time after which the engine closes the connection, from its answers.
         self.keep_alive_s: float | None = None
         self._stream = stream
         self._http = _new_http()
@@ -49,10 +49,10 @@
     async def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> None:
-        """Send a request; raises AnswerBroken when the engine takes no more bytes.
+        """Send a request; raises AnswerBroken if the engine closed the connection.
 
-        An engine may answer before it has read the body. The answer is read all the
-        same, and the connection is not used again.
+        An engine may answer before it has read the whole body. That answer can still be
+        read, but the connection is not reused.
         """
         self._sent = [h11.Request(method=method, target=target, headers=headers)]
         if body:
@@ -65,7 +65,7 @@
             raise AnswerBroken("the engine closed the connection") from error
 
     async def read_head(self, timeout_s: float) -> Head:
-        """Return the answer's head; raises AnswerLate, AnswerBroken."""
+        """Return the answer's status and headers; raises AnswerLate, AnswerBroken."""
         try:
             with anyio.fail_after(max(0.0, timeout_s)):
                 while True:
@@ -76,31 +76,31 @@
             raise AnswerLate("the engine did not answer in time") from error
 
     async def read(self) -> bytes | None:
-        """Return a piece of the body, None at its complete end; raises AnswerBroken."""
+        """Return the next part of the body, None at its end; raises AnswerBroken."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AnswerBroken("the answer broke off")
+        raise AnswerBroken("the answer ended before it was complete")
 
     def skip_answer(self) -> None:
-        """Get ready for another answer after one that belongs to another request.
+        """Reset the parser to read another answer after one to a different request.
 
-        Raises AnswerBroken when this one has not ended or the connection must close.
+        Raises AnswerBroken when the first is incomplete or the connection must close.
         """
         if self._http.their_state is not h11.DONE:
-            raise AnswerBroken("an answer to another request does not end")
+            raise AnswerBroken("an answer to another request is incomplete")
         rest = self._http.trailing_data[0]
         self._http = _new_http()
-        # Only brings the new parser to where it expects an answer; nothing is sent.
+        # Only moves the new parser to the state that expects an answer; sends nothing.
         for event in self._sent:
             self._http.send(event)
         if rest:
             self._http.receive_data(rest)
 
     def prepare_reuse(self, now_s: float) -> bool:
-        """Get ready for the next request; false when the connection must close."""
+        """Reset the parser for the next request; false if the connection must close."""
         if self._http.their_state is not h11.DONE or not self._has_length:
             return False
         if self._http.our_state is not h11.DONE or self._http.trailing_data[0]:
@@ -110,11 +110,11 @@
         return not self.is_readable()
 
     def is_readable(self) -> bool:
-        """Tell whether the idle connection was closed or got bytes nobody asked for."""
+        """Return whether the idle connection was closed or got unsolicited bytes."""
         return self._stream.is_readable()
 
     def close(self) -> None:
-        """Close at once, also in the middle of an answer."""
+        """Close the connection immediately, even in the middle of an answer."""
         self._stream.abort()
 
     def _record_head(self, event):
@@ -138,7 +138,7 @@
             except StreamEnded:
                 data = b""
             except h11.RemoteProtocolError as error:
-                raise AnswerBroken(f"no HTTP: {error}") from error
+                raise AnswerBroken(f"invalid HTTP: {error}") from error
             except StreamBroken as error:
                 raise AnswerBroken("the connection was reset") from error
             self._feed(data)
--- a/libs/relay/src/cherryrudder/relay/errors.py
+++ b/libs/relay/src/cherryrudder/relay/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the relay: what can go wrong on a connection."""
+"""Errors on connections to clients and engines."""
 
 from cherryrudder.model.errors import CherryrudderError
 
 
 class RelayError(CherryrudderError):
-    """Base of the relay's own errors."""
+    """Base class of the relay's errors."""
 
 
 class ClientGone(RelayError):
@@ -12,7 +12,7 @@
 
 
 class BadRequest(RelayError):
-    """A request that breaks HTTP or the configured limits."""
+    """The client's request violates HTTP or the configured limits."""
 
     def __init__(self, status: int, reason: str):
         super().__init__(reason)
@@ -20,11 +20,11 @@
 
 
 class ConnectFailed(RelayError):
-    """No connection to an engine came about: the request did not leave."""
+    """Connecting to an engine failed, so that nothing of the request was sent."""
 
 
 class AnswerBroken(RelayError):
-    """An engine's answer broke off, or is no HTTP."""
+    """An engine's answer was cut off or is not valid HTTP."""
 
 
 class AnswerLate(RelayError):
--- a/libs/relay/src/cherryrudder/relay/pool.py
+++ b/libs/relay/src/cherryrudder/relay/pool.py
@@ -1,19 +1,19 @@
-"""Idle connections to engines, kept for the next request."""
+"""Pool of idle keep-alive connections to engines."""
 
 from .client import EngineConnection, open_connection
 
-# An engine closes after the idle time that it states; one that goes out at the last
-# moment crosses the close on its way.
+# Engines close connections after the idle time that they state. A request sent just
+# before that would cross the close on its way.
 KEEP_ALIVE_MARGIN_S = 1.0
-# Used for engines that state no idle time.
+# Idle time assumed for engines that state none.
 DEFAULT_KEEP_ALIVE_S = 4.0
-# Idle connections kept to one engine. Each counts against the engine's own limit, which
+# Per engine. Each idle connection counts against the engine's connection limit, which
 # all entries share.
 MAX_IDLE_CONNECTIONS = 8
 
 
 class Pool:
-    """Idle connections by address, the last used one last."""
+    """Idle connections by address, the most recently used last."""
 
     def __init__(self):
         self.idle: dict[str, list[EngineConnection]] = {}
@@ -23,7 +23,7 @@
 async def acquire(
     pool: Pool, address: str, timeout_s: float, now_s: float
 ) -> tuple[EngineConnection, bool]:
-    """Return a connection, and whether it is a new one; raises ConnectFailed."""
+    """Return a pooled or new connection and whether it is new; raises ConnectFailed."""
     idle = pool.idle.get(address, [])
     while idle:
         connection = idle.pop()
@@ -36,13 +36,13 @@
 async def acquire_new(
     pool: Pool, address: str, timeout_s: float, now_s: float
 ) -> EngineConnection:
-    """Return a new connection; raises ConnectFailed."""
+    """Open a new connection and count it; raises ConnectFailed."""
     pool.opened += 1
     return await open_connection(address, timeout_s, now_s)
 
 
 def release(pool: Pool, connection: EngineConnection, now_s: float) -> None:
-    """Keep a connection whose answer was read in full, or close it."""
+    """Return a connection to the pool, or close it if it can't be reused."""
     idle = pool.idle.setdefault(connection.address, [])
     if connection.prepare_reuse(now_s) and len(idle) < MAX_IDLE_CONNECTIONS:
         idle.append(connection)
@@ -51,16 +51,16 @@
 
 
 def close_idle(pool: Pool, address: str) -> None:
-    """Close the idle connections to an engine that is thought to be dead.
+    """Close the idle connections to an engine that is considered dead.
 
-    A request on one of them would be reset, and count as one that may have run.
+    A request sent on one of them would be reset and count as possibly executed.
     """
     for connection in pool.idle.pop(address, ()):
         connection.close()
 
 
 def close_expired(pool: Pool, known: set[str], now_s: float) -> None:
-    """Close what is too old, and all to addresses that are no longer known."""
+    """Close connections that are idle too long or whose address is not in `known`."""
     for address, idle in list(pool.idle.items()):
         is_known = address in known
         kept = [c for c in idle if is_known and _is_fresh(c, now_s)]
--- a/libs/relay/src/cherryrudder/relay/server.py
+++ b/libs/relay/src/cherryrudder/relay/server.py
@@ -1,8 +1,8 @@
-"""The side towards clients: reads requests strictly and writes answers.
+"""HTTP server for clients: parses requests strictly and writes answers.
 
-The house's first choice, hypercorn, was left for its nearest kin, h11 on the same
-sockets, since two rules can't be kept with it: an answer that its engine broke off has
-to end without looking complete, and a client's leaving has to reach the engine at once.
+It uses h11 on plain sockets instead of hypercorn, which can't guarantee two things: an
+answer that the engine cut off must not look complete to the client, and a client's
+disconnect must cancel the work at the engine at once.
 """
 
 from collections.abc import Awaitable, Callable
@@ -18,10 +18,10 @@
 from .errors import BadRequest, ClientGone
 
 READ_BYTES = 64 * 1024
-# What a client may send ahead while its request is being answered.
+# Bytes that a client may send while its previous request is being answered.
 MAX_PIPELINED_BYTES = 64 * 1024
-# A client that takes no byte for so long is gone. The platform's clients give up on a
-# stream after two seconds of silence.
+# A client that reads nothing for this long counts as disconnected. The platform's
+# clients give up on a stream after two seconds without data.
 WRITE_TIMEOUT_S = 5.0
 
 log = logger.bind(part="clients")
@@ -30,7 +30,7 @@
 
 
 class Limits(NamedTuple):
-    """What a client may send, and how long it may take or stay idle."""
+    """Size limits of requests, and timeouts for reading them and for idling."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -39,7 +39,7 @@
 
 
 class Request(NamedTuple):
-    """A request that was read in full."""
+    """A request with its whole body."""
 
     method: bytes
     target: bytes
@@ -49,7 +49,7 @@
 
 
 class Exchange:
-    """One request and its answer."""
+    """A request and the state of its answer."""
 
     def __init__(self, connection: "ClientConnection", request: Request):
         self.connection = connection
@@ -59,14 +59,14 @@
         self.is_gone = False
 
     async def answer(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Send a whole answer; raises ClientGone."""
+        """Send a complete answer; raises ClientGone."""
         headers = [*headers, (b"content-length", b"%d" % len(body))]
         await self.begin(status, headers)
         await self.send(body)
         await self.end()
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send an answer's head; raises ClientGone."""
+        """Send an answer's status and headers; raises ClientGone."""
         if self.connection.is_closing():
             headers = [*headers, (b"connection", b"close")]
         self.has_begun = True
@@ -74,12 +74,12 @@
         await self.connection.write(event)
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body; raises ClientGone."""
+        """Send a part of the body; raises ClientGone."""
         if data:
             await self.connection.write(h11.Data(data=data))
 
     async def end(self) -> None:
-        """End the answer as complete; raises ClientGone."""
+        """Mark the answer as complete; raises ClientGone."""
         await self.connection.write(h11.EndOfMessage())
         self.is_done = True
 
@@ -88,7 +88,7 @@
 
 
 class ClientConnection:
-    """One client's connection, from its opening to its end."""
+    """A client's keep-alive connection."""
 
     def __init__(
         self,
@@ -108,25 +108,25 @@
         )
 
     async def run(self, handler: Handler) -> None:
-        """Answer requests until the client or this side ends the connection."""
+        """Serve requests until either side closes the connection."""
         try:
             while await self._serve_one(handler):
                 self._http.start_next_cycle()
         except (ClientGone, WireError):
-            # What it left unfinished was logged with its request.
+            # The unfinished request was already logged.
             pass
         finally:
             self._end()
 
     def _end(self):
-        """Close; an answer that was cut short is reset, so that it can't look whole."""
+        """Close; reset if the answer is incomplete, so that it can't look complete."""
         if self._http.our_state is h11.SEND_BODY:
             self._stream.abort()
         else:
             self._stream.close()
 
     def close(self) -> None:
-        """Close once what was written has left."""
+        """Close after all written data has been sent."""
         self._stream.close()
 
     async def write(self, event) -> None:
@@ -135,23 +135,23 @@
         if not data:
             return
         if not self._stream.is_write_paused:
-            # The usual case, without the cost of a timer for each event.
+            # The usual case: avoid the cost of a timer for each event.
             self._write_now(data)
             return
         try:
             with anyio.fail_after(WRITE_TIMEOUT_S):
                 await self._stream.send(data)
         except (TimeoutError, StreamBroken) as error:
-            raise ClientGone("the client takes nothing more") from error
+            raise ClientGone("the client stopped reading") from error
 
     def _write_now(self, data):
         try:
             self._stream.write(data)
         except StreamBroken as error:
-            raise ClientGone("the client has gone") from error
+            raise ClientGone("the client closed the connection") from error
 
     async def _serve_one(self, handler):
-        """Answer one request; tell whether another may follow."""
+        """Serve one request; return whether the connection can be reused."""
         try:
             request = await self._read_request()
         except BadRequest as error:
@@ -176,9 +176,10 @@
             exchange.is_gone = True
 
     async def _watch_disconnect(self, exchange, scope):
-        """Read on while the answer is made, and end the work when the client leaves.
+        """Keep reading while the request is handled; cancel it on a disconnect.
 
-        An engine would otherwise work on for nobody, on a place that others wait for.
+        Otherwise an engine would go on working for no client, in a slot that other
+        requests wait for.
         """
         pipelined_bytes = 0
         while pipelined_bytes < MAX_PIPELINED_BYTES:
@@ -192,16 +193,16 @@
             self._http.receive_data(data)
 
     async def _send_error(self, error):
-        """Answer a request that can't be read, and close."""
+        """Answer an invalid request with an error status."""
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        log.debug("A request was refused: {}.", error)
+        log.debug("Rejected an invalid request: {}.", error)
         headers = [(b"content-length", b"0"), (b"connection", b"close")]
         await self.write(h11.Response(status_code=error.status, headers=headers))
         await self.write(h11.EndOfMessage())
 
     async def _read_request(self):
-        """Return the next request in full, or None when the client ends or idles."""
+        """Return the next request, or None when the client closes or idles too long."""
         head = await self._read_head()
         if head is None:
             return None
@@ -217,7 +218,7 @@
         while True:
             event = self._next_event()
             if isinstance(event, h11.Request):
-                # The parser bounds only a head that comes in several reads.
+                # The parser limits the head only if it arrives in several reads.
                 if _head_bytes(event) > limits.max_header_bytes:
                     raise BadRequest(431, "the head is too long")
                 return event
@@ -264,7 +265,7 @@
             raise BadRequest(408, "the body took too long")
 
     async def _receive(self):
-        """Read some bytes; false when the client has ended."""
+        """Read some bytes; return false when the client has closed the connection."""
         try:
             data = await self._stream.receive(READ_BYTES)
         except (StreamEnded, StreamBroken):
@@ -280,6 +281,6 @@
 
 
 def _head_bytes(event):
-    # Each line has a colon and a space, or two spaces, and its end.
+    # Each header line adds a colon, a space and a line end (4 bytes).
     fields = sum(len(name) + len(value) + 4 for name, value in event.headers)
     return len(event.method) + len(event.target) + len("  HTTP/1.1\r\n") + fields
--- a/libs/wire/src/cherryrudder/wire/__init__.py
+++ b/libs/wire/src/cherryrudder/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages, HTTP adapters, token-step frames and statsd."""
+"""Transport between processes: HTTP, framed TCP links, logging and statsd."""
--- a/libs/wire/src/cherryrudder/wire/asgi.py
+++ b/libs/wire/src/cherryrudder/wire/asgi.py
@@ -1,4 +1,4 @@
-"""A small ASGI surface: routes, typed replies, limits on bodies, JSON errors."""
+"""A minimal ASGI layer: routes, typed replies, body size limits and JSON errors."""
 
 import hmac
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -18,7 +18,7 @@
 
 
 class Reply(NamedTuple):
-    """A whole answer; `headers` are pairs of text."""
+    """A complete response; `headers` are pairs of text."""
 
     status: int = 200
     body: bytes = b""
@@ -26,7 +26,7 @@
 
 
 class StreamReply(NamedTuple):
-    """An answer sent in parts as they come; `on_end` is called however it ends."""
+    """A streamed response; `on_end` is called once it ends, also on errors."""
 
     chunks: AsyncIterator[bytes]
     on_end: Callable[[], None]
@@ -35,7 +35,7 @@
 
 
 class Request:
-    """One HTTP request; the body is read on demand and limited."""
+    """An HTTP request whose body is read on demand, up to a size limit."""
 
     def __init__(self, scope, receive, max_body_bytes):
         self.method = scope["method"]
@@ -50,7 +50,7 @@
 
     @property
     def query(self) -> dict[str, str]:
-        """Return the query's parameters."""
+        """Return the query parameters, the last value of each name."""
         return dict(parse_qsl(self.query_string))
 
     def number(self, name: str, default: float) -> float:
@@ -61,18 +61,18 @@
             raise RequestError(400, "bad-number", "not a number", name) from None
 
     def bearer(self) -> str:
-        """Return the bearer token, empty without one."""
+        """Return the bearer token, empty if the request has none."""
         scheme, _, token = self.headers.get("authorization", "").partition(" ")
         return token.strip() if scheme.lower() == "bearer" else ""
 
     async def body(self) -> bytes:
-        """Return the whole body; raises RequestError 413 past the limit."""
+        """Return the whole body; raises RequestError 413 if it is too large."""
         parts = []
         size_bytes = 0
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
-                raise RequestError(400, "disconnected", "the caller went away")
+                raise RequestError(400, "disconnected", "the client disconnected")
             parts.append(message.get("body", b""))
             size_bytes += len(parts[-1])
             if size_bytes > self._max_body_bytes:
@@ -82,7 +82,7 @@
                 return b"".join(parts)
 
     async def json(self, kind=dict):
-        """Return the body as a value of a type; raises RequestError 400."""
+        """Decode the JSON body as a value of type `kind`; raises RequestError 400."""
         data = await self.body()
         try:
             return jsoncodec.decode(data, kind)
@@ -94,7 +94,7 @@
             raise RequestError(400, "bad-json", str(error)) from None
 
     async def wait_disconnected(self) -> None:
-        """Wait until the caller goes away; read the body first."""
+        """Wait until the client disconnects; the body must have been read before."""
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
@@ -104,27 +104,28 @@
 
 
 def json_reply(value, status=200, headers=()) -> Reply:
-    """Return an answer with the JSON of a value."""
+    """Return a response with a JSON body."""
     kind = ("content-type", "application/json")
     return Reply(status, jsoncodec.encode(value), (kind, *headers))
 
 
 def error_reply(error: RequestError, headers=()) -> Reply:
-    """Return the typed JSON of an error."""
+    """Return the JSON response for an error."""
     body = {"code": error.code, "message": str(error)}
     if error.field:
         body["field"] = error.field
     if error.status == BODY_TOO_LARGE:
-        # The rest of the body stays unread, so the listener closes the connection;
-        # without the header the caller's next request on it would be cut off.
+        # The rest of the body stays unread, so the server closes the connection.
+        # Without this header the client's next request on it would be cut off.
         headers = (*headers, ("connection", "close"))
     return json_reply({"error": body}, error.status, headers)
 
 
 def make_app(routes: Routes, key: str = "", max_body_bytes=DEFAULT_MAX_BODY_BYTES):
-    """Return an ASGI application; a route whose path ends in / takes all below it.
+    """Return an ASGI application; a route whose path ends in / matches all paths below.
 
-    With a key, all but the balancer's probes ask for it as a bearer token.
+    If a key is given, every path requires it as bearer token, except for the load
+    balancer's health checks.
     """
 
     async def app(scope, receive, send):
@@ -135,8 +136,8 @@
         request = Request(scope, receive, max_body_bytes)
         reply = await _answer(routes, key, request)
         if isinstance(reply, StreamReply):
-            # Not in the chunks' own `finally`: a generator that never started, since
-            # the caller was gone before its first part, runs none.
+            # A `finally` in the chunks' generator would not do: it does not run if the
+            # client disconnects before the generator has started.
             try:
                 return await _send_stream(reply, request, send)
             finally:
@@ -156,8 +157,8 @@
     except RequestError as error:
         return error_reply(error)
     except Exception:
-        # A fault in one handler must not take the process with it; the caller gets a
-        # plain 500 and the log gets the traceback.
+        # An exception in a handler must not end the process. The client gets a plain
+        # 500, and the traceback is logged.
         logger.bind(part="http").exception(
             "{} {} failed.", request.method, request.path
         )
@@ -202,8 +203,8 @@
     async with anyio.create_task_group() as group, aclosing(reply.chunks) as chunks:
 
         async def cancel_on_disconnect():
-            # A caller that closes its connection cancels the whole stream, so that
-            # its work ends at the engines too.
+            # A client that disconnects cancels the stream, so that the engines stop
+            # working on it too.
             await request.wait_disconnected()
             group.cancel_scope.cancel()
 
--- a/libs/wire/src/cherryrudder/wire/errors.py
+++ b/libs/wire/src/cherryrudder/wire/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the transport."""
+"""Errors of the transport between processes."""
 
 from cherryrudder.model.errors import CherryrudderError
 
 
 class WireError(CherryrudderError):
-    """A call to another process that gave no usable answer.
+    """A call to another process failed or returned no usable answer.
 
-    `may_have_run` is false only when no byte of the request can have left this
-    process; a caller may be told "not run" on the strength of it.
+    `may_have_run` is false only when no byte of the request can have been sent. Callers
+    rely on it to report a request as "not run".
     """
 
     def __init__(self, message, may_have_run=True):
@@ -16,7 +16,7 @@
 
 
 class StatusError(WireError):
-    """An answer with an error status; `body` is its decoded JSON, if it had any."""
+    """An answer with an error status; `body` is its decoded JSON or None."""
 
     def __init__(self, status, body):
         super().__init__(f"status {status}")
@@ -25,11 +25,11 @@
 
 
 class FrameError(WireError):
-    """Bytes on a frame link that are no frame, or a peer without the key."""
+    """Invalid bytes on a frame link, or a peer without the right key."""
 
 
 class StreamEnded(WireError):
-    """The peer has ended its side of a connection."""
+    """The peer has closed its side of a connection."""
 
 
 class StreamBroken(WireError):
@@ -37,7 +37,7 @@
 
 
 class ConnectFailed(WireError):
-    """No connection came about: nothing has left this process."""
+    """Connecting failed, so that nothing was sent."""
 
     def __init__(self, message):
         super().__init__(message, may_have_run=False)
--- a/libs/wire/src/cherryrudder/wire/frames.py
+++ b/libs/wire/src/cherryrudder/wire/frames.py
@@ -1,7 +1,8 @@
-"""The token-step codec: length-prefixed msgpack frames, each a batch of messages.
+"""Codec for length-prefixed msgpack frames, each a batch of messages.
 
-HTTP with JSON costs one request per step; at many steps a second per hop that alone
-fills a core (see docs/design/pipeline.md), so steps to one next hop share a frame.
+With HTTP and JSON every token step would be a request of its own, and at many steps per
+second and hop that alone uses a whole core (see docs/design/pipeline.md). Steps to the
+same next hop therefore share a frame.
 """
 
 import struct
@@ -13,19 +14,19 @@
 from .errors import FrameError
 
 LENGTH = struct.Struct(">I")
-# Far above a batch of any real size; a length over it means bytes that are no frame.
+# Far above any real batch; a larger length means that the bytes are not a frame.
 MAX_FRAME_BYTES = 256 * 1024 * 1024
 
 
 class Hello(NamedTuple):
-    """First message of a link: the sender's key and its own frame address."""
+    """First message on a link: the sender's key and frame address."""
 
     key: str
     address: str
 
 
 class FrameCodec:
-    """Encodes and decodes batches of a fixed list of message types."""
+    """Encoder and decoder for batches of a fixed list of message types."""
 
     def __init__(self, kinds: Sequence[type]):
         kinds = (Hello, *kinds)
@@ -35,12 +36,12 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     def encode(self, messages: Sequence) -> bytes:
-        """Return one frame that holds all messages."""
+        """Encode all messages as one frame."""
         body = self._encoder.encode([(self._tags[type(m)], m) for m in messages])
         return LENGTH.pack(len(body)) + body
 
     def decode(self, body: bytes) -> list:
-        """Return the messages of a frame's body; raises FrameError."""
+        """Decode the messages of a frame's body; raises FrameError."""
         try:
             batch = self._batch.decode(body)
             return [self._decoders[tag].decode(raw) for tag, raw in batch]
@@ -49,20 +50,20 @@
 
 
 class FrameBuffer:
-    """Cuts a stream of bytes into frames' bodies."""
+    """Splits a byte stream into the bodies of frames."""
 
     def __init__(self):
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes and return the bodies that are whole; raises FrameError."""
+        """Add bytes and return the bodies that are complete; raises FrameError."""
         self._data += data
         bodies = []
         start = 0
         while len(self._data) - start >= LENGTH.size:
             (size,) = LENGTH.unpack_from(self._data, start)
             if size > MAX_FRAME_BYTES:
-                raise FrameError(f"a frame of {size} bytes")
+                raise FrameError(f"frame too large: {size} bytes")
             end = start + LENGTH.size + size
             if len(self._data) < end:
                 break
--- a/libs/wire/src/cherryrudder/wire/links.py
+++ b/libs/wire/src/cherryrudder/wire/links.py
@@ -1,8 +1,9 @@
 """Persistent one-way links that carry frames between processes.
 
 Each process listens at one frame address and opens a link to each peer it sends to.
-Messages to one peer leave in order; what waits while a frame is being written leaves
-in the next frame, so batches grow with the load and a lone message waits for nothing.
+Messages to one peer are sent in order. Those queued while a frame is being written are
+sent in the next frame, so batches grow with the load and a single message is not
+delayed.
 """
 
 import hmac
@@ -17,16 +18,15 @@
 from .errors import FrameError, StreamBroken, StreamEnded, WireError
 from .frames import FrameBuffer, FrameCodec, Hello
 
-# A machine that is still without power drops the first packet, and the kernel repeats
-# it only after a second: with a limit of that length, entries that were back first had
-# their configuration 0.4 s after the others. A way there and back takes 40 ms between
-# regions.
+# A machine that is still off drops the first packet, and the kernel retransmits it only
+# after a second. With a timeout of that length, entries that restarted first got their
+# configuration 0.4 s after the others. A round trip between regions takes 40 ms.
 CONNECT_TIMEOUT_S = 0.35
-# A peer that takes no byte for this long is treated as lost: a frozen process keeps
-# its TCP connection open, and its callers would wait for ever.
+# A peer that reads nothing for this long is considered lost. A frozen process keeps its
+# TCP connection open, so that senders would wait forever.
 WRITE_TIMEOUT_S = 3.0
-# Unsent messages to one peer; past it the peer is treated as lost, so that a peer
-# that stopped reading cannot fill this process's memory.
+# Unsent messages per peer. A peer with more is considered lost: one that stopped reading
+# would otherwise fill this process's memory.
 MAX_QUEUED_MESSAGES = 20_000
 READ_BYTES = 256 * 1024
 
@@ -40,7 +40,7 @@
 
 
 class Links:
-    """The outgoing links of one process."""
+    """The outgoing links of a process, by peer address."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._links: dict[str, _Link] = {}
 
     def send(self, address: str, message: Any) -> None:
-        """Queue a message; a peer that cannot take it comes back through on_down."""
+        """Queue a message; `on_down` is called if the link to the peer fails."""
         link = self._links.get(address)
         if link is None:
             link = self._links[address] = _Link()
@@ -68,7 +68,7 @@
             self._remove(address, link)
 
     def peers(self) -> list[str]:
-        """Return the addresses that links are open to."""
+        """Return the addresses with a link."""
         return list(self._links)
 
     def _remove(self, address, link):
@@ -87,12 +87,12 @@
             finally:
                 stream.abort()
         except* WireError:
-            # `_drop` tells of it.
+            # `_remove` reports the failure.
             pass
         self._remove(address, link)
 
     async def _watch_disconnect(self, stream, scope):
-        # The peer never writes on this connection: anything but silence is its end.
+        # The peer never writes on this connection: any data or error ends the link.
         try:
             await stream.receive(1)
         except WireError:
@@ -107,7 +107,7 @@
             with anyio.move_on_after(WRITE_TIMEOUT_S) as scope:
                 await stream.send(self._codec.encode(messages))
             if scope.cancelled_caught:
-                raise StreamBroken("the peer takes nothing more")
+                raise StreamBroken("the peer stopped reading")
             messages = []
             if not link.queued:
                 link.wake = anyio.Event()
@@ -121,15 +121,15 @@
     on_messages: Callable[[str, Sequence], None],
     stopping: anyio.Event,
 ) -> None:
-    """Accept links and hand each frame's messages on until `stopping` is set."""
+    """Accept links and pass their messages to `on_messages` until `stopping` is set."""
 
     async def handle(stream):
         try:
             await _read(stream, codec, key, on_messages)
         except FrameError as error:
-            log.warning("A link was refused: {}.", error)
+            log.warning("Rejected a link: {}.", error)
         except (StreamEnded, StreamBroken):
-            # The peer's own side tells why.
+            # The sender logs the failure.
             pass
         finally:
             stream.abort()
@@ -159,5 +159,5 @@
 def _check_hello(messages, key):
     hello = messages[0] if messages else None
     if not isinstance(hello, Hello) or not hmac.compare_digest(hello.key, key):
-        raise FrameError("the first message is no greeting with the right key")
+        raise FrameError("the first message is not a Hello with the right key")
     return hello.address
--- a/libs/wire/src/cherryrudder/wire/logs.py
+++ b/libs/wire/src/cherryrudder/wire/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by loguru: short sentences, each with its part's fixed prefix."""
+"""Logging setup on loguru; each line names the part of the program it is from."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def set_up_logs(settings: LogSettings) -> None:
-    """Send log lines to standard error as text or JSON."""
+    """Log to standard error as text or JSON."""
     logger.remove()
     logger.configure(extra={"part": "daemon"})
     as_json = settings.format == "json"
--- a/libs/wire/src/cherryrudder/wire/metrics.py
+++ b/libs/wire/src/cherryrudder/wire/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; without an address nothing is sent."""
+"""Metrics over statsd; without an address nothing is sent."""
 
 import statsd
 
@@ -7,13 +7,13 @@
 
 class _NullMetrics:
     def incr(self, name, count=1, rate=1):
-        """Drop a count."""
+        """Discard a count."""
 
     def timing(self, name, duration_ms, rate=1):
-        """Drop a duration."""
+        """Discard a duration."""
 
     def gauge(self, name, value, rate=1, delta=False):
-        """Drop a gauge."""
+        """Discard a gauge."""
 
 
 def open_metrics(settings: StatsdSettings, role: str):
--- a/libs/wire/src/cherryrudder/wire/server.py
+++ b/libs/wire/src/cherryrudder/wire/server.py
@@ -1,4 +1,4 @@
-"""HTTP listeners, by hypercorn, on the process's one loop."""
+"""HTTP servers on hypercorn, in the process's only event loop."""
 
 import asyncio
 
@@ -9,9 +9,9 @@
 
 from cherryrudder.model.settings import split_address
 
-# Long polls and idle pooled connections stay open this long.
+# Long enough for long polls and for idle connections in clients' pools.
 KEEP_ALIVE_S = 75.0
-# Work is drained before a listener is closed, so what is left are idle connections.
+# Requests are drained before a server is closed, so only idle connections are left.
 CLOSE_TIMEOUT_S = 1.0
 BACKLOG = 1024
 
@@ -19,7 +19,7 @@
 
 
 def listener_config(address: str) -> Config:
-    """Return hypercorn's settings for one listener."""
+    """Return hypercorn's configuration for one address."""
     split_address(address)
     config = Config()
     config.bind = [address]
@@ -40,13 +40,13 @@
     try:
         await hypercorn_serve(app, config, shutdown_trigger=stopping.wait, mode="asgi")
     except asyncio.InvalidStateError:
-        # hypercorn asks its cancelled tasks for their exception. It happens only when
-        # the process is already ending, and must not hide why.
-        log.debug("The listener at {} was cancelled.", address)
+        # hypercorn reads the exception of its cancelled tasks. This happens only while
+        # the process is exiting, and must not hide the original error.
+        log.debug("The server at {} was cancelled.", address)
 
 
 async def wait_listening(address: str, timeout_s: float) -> None:
-    """Wait until something accepts connections at an address; raises TimeoutError."""
+    """Wait until an address accepts connections; raises TimeoutError."""
     host, port = split_address(address)
     with anyio.fail_after(timeout_s):
         while True:
--- a/libs/wire/src/cherryrudder/wire/sockets.py
+++ b/libs/wire/src/cherryrudder/wire/sockets.py
@@ -1,9 +1,9 @@
-"""TCP streams that cost few system calls, and the options that silent peers need.
+"""TCP streams with few system calls, and socket options that detect silent peers.
 
-anyio's own streams pause and resume reading around each read: two more system calls
-for each event of a stream, half of what an entry spends on it. These rest on the same
-loop's protocols, read all the time and hold back only a peer that is far ahead; the
-tasks around them are anyio's.
+anyio's streams pause and resume reading around each read. That is two more system calls
+for each event of a stream, half of what an entry spends on it. These streams are
+asyncio protocols on the same loop that read continuously and pause only when much data
+is unread; the tasks around them are anyio's.
 """
 
 import asyncio
@@ -17,20 +17,19 @@
 from .errors import ConnectFailed, StreamBroken, StreamEnded
 
 BACKLOG = 1024
-# Bytes that wait for their reader before the peer is held back; some packets more than
-# one read takes.
+# Reading pauses at this many unread bytes; a few packets more than one read takes.
 HIGH_WATER_BYTES = 256 * 1024
-# A peer behind a cut neither answers nor resets. What is unacknowledged for this long
-# ends the connection; three lost packets in a row are retried within it.
+# A peer behind a network partition neither answers nor resets. The connection ends if
+# data is unacknowledged for this long, which allows for three lost packets in a row.
 UNACKED_TIMEOUT_S = 2.5
-# Probes on idle connections find peers that went away without a word.
+# Keep-alive probes detect peers that disappeared without closing the connection.
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_PROBE_S = 1
 KEEPALIVE_PROBES = 3
 
 
 class Stream(asyncio.Protocol):
-    """One TCP connection; read by one task at a time, written by one at a time."""
+    """A TCP connection for one reading and one writing task at a time."""
 
     def __init__(self, on_open: Callable[["Stream"], None] | None = None):
         self._on_open = on_open
@@ -38,10 +37,10 @@
         self._data = bytearray()
         self._read_waiter: asyncio.Future | None = None
         self._write_waiter: asyncio.Future | None = None
-        # The peer is behind: `send` waits.
+        # The send buffer is full, so that `send` waits.
         self.is_write_paused = False
         self._is_read_paused = False
-        # Set when the peer has ended or the connection is lost.
+        # Set when the peer has closed its side, and when the connection is lost.
         self._has_ended = False
         self._is_lost = False
 
@@ -51,7 +50,7 @@
             if self._is_lost:
                 raise StreamBroken("the connection is lost")
             if self._has_ended:
-                raise StreamEnded("the peer has ended")
+                raise StreamEnded("the peer has closed the connection")
             self._read_waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._read_waiter
@@ -66,13 +65,13 @@
 
     def write(self, data: bytes) -> None:
         """Write bytes without waiting; raises StreamBroken."""
-        # The loop tells of a lost connection one turn later than its transport knows.
+        # `connection_lost` is called one loop iteration after the transport closes.
         if self._is_lost or self._transport.is_closing():
             raise StreamBroken("the connection is lost")
         self._transport.write(data)
 
     async def send(self, data: bytes) -> None:
-        """Write bytes, and wait while the peer is behind; raises StreamBroken."""
+        """Write bytes and wait while the send buffer is full; raises StreamBroken."""
         self.write(data)
         while self.is_write_paused and not self._is_lost:
             self._write_waiter = asyncio.get_running_loop().create_future()
@@ -84,28 +83,28 @@
             raise StreamBroken("the connection is lost")
 
     def is_readable(self) -> bool:
-        """Tell whether bytes wait or the connection has ended."""
+        """Return whether bytes are unread or the connection has ended."""
         return bool(self._data) or self._has_ended or self._is_lost
 
     def close(self) -> None:
-        """Send what is written, then close."""
+        """Close after all written data has been sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once and discard unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport):
-        """Take the loop's transport."""
+        """Store the transport and set the socket options."""
         self._transport = transport
         _set_options(transport.get_extra_info("socket"))
         if self._on_open is not None:
             self._on_open(self)
 
     def data_received(self, data):
-        """Keep bytes for the reader, and hold back a peer that is far ahead."""
+        """Buffer bytes for the reader, and pause reading at the high-water mark."""
         self._data += data
         if len(self._data) >= HIGH_WATER_BYTES and not self._is_read_paused:
             self._is_read_paused = True
@@ -113,23 +112,23 @@
         _wake(self._read_waiter)
 
     def eof_received(self):
-        """Take note that the peer writes no more; this side may still write."""
+        """Record that the peer closed its side; this side may still write."""
         self._has_ended = True
         _wake(self._read_waiter)
         return True
 
     def connection_lost(self, error):
-        """Wake everybody who waits for this connection."""
+        """Wake the tasks that wait to read or write."""
         self._is_lost = True
         _wake(self._read_waiter)
         _wake(self._write_waiter)
 
     def pause_writing(self):
-        """Take note that the peer is behind."""
+        """Record that the send buffer is full."""
         self.is_write_paused = True
 
     def resume_writing(self):
-        """Take note that the peer has caught up."""
+        """Wake the writer when the send buffer has room again."""
         self.is_write_paused = False
         _wake(self._write_waiter)
 
@@ -137,9 +136,9 @@
 async def listen(
     address: str, handle: Callable[[Stream], Awaitable[None]], group: TaskGroup
 ) -> asyncio.Server:
-    """Accept connections at IP:PORT and handle each in the group."""
+    """Accept connections at IP:PORT and handle each in a task of the group."""
     host, _, port = address.rpartition(":")
-    # Bound by hand: the library's own way resolves the host name on another thread.
+    # Not bound by the loop's `create_server`, which resolves the host name in another thread.
     server = socket.create_server((host, int(port)), backlog=BACKLOG)
     server.setblocking(False)
 
@@ -168,9 +167,9 @@
 
 
 def _set_options(raw):
-    """Make a silent peer show within seconds."""
+    """Set timeouts that detect a silent peer within seconds."""
     timeout_ms = int(UNACKED_TIMEOUT_S * 1000)
-    # The peer may have closed already; the next read or write tells.
+    # The peer may have closed already; then the next read or write fails.
     with contextlib.suppress(OSError):
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
