--- a/libs/relay/test/builders.py
+++ b/libs/relay/test/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the tests of the relay: raw peers on loopback."""
+"""Test helpers for the relay: raw peers on loopback."""
 
 import asyncio
 import contextlib
@@ -15,12 +15,12 @@
 END = b"\r\n\r\n"
 
 
-# Far above what any of these tests takes; a fault then fails instead of hanging.
+# Far longer than any of these tests takes, so that a fault fails instead of hanging.
 TEST_S = 20.0
 
 
 def in_loop(test):
-    """Run a coroutine of a test case as the processes run theirs, with an end."""
+    """Run a coroutine test in an event loop, with a timeout."""
 
     async def limited(case):
         with anyio.fail_after(TEST_S):
@@ -34,14 +34,14 @@
 
 
 def free_address():
-    """Return an address on loopback that nobody uses."""
+    """Return an unused address on loopback."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return f"127.0.0.1:{server.getsockname()[1]}"
 
 
 @contextlib.asynccontextmanager
 async def serving(handler, limits=LIMITS, is_closing=lambda: False):
-    """Serve a handler and give its address."""
+    """Serve a handler and yield its address."""
     address = free_address()
     clock = asyncio.get_running_loop().time
 
@@ -56,20 +56,20 @@
 
 
 class RawPeer:
-    """A client's side of a connection, byte by byte."""
+    """A client that sends and receives raw bytes."""
 
     def __init__(self, reader, writer):
         self.reader = reader
         self.writer = writer
 
     async def ask(self, data):
-        """Send bytes and return all that comes until the other side closes."""
+        """Send bytes and return everything received until the server closes."""
         self.writer.write(data)
         await self.writer.drain()
         return await self.rest()
 
     async def rest(self):
-        """Return all that comes until the other side closes or resets."""
+        """Return everything received until the server closes or resets."""
         got = b""
         with contextlib.suppress(ConnectionResetError):
             while data := await asyncio.wait_for(self.reader.read(65536), 5):
@@ -77,16 +77,16 @@
         return got
 
     async def head(self):
-        """Return one message's head."""
+        """Return the headers of one message as raw bytes."""
         return await asyncio.wait_for(self.reader.readuntil(END), 5)
 
     def close(self):
-        """Close the connection."""
+        """Close the client's connection."""
         self.writer.close()
 
 
 async def connected(address):
-    """Return a raw client of an address."""
+    """Connect a raw client to an address."""
     host, _, port = address.rpartition(":")
     return RawPeer(*await asyncio.open_connection(host, int(port)))
 
@@ -127,7 +127,7 @@
         writer.write(data)
         await writer.drain()
         await asyncio.sleep(0.05)
-        # Without lingering, the kernel sends a reset in place of an end.
+        # With a linger time of 0 the kernel sends a reset instead of a FIN.
         raw = writer.get_extra_info("socket")
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
@@ -136,7 +136,7 @@
 
 
 def an_end(data=b""):
-    """Return a scripted answer that sends some bytes and ends the connection."""
+    """Return a scripted answer that sends some bytes and closes the connection."""
 
     async def answer(writer):
         writer.write(data)
--- a/libs/relay/test/test_client.py
+++ b/libs/relay/test/test_client.py
@@ -33,7 +33,7 @@
                 connection.close()
 
     @in_loop
-    async def test_whole_answers_of_each_framing(self):
+    async def test_answers_of_each_framing_are_read_whole(self):
         chunked = CHUNKED + b"2\r\nok\r\n0\r\n\r\n"
         self.assertEqual(await self.ask(OK), (200, b"ok"))
         self.assertEqual(await self.ask(chunked), (200, b"ok"))
@@ -41,11 +41,10 @@
         self.assertEqual(await self.ask(unframed), (200, b"ok"))
 
     @in_loop
-    async def test_answers_that_break_off_are_never_whole(self):
-        """An engine dies inside its answer, in each way that the answer may end.
+    async def test_truncated_answers_are_never_complete(self):
+        """Guard against taking the end of a connection for the end of the answer.
 
-        The client would take the part for the whole if the end of the connection
-        counted as the end of the answer.
+        An engine dies inside its answer, in each way that the connection may end.
         """
         cut = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok"
         for answer in (
@@ -60,7 +59,7 @@
                 await self.ask(answer)
 
     @in_loop
-    async def test_silence_is_told_in_time(self):
+    async def test_a_missing_answer_times_out(self):
         async with scripted_engine(b"") as (address, _):
             connection = await open_connection(address, 1.0, 0.0)
             with self.assertRaises(AnswerLate):
@@ -68,19 +67,19 @@
             connection.close()
 
     @in_loop
-    async def test_nothing_left_when_nobody_listens(self):
+    async def test_connecting_fails_when_nobody_listens(self):
         with self.assertRaises(ConnectFailed):
             await open_connection(free_address(), 1.0, 0.0)
 
 
 class ReuseTest(unittest.TestCase):
-    """An engine sends a second answer behind a complete one, or closes when idle.
+    """Guard against reusing a connection with unread bytes or one that has closed.
 
-    The next client on that connection would get an answer to another request, or none.
+    The next client on it would get the answer to another request, or none.
     """
 
     @in_loop
-    async def test_a_clean_connection_is_used_again(self):
+    async def test_a_clean_connection_is_reused(self):
         async with scripted_engine(OK, OK) as (address, _):
             kept = Pool()
             for expected in (True, False):
@@ -90,7 +89,7 @@
                 pool.release(kept, connection, 0.0)
 
     @in_loop
-    async def test_bytes_behind_an_answer_end_the_connection(self):
+    async def test_bytes_after_an_answer_close_the_connection(self):
         async with scripted_engine(OK + OK) as (address, _):
             kept = Pool()
             connection, _ = await pool.acquire(kept, address, 1.0, 0.0)
@@ -99,7 +98,7 @@
             self.assertEqual(kept.idle[address], [])
 
     @in_loop
-    async def test_bytes_that_come_later_end_it_too(self):
+    async def test_late_unsolicited_bytes_close_it_too(self):
         async def late(writer):
             writer.write(OK)
             await writer.drain()
@@ -117,7 +116,7 @@
             self.assertTrue(is_new)
 
     @in_loop
-    async def test_the_engines_idle_time_is_kept(self):
+    async def test_the_engines_keep_alive_timeout_is_respected(self):
         answer = OK.replace(b"\r\n\r\n", b"\r\nkeep-alive: timeout=5\r\n\r\n")
         async with scripted_engine(answer) as (address, _):
             kept = Pool()
--- a/libs/relay/test/test_events.py
+++ b/libs/relay/test/test_events.py
@@ -9,14 +9,14 @@
 
 
 class SplitTest(unittest.TestCase):
-    def test_events_come_whole_with_their_numbers(self):
+    def test_events_are_split_with_their_numbers(self):
         found = events.split(EventSplitter(), STREAM)
         self.assertEqual([event.number for event in found], [1, 2, None, None])
         self.assertEqual(b"".join(event.data for event in found), STREAM)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.integers(1, 9), max_size=30))
-    def test_cuts_anywhere_change_nothing(self, sizes):
+    def test_the_size_of_reads_makes_no_difference(self, sizes):
         splitter, found, rest = EventSplitter(), [], STREAM
         for size in [*sizes, len(STREAM)]:
             found += events.split(splitter, rest[:size])
@@ -24,7 +24,7 @@
         self.assertEqual(found, events.split(EventSplitter(), STREAM))
         self.assertEqual(splitter.rest, b"")
 
-    def test_an_event_cut_short_is_kept_back(self):
+    def test_an_incomplete_event_is_buffered(self):
         splitter = EventSplitter()
         found = events.split(splitter, STREAM[:20])
         self.assertEqual([event.number for event in found], [1])
--- a/libs/relay/test/test_server.py
+++ b/libs/relay/test/test_server.py
@@ -13,13 +13,13 @@
 
 
 async def cut_short(exchange):
-    """Begin an answer and leave it at that."""
+    """Start an answer and return without ending it."""
     await exchange.begin(200, [])
     await exchange.send(b"half")
 
 
 def statuses(data):
-    """Return the statuses of the answers in some bytes."""
+    """Return the statuses of all answers in received bytes."""
     parts = data.split(b"HTTP/1.1 ")[1:]
     return [int(part[:3]) for part in parts]
 
@@ -33,7 +33,7 @@
             return answer
 
     @in_loop
-    async def test_a_body_with_a_length_and_one_in_chunks_are_the_same(self):
+    async def test_bodies_with_a_length_and_in_chunks_are_read_alike(self):
         plain = b"POST / HTTP/1.1\r\nhost: h\r\nconnection: close\r\n"
         whole = await self.ask(plain + b"content-length: 5\r\n\r\nhello")
         chunks = b"transfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n"
@@ -42,13 +42,13 @@
         self.assertTrue(parts.endswith(b"hello"))
 
     @in_loop
-    async def test_requests_sent_ahead_are_answered_in_order(self):
+    async def test_pipelined_requests_are_answered_in_order(self):
         last = b"GET /b HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n"
         answer = await self.ask(GET + GET + last)
         self.assertEqual(statuses(answer), [200, 200, 200])
 
     @in_loop
-    async def test_limits_are_told_by_status(self):
+    async def test_each_violated_limit_has_its_status(self):
         post = b"POST / HTTP/1.1\r\nhost: h\r\n"
         cases = {
             431: b"GET / HTTP/1.1\r\nhost: h\r\nx: " + b"y" * 8000 + b"\r\n\r\n",
@@ -61,16 +61,17 @@
                 self.assertEqual(statuses(await self.ask(data)), [status])
 
     @in_loop
-    async def test_a_long_body_in_chunks_is_refused(self):
+    async def test_an_oversized_chunked_body_is_refused(self):
         head = b"POST / HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n"
         chunk = b"1000\r\n" + b"x" * 4096 + b"\r\n"
         self.assertEqual(statuses(await self.ask(head + chunk * 4)), [413])
 
     @in_loop
-    async def test_a_request_hidden_in_another_is_part_of_its_body(self):
-        """Two lengths in one head let two readers see different requests.
+    async def test_a_request_with_two_lengths_is_refused(self):
+        """Guard against request smuggling.
 
-        An engine would run the hidden one, which nobody sent; so it is refused.
+        With two content lengths, router and engine could read different requests, and
+        the engine would run one that no client sent.
         """
         data = (
             b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 5\r\n"
@@ -79,7 +80,7 @@
         self.assertEqual(statuses(await self.ask(data)), [400])
 
     @in_loop
-    async def test_a_stopping_server_says_that_the_connection_ends(self):
+    async def test_a_stopping_server_sends_connection_close(self):
         answer = await self.ask(GET, is_closing=lambda: True)
         self.assertIn(b"connection: close", answer.lower())
 
@@ -87,10 +88,7 @@
 class EndTest(unittest.TestCase):
     @in_loop
     async def test_an_answer_cut_short_does_not_look_complete(self):
-        """An engine dies in the middle of its answer.
-
-        The client must not take what it has for the whole: no last chunk may come.
-        """
+        """Guard against a final chunk after an answer that its engine cut off."""
         async with serving(cut_short) as address:
             client = await connected(address)
             answer = await client.ask(GET)
@@ -98,7 +96,7 @@
         self.assertNotIn(b"0\r\n\r\n", answer)
 
     @in_loop
-    async def test_a_client_that_leaves_ends_the_work_at_once(self):
+    async def test_a_client_that_disconnects_cancels_the_work_at_once(self):
         begun, ended = asyncio.Event(), asyncio.Event()
         exchanges = []
 
@@ -119,7 +117,7 @@
         self.assertTrue(exchanges[0].is_gone)
 
     @in_loop
-    async def test_a_fault_of_one_answer_leaves_others_alone(self):
+    async def test_a_disconnect_does_not_affect_other_clients(self):
         async with serving(echo) as address:
             first, second = await connected(address), await connected(address)
             first.close()
--- a/libs/wire/src/cherryrudder/wire/links.py
+++ b/libs/wire/src/cherryrudder/wire/links.py
@@ -25,8 +25,8 @@
 # A peer that reads nothing for this long is considered lost. A frozen process keeps its
 # TCP connection open, so that senders would wait forever.
 WRITE_TIMEOUT_S = 3.0
-# Unsent messages per peer. A peer with more is considered lost: one that stopped reading
-# would otherwise fill this process's memory.
+# Unsent messages per peer. A peer with more is considered lost, since one that stopped
+# reading would otherwise fill this process's memory.
 MAX_QUEUED_MESSAGES = 20_000
 READ_BYTES = 256 * 1024
 
--- a/libs/wire/src/cherryrudder/wire/sockets.py
+++ b/libs/wire/src/cherryrudder/wire/sockets.py
@@ -138,7 +138,7 @@
 ) -> asyncio.Server:
     """Accept connections at IP:PORT and handle each in a task of the group."""
     host, _, port = address.rpartition(":")
-    # Not bound by the loop's `create_server`, which resolves the host name in another thread.
+    # Not bound by the loop, which would resolve the host name in another thread.
     server = socket.create_server((host, int(port)), backlog=BACKLOG)
     server.setblocking(False)
 
--- a/libs/wire/test/test_links.py
+++ b/libs/wire/test/test_links.py
@@ -17,24 +17,24 @@
 
 
 def free_address():
-    """Return a loopback address that was free a moment ago."""
+    """Return an unused loopback address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 class CodecTest(unittest.TestCase):
-    def test_frames_cut_anywhere_come_back_whole(self):
+    def test_frames_split_anywhere_are_decoded_whole(self):
         codec = FrameCodec([Message])
-        notes = [Message(n, ("a", "b")) for n in range(3)]
-        data = codec.encode(notes[:2]) + codec.encode(notes[2:])
+        messages = [Message(n, ("a", "b")) for n in range(3)]
+        data = codec.encode(messages[:2]) + codec.encode(messages[2:])
         for cut in range(len(data)):
             buffer = FrameBuffer()
             bodies = buffer.feed(data[:cut]) + buffer.feed(data[cut:])
-            read = [note for body in bodies for note in codec.decode(body)]
-            self.assertEqual(read, notes)
+            read = [message for body in bodies for message in codec.decode(body)]
+            self.assertEqual(read, messages)
 
-    def test_bytes_that_are_no_frame_are_refused(self):
+    def test_invalid_bytes_are_rejected(self):
         with self.assertRaises(FrameError):
             FrameCodec([Message]).decode(b"\xc1")
         with self.assertRaises(FrameError):
@@ -43,7 +43,7 @@
 
 class LinksTest(unittest.TestCase):
     def run_pair(self, sender_key, act):
-        """Run a listener and a sender; return what arrived and what went down."""
+        """Run a listener and a sender; return received messages and failed peers."""
         address = free_address()
         codec = FrameCodec([Message])
         got, down = [], []
@@ -76,9 +76,9 @@
                 await anyio.sleep(0.01)
 
         got, _ = self.run_pair("key", act)
-        self.assertEqual([note.number for note in got], list(range(500)))
+        self.assertEqual([message.number for message in got], list(range(500)))
 
-    def test_a_sender_without_the_key_is_refused(self):
+    def test_a_sender_with_a_wrong_key_is_rejected(self):
         async def act(links, address, got, down):
             links.send(address, Message(1, ()))
             while not down:
@@ -88,7 +88,7 @@
         self.assertEqual(got, [])
         self.assertEqual(len(down), 1)
 
-    def test_an_address_where_nothing_listens_goes_down(self):
+    def test_a_failed_connection_is_reported(self):
         nowhere = free_address()
 
         async def act(links, address, got, down):
