--- a/libs/soak/src/cherryrudder/soak/injector.py
+++ b/libs/soak/src/cherryrudder/soak/injector.py
@@ -131,7 +131,7 @@
         """Drain an engine for a while and then sign it off."""
         engine.is_leaving = True
         with anyio.move_on_after(LEAVE_S):
-            while not engine.is_leaving_known:
+            while not engine.is_leaving_acknowledged:
                 await anyio.sleep(0.02)
             self.left_s[engine.engine_id] = time.monotonic()
         await anyio.sleep(LEAVE_S)
@@ -186,11 +186,11 @@
         if engine is None:
             return ""
         replacement = await self.testbed.add_engine(engine.service, engine.kind)
-        engine.tells_callers = True
+        engine.announces_leaving = True
         with anyio.move_on_after(LEAVE_S):
-            while engine.told_callers_s is None:
+            while engine.leaving_announced_s is None:
                 await anyio.sleep(0.02)
-            self.left_s[engine.engine_id] = engine.told_callers_s
+            self.left_s[engine.engine_id] = engine.leaving_announced_s
         await anyio.sleep(LEAVE_S)
         await self.testbed.deployment.depart(engine)
         await self.testbed.remove_engine(engine)
@@ -212,7 +212,7 @@
             ("desk", MIN_PLAIN_ENGINES),
         ):
             engines = [e for e in self.testbed.engines if e.service == service]
-            staying = [e for e in engines if not (e.is_leaving or e.tells_callers)]
+            staying = [e for e in engines if not (e.is_leaving or e.announces_leaving)]
             found += staying if len(staying) > minimum else []
         return found
 
--- a/libs/soak/src/cherryrudder/soak/run.py
+++ b/libs/soak/src/cherryrudder/soak/run.py
@@ -133,7 +133,7 @@
         ),
         crashes=tuple(fleet.crashes),
         engine_limits=tuple(injector.engine_limits),
-        turned_away=tuple(fleet.turned_away),
+        turned_away=tuple(fleet.rejections),
         events=EVENTS,
     )
 
--- a/libs/wire/test/test_links.py
+++ b/libs/wire/test/test_links.py
@@ -11,41 +11,41 @@
 from cherryrudder.wire.links import Links, listen_frames
 
 
-class Note(NamedTuple):
+class Message(NamedTuple):
     number: int
     words: tuple[str, ...]
 
 
 def free_address():
-    """Return a loopback address that was free a moment ago."""
+    """Return an unused loopback address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 class CodecTest(unittest.TestCase):
-    def test_frames_cut_anywhere_come_back_whole(self):
-        codec = FrameCodec([Note])
-        notes = [Note(n, ("a", "b")) for n in range(3)]
-        data = codec.encode(notes[:2]) + codec.encode(notes[2:])
+    def test_frames_split_anywhere_are_decoded_whole(self):
+        codec = FrameCodec([Message])
+        messages = [Message(n, ("a", "b")) for n in range(3)]
+        data = codec.encode(messages[:2]) + codec.encode(messages[2:])
         for cut in range(len(data)):
             buffer = FrameBuffer()
             bodies = buffer.feed(data[:cut]) + buffer.feed(data[cut:])
-            read = [note for body in bodies for note in codec.decode(body)]
-            self.assertEqual(read, notes)
+            read = [message for body in bodies for message in codec.decode(body)]
+            self.assertEqual(read, messages)
 
-    def test_bytes_that_are_no_frame_are_refused(self):
+    def test_invalid_bytes_are_rejected(self):
         with self.assertRaises(FrameError):
-            FrameCodec([Note]).decode(b"\xc1")
+            FrameCodec([Message]).decode(b"\xc1")
         with self.assertRaises(FrameError):
             FrameBuffer().feed(b"\xff" * 8)
 
 
 class LinksTest(unittest.TestCase):
     def run_pair(self, sender_key, act):
-        """Run a listener and a sender; return what arrived and what went down."""
+        """Run a listener and a sender; return received messages and failed peers."""
         address = free_address()
-        codec = FrameCodec([Note])
+        codec = FrameCodec([Message])
         got, down = [], []
 
         async def main():
@@ -71,16 +71,16 @@
     def test_messages_arrive_in_order(self):
         async def act(links, address, got, down):
             for number in range(500):
-                links.send(address, Note(number, ()))
+                links.send(address, Message(number, ()))
             while len(got) < 500:
                 await anyio.sleep(0.01)
 
         got, _ = self.run_pair("key", act)
-        self.assertEqual([note.number for note in got], list(range(500)))
+        self.assertEqual([message.number for message in got], list(range(500)))
 
-    def test_a_sender_without_the_key_is_refused(self):
+    def test_a_sender_with_a_wrong_key_is_rejected(self):
         async def act(links, address, got, down):
-            links.send(address, Note(1, ()))
+            links.send(address, Message(1, ()))
             while not down:
                 await anyio.sleep(0.01)
 
@@ -88,11 +88,11 @@
         self.assertEqual(got, [])
         self.assertEqual(len(down), 1)
 
-    def test_an_address_where_nothing_listens_goes_down(self):
+    def test_a_failed_connection_is_reported(self):
         nowhere = free_address()
 
         async def act(links, address, got, down):
-            links.send(nowhere, Note(1, ()))
+            links.send(nowhere, Message(1, ()))
             while not down:
                 await anyio.sleep(0.01)
 
--- a/tools/platformdemo.py
+++ b/tools/platformdemo.py
@@ -47,7 +47,9 @@
 
 def find_whole(answers):
     """Return the answers whose tokens each ran every layer once, in order."""
-    return [a for a in answers if a.body == requests.whole_stream(a.request_id, EVENTS)]
+    return [
+        a for a in answers if a.body == requests.expected_stream(a.request_id, EVENTS)
+    ]
 
 
 async def show_streams(testbed, checklist):
