--- a/libs/cli/src/cherryrudder/cli/apply_command.py
+++ b/libs/cli/src/cherryrudder/cli/apply_command.py
@@ -16,7 +16,7 @@
 }
 
 
-class Done(NamedTuple):
+class StepResult(NamedTuple):
     """What became of a step; `exit_code` is not 0 if it could not be carried out."""
 
     step: Step
@@ -49,36 +49,36 @@
     return run
 
 
-def plan_only(steps: list[Step]) -> list[Done]:
+def plan_only(steps: list[Step]) -> list[StepResult]:
     """Return the steps as they would be carried out."""
-    return [_unchanged(step) or Done(step, "planned") for step in steps]
+    return [_unchanged(step) or StepResult(step, "planned") for step in steps]
 
 
-def carry_out(client: Client, steps: list[Step]) -> list[Done]:
+def carry_out(client: Client, steps: list[Step]) -> list[StepResult]:
     """Carry out each step, also after one that was refused.
 
     Once no control VM answers, the rest is not tried: each step would wait in vain.
     """
-    done, reachable = [], True
+    results, reachable = [], True
     for step in steps:
         unchanged = _unchanged(step)
         if unchanged:
-            done.append(unchanged)
+            results.append(unchanged)
         elif not reachable:
-            done.append(Done(step, "not tried", Unreachable.exit_code))
+            results.append(StepResult(step, "not tried", Unreachable.exit_code))
         else:
             try:
-                done.append(_put(client, step))
+                results.append(_put(client, step))
             except Unreachable as error:
                 reachable = False
-                done.append(Done(step, str(error), error.exit_code))
-    return done
+                results.append(StepResult(step, str(error), error.exit_code))
+    return results
 
 
-def report(done: list[Done]) -> Output:
+def report(results: list[StepResult]) -> Output:
     """Return what is printed about the steps."""
     lines, rows = [], []
-    for step, message, _ in done:
+    for step, message, _ in results:
         lines.append(f"{step.action} {step.contract.customer}: {message}")
         lines += [f"    {line}" for line in step.diff]
         rows.append(
@@ -91,7 +91,7 @@
             }
         )
     # A failure matters more to a script than a refusal, whatever came first.
-    codes = [result.exit_code for result in done if result.exit_code]
+    codes = [result.exit_code for result in results if result.exit_code]
     return Output("\n".join(lines), {"plan": rows}, min(codes, default=DONE))
 
 
@@ -99,7 +99,9 @@
     message = UNCHANGED.get(step.action)
     if message is None:
         return None
-    return Done(step, message, CONFLICT if step.action == Action.RETIRED else DONE)
+    return StepResult(
+        step, message, CONFLICT if step.action == Action.RETIRED else DONE
+    )
 
 
 def _put(client, step):
@@ -108,5 +110,5 @@
     except Unreachable:
         raise
     except CliError as error:
-        return Done(step, str(error), error.exit_code)
-    return Done(step, f"done, version {answer.version}")
+        return StepResult(step, str(error), error.exit_code)
+    return StepResult(step, f"done, version {answer.version}")
--- a/libs/cli/src/cherryrudder/cli/block_commands.py
+++ b/libs/cli/src/cherryrudder/cli/block_commands.py
@@ -3,7 +3,7 @@
 from . import client as operator
 from .output import Output, table
 
-HEADS = ("request", "account", "service", "engines", "left s")
+HEADERS = ("request", "account", "service", "engines", "left s")
 
 
 def show(address: str):
@@ -15,7 +15,7 @@
     def run(connect):
         value = operator.get(connect(address, needs_key=False), "/blocks")
         rows = [_row(block) for block in value["blocks"]]
-        return Output(table(HEADS, rows), value)
+        return Output(table(HEADERS, rows), value)
 
     return run
 
--- a/libs/cli/src/cherryrudder/cli/client.py
+++ b/libs/cli/src/cherryrudder/cli/client.py
@@ -19,9 +19,9 @@
 ATTEMPT_TIMEOUT_S = 5.0
 # Long enough for each of five addresses to time out once and for a second round to
 # find the new leader.
-PATIENCE_S = 30.0
-PAUSE_S = 0.3
-KEY_REFUSED = (httpx.codes.UNAUTHORIZED, httpx.codes.FORBIDDEN)
+CALL_TIMEOUT_S = 30.0
+RETRY_DELAY_S = 0.3
+KEY_REFUSED_STATUSES = (httpx.codes.UNAUTHORIZED, httpx.codes.FORBIDDEN)
 
 
 class Client:
@@ -37,12 +37,12 @@
         transport: httpx.BaseTransport | None = None,
         clock=time.monotonic,
         sleep=time.sleep,
-        patience_s: float = PATIENCE_S,
+        call_timeout_s: float = CALL_TIMEOUT_S,
     ):
         self.addresses = list(addresses)
         self.clock = clock
         self.sleep = sleep
-        self.patience_s = patience_s
+        self.call_timeout_s = call_timeout_s
         self.http = httpx.Client(
             headers={"Authorization": f"Bearer {key}"},
             timeout=ATTEMPT_TIMEOUT_S,
@@ -68,31 +68,31 @@
     Raises Unreachable when no answer came in time.
     """
     content = None if body is None else msgspec.json.encode(body)
-    give_up_s = client.clock() + client.patience_s
+    deadline_s = client.clock() + client.call_timeout_s
     faults, may_have_acted = {}, False
     while True:
         for address in list(client.addresses):
-            tried = _attempt(client, address, method, path, content)
-            may_have_acted = may_have_acted or tried.may_have_acted
-            if tried.answer is not None:
+            attempt = _attempt(client, address, method, path, content)
+            may_have_acted = may_have_acted or attempt.may_have_acted
+            if attempt.answer is not None:
                 # Others may be down; the next call starts where this one ended.
                 client.addresses.remove(address)
                 client.addresses.insert(0, address)
-                return tried.answer
-            faults[address] = tried.fault
-            if client.clock() >= give_up_s:
+                return attempt.answer
+            faults[address] = attempt.fault
+            if client.clock() >= deadline_s:
                 raise Unreachable(faults, may_have_acted)
-        client.sleep(PAUSE_S)
+        client.sleep(RETRY_DELAY_S)
 
 
 def get(client: Client, path: str):
     """Return the JSON that a path gives."""
-    return _value(call(client, "GET", path))
+    return _decode_answer(call(client, "GET", path))
 
 
 def post(client: Client, path: str):
     """Send an order without a body; return the JSON that it gives."""
-    return _value(call(client, "POST", path))
+    return _decode_answer(call(client, "POST", path))
 
 
 def contracts(client: Client) -> dict[str, VersionedContract]:
@@ -108,7 +108,7 @@
 
 def statuses(client: Client) -> dict[str, Status | str]:
     """Return each control VM's status by address, or why it gave none."""
-    return _ask_all(client, "/v1/status", lambda value: read_record(Status, value))
+    return _query_all(client, "/v1/status", lambda value: read_record(Status, value))
 
 
 def endpoints(client: Client) -> tuple[list[Announcement], dict[str, str]]:
@@ -117,7 +117,7 @@
     An endpoint announces itself to some control VMs only, so that one of them knows
     a part of them all. Raises Unreachable if none answers.
     """
-    found = _ask_all(
+    found = _query_all(
         client,
         "/v1/endpoints",
         lambda value: read_rows(Announcement, value, "endpoints"),
@@ -129,7 +129,7 @@
     for rows in found.values():
         for row in () if isinstance(rows, str) else rows:
             known = newest.get(row.endpoint, row)
-            newest[row.endpoint] = max(known, row, key=_age_order)
+            newest[row.endpoint] = max(known, row, key=_recency)
     return [newest[name] for name in sorted(newest)], silent
 
 
@@ -160,7 +160,9 @@
 def change(client: Client, kind: str, **fields) -> Answer:
     """Send one change under an id of its own and return the platform's answer."""
     body = {"kind": kind, "change_id": uuid.uuid4().hex, **fields}
-    answer = read_record(Answer, _value(call(client, "POST", "/v1/changes", body)))
+    answer = read_record(
+        Answer, _decode_answer(call(client, "POST", "/v1/changes", body))
+    )
     if answer.code == "ok":
         return answer
     message = answer.message or answer.code
@@ -178,24 +180,24 @@
     that lags, and for a set that would be left without a majority at work.
     """
     body = {"action": action, "voter": voter._asdict()}
-    _value(call(client, "POST", "/v1/voters", body))
+    _decode_answer(call(client, "POST", "/v1/voters", body))
 
 
-def _age_order(announcement):
+def _recency(announcement):
     # An incarnation begins with the time of its process's start.
     return announcement.incarnation, announcement.sequence
 
 
-def _ask_all(client, path, read):
+def _query_all(client, path, read):
     """Return what each control VM says by address, or as text why it says nothing."""
     found = {}
     for address in client.addresses:
-        tried = _attempt(client, address, "GET", path, None)
-        if tried.answer is None:
-            found[address] = tried.fault
+        attempt = _attempt(client, address, "GET", path, None)
+        if attempt.answer is None:
+            found[address] = attempt.fault
             continue
         try:
-            found[address] = read(_value(tried.answer))
+            found[address] = read(_decode_answer(attempt.answer))
         except CliError as error:
             found[address] = str(error)
     return found
@@ -216,7 +218,7 @@
     return Attempt(answer)
 
 
-def _value(answer):
+def _decode_answer(answer):
     """Return the JSON of an answer, or raise the error that it tells."""
     try:
         value = msgspec.json.decode(answer.content)
@@ -228,7 +230,7 @@
         raise Failed(f"{answer.status_code} {answer.text[:200]}")
     error = read_record(ErrorBody, value["error"])
     message = f"{error.field}: {error.message}" if error.field else error.message
-    if answer.status_code in KEY_REFUSED:
+    if answer.status_code in KEY_REFUSED_STATUSES:
         raise Failed(f"the operator key was refused: {message}")
     if answer.status_code == httpx.codes.CONFLICT:
         raise Conflict(message)
--- a/libs/cli/src/cherryrudder/cli/contract_commands.py
+++ b/libs/cli/src/cherryrudder/cli/contract_commands.py
@@ -31,9 +31,16 @@
             )
             for name, row in sorted(held.items())
         ]
-        heads = ("customer", "version", "requests/s", "tokens/s", "concurrent", "state")
+        headers = (
+            "customer",
+            "version",
+            "requests/s",
+            "tokens/s",
+            "concurrent",
+            "state",
+        )
         return Output(
-            table(heads, rows), {"contracts": jsoncodec.plain(list(held.values()))}
+            table(headers, rows), {"contracts": jsoncodec.plain(list(held.values()))}
         )
 
     return run
@@ -46,7 +53,7 @@
     """
 
     def run(connect):
-        held = _held(connect(), customer)
+        held = _get_contract(connect(), customer)
         state = "retired" if held.contract.retired else "in force"
         head = f"; version {held.version}, {state}\n"
         text = head + format_contract(held.contract).rstrip()
@@ -78,7 +85,7 @@
     def run(connect):
         contract = _load(file)
         client = connect()
-        held = _held(client, contract.customer)
+        held = _get_contract(client, contract.customer)
         version = held.version if expected_version is None else expected_version
         return _put(client, contract, held.contract, version)
 
@@ -95,7 +102,7 @@
 
     def run(connect):
         client = connect()
-        held = _held(client, customer)
+        held = _get_contract(client, customer)
         version = held.version if expected_version is None else expected_version
         retired = held.contract._replace(retired=True)
         return _put(client, retired, held.contract, version)
@@ -119,7 +126,7 @@
     return result.ok
 
 
-def _held(client, customer):
+def _get_contract(client, customer):
     held = operator.contracts(client).get(customer)
     if held is None:
         raise BadInput(f"{customer}: no such contract")
--- a/libs/cli/src/cherryrudder/cli/control_commands.py
+++ b/libs/cli/src/cherryrudder/cli/control_commands.py
@@ -11,10 +11,10 @@
 # A learner needs a snapshot of some megabytes and the log after it, and each change
 # of voters must be committed before the next. A minute is ample for both; a longer
 # wait means a fault that an operator has to look at.
-REPLACE_S = 60.0
-ASK_AGAIN_S = 0.5
-HEADS = ("address", "vm", "disk", "role", "term", "leader", "commit", "applied")
-MEMBER_HEADS = ("vm", "disk", "frames address", "member")
+VOTER_CHANGE_TIMEOUT_S = 60.0
+RETRY_DELAY_S = 0.5
+HEADERS = ("address", "vm", "disk", "role", "term", "leader", "commit", "applied")
+MEMBER_HEADERS = ("vm", "disk", "frames address", "member")
 
 
 def status():
@@ -27,9 +27,9 @@
         found = operator.statuses(connect())
         rows = [_row(address, one) for address, one in sorted(found.items())]
         known = [one for one in found.values() if isinstance(one, Status)]
-        text = table(HEADS, rows)
+        text = table(HEADERS, rows)
         if known:
-            text += "\n\n" + _members(newest(known))
+            text += "\n\n" + _members(newest_status(known))
         healthy = len(known) == len(found) and any(s.role == "leader" for s in known)
         value = {"control": jsoncodec.plain(found)}
         return Output(text, value, 0 if healthy else FAILED)
@@ -53,20 +53,23 @@
 
     def run(connect):
         client = connect()
-        voters = current(client).voters
-        old = find(voters, old_disk_id)
-        if old is None and find(voters, new_disk_id) is None:
+        voters = current_status(client).voters
+        old = find_member(voters, old_disk_id)
+        if old is None and find_member(voters, new_disk_id) is None:
             held = ", ".join(one.disk_id for one in voters)
             raise BadInput(f"no voter has the disk {old_disk_id}; voters: {held}")
         add_voter(client, new)
         # The lost voter goes last. With it gone first, two of three voters would be
         # left, and a fault of either would stop all changes until the new one is in.
         if old is not None:
-            settle(
-                client, "remove", old, lambda seen: not find(seen.voters, old_disk_id)
+            retry_voter_change(
+                client,
+                "remove",
+                old,
+                lambda seen: not find_member(seen.voters, old_disk_id),
             )
         text = f"{new_vm}, disk {new_disk_id}, votes in place of {old_disk_id}"
-        return Output(text, {"voters": jsoncodec.plain(current(client).voters)})
+        return Output(text, {"voters": jsoncodec.plain(current_status(client).voters)})
 
     return run
 
@@ -74,41 +77,43 @@
 def add_voter(client: Client, voter: Voter) -> None:
     """Make a control VM a learner and, once it has caught up, a voter."""
     name = voter.disk_id
-    settle(
+    retry_voter_change(
         client,
         "add-learner",
         voter,
-        lambda seen: find(seen.learners, name) or find(seen.voters, name),
+        lambda seen: find_member(seen.learners, name) or find_member(seen.voters, name),
+    )
+    retry_voter_change(
+        client, "promote", voter, lambda seen: find_member(seen.voters, name)
     )
-    settle(client, "promote", voter, lambda seen: find(seen.voters, name))
 
 
-def settle(client: Client, action: str, voter: Voter, is_done) -> None:
+def retry_voter_change(client: Client, action: str, voter: Voter, is_done) -> None:
     """Ask for a change of voters until it is seen; raises the last refusal.
 
     The platform refuses a learner that lags, since its vote would count towards a
     majority that lacks accepted changes, and a change while another is under way.
     Both pass with time.
     """
-    give_up_s = client.clock() + REPLACE_S
-    while not is_done(current(client)):
+    deadline_s = client.clock() + VOTER_CHANGE_TIMEOUT_S
+    while not is_done(current_status(client)):
         try:
             operator.change_voters(client, action, voter)
         except Conflict as error:
-            if client.clock() >= give_up_s:
+            if client.clock() >= deadline_s:
                 raise Conflict(f"{action} {voter.disk_id}: {error}") from error
         else:
-            if client.clock() >= give_up_s:
+            if client.clock() >= deadline_s:
                 raise Failed(f"{action} {voter.disk_id}: accepted, but not seen")
-        client.sleep(ASK_AGAIN_S)
+        client.sleep(RETRY_DELAY_S)
 
 
-def find(members: tuple[Voter, ...], disk_id: str) -> Voter | None:
+def find_member(members: tuple[Voter, ...], disk_id: str) -> Voter | None:
     """Return the member with a disk."""
     return next((one for one in members if one.disk_id == disk_id), None)
 
 
-def current(client: Client) -> Status:
+def current_status(client: Client) -> Status:
     """Return the newest status that any control VM gives; raises Failed without one.
 
     A control VM that is cut off answers too, with voters of long ago.
@@ -117,10 +122,10 @@
     known = [one for one in found.values() if isinstance(one, Status)]
     if not known:
         raise Failed("\n".join(f"{at}: {fault}" for at, fault in found.items()))
-    return newest(known)
+    return newest_status(known)
 
 
-def newest(known: list[Status]) -> Status:
+def newest_status(known: list[Status]) -> Status:
     """Return the status with the latest term and log."""
     return max(known, key=lambda one: (one.term, one.commit, one.role == "leader"))
 
@@ -130,7 +135,7 @@
 
 def _row(address, one):
     if not isinstance(one, Status):
-        return (address, *[""] * (len(HEADS) - 2), one)
+        return (address, *[""] * (len(HEADERS) - 2), one)
     facts = (one.vm, one.disk_id, one.role, one.term, one.leader, one.commit)
     return (address, *facts, one.applied)
 
@@ -138,4 +143,4 @@
 def _members(one):
     rows = [(v.vm, v.disk_id, v.address, "voter") for v in one.voters]
     rows += [(v.vm, v.disk_id, v.address, "learner") for v in one.learners]
-    return table(MEMBER_HEADS, rows)
+    return table(MEMBER_HEADERS, rows)
--- a/libs/cli/src/cherryrudder/cli/loss_command.py
+++ b/libs/cli/src/cherryrudder/cli/loss_command.py
@@ -5,7 +5,7 @@
 from . import losses as attribution, requestlog
 from .output import Output, table
 
-HEADS = ("requests", "share", "cause")
+HEADERS = ("requests", "share", "cause")
 
 
 def losses(*files: Path, width_s: float = 2.0, other: Path | None = None):
@@ -18,12 +18,15 @@
 
     def run(connect):
         found = attribution.attribute(requestlog.read_files(files))
-        counts = attribution.count(found)
-        lines = [table(HEADS, [_row(one) for one in counts])]
+        counts = attribution.count_causes(found)
+        lines = [table(HEADERS, [_row(one) for one in counts])]
         if other is not None:
-            lines += ["", _beside(counts, other)]
-        stretches = attribution.by_second(found, width_s)
-        lines += ["", *(_show(n, told, width_s) for n, told in stretches.items())]
+            lines += ["", _comparison_table(counts, other)]
+        stretches = attribution.count_by_interval(found, width_s)
+        lines += [
+            "",
+            *(_format_interval(n, told, width_s) for n, told in stretches.items()),
+        ]
         value = {
             "causes": [one._asdict() for one in counts],
             "requests": [one._asdict() for one in found],
@@ -33,8 +36,10 @@
     return run
 
 
-def _beside(counts, other):
-    theirs = attribution.count(attribution.attribute(requestlog.read_files([other])))
+def _comparison_table(counts, other):
+    theirs = attribution.count_causes(
+        attribution.attribute(requestlog.read_files([other]))
+    )
     shares = {one.cause: one.share for one in theirs}
     names = dict.fromkeys([one.cause for one in counts] + list(shares))
     own = {one.cause: one.share for one in counts}
@@ -49,6 +54,6 @@
     return (str(one.requests), f"{one.share:.3f}", one.cause)
 
 
-def _show(number, counts, width_s):
+def _format_interval(number, counts, width_s):
     told = ", ".join(f"{one.cause} {one.requests}" for one in counts)
     return f"{number * width_s:6.1f} s  {told}"
--- a/libs/cli/src/cherryrudder/cli/main.py
+++ b/libs/cli/src/cherryrudder/cli/main.py
@@ -19,7 +19,7 @@
 from .errors import CliError
 from .loss_command import losses
 from .options import HELP, check_address, control_addresses, read_key, split_options
-from .output import pretty
+from .output import format_json
 from .trace_command import trace
 
 COMMANDS = {
@@ -50,7 +50,7 @@
         if address is not None:
             one = [check_address(address)]
             key = read_key(options) if needs_key else ""
-            return Client(one, key, transport, patience_s=0)
+            return Client(one, key, transport, call_timeout_s=0)
         return Client(control_addresses(options), read_key(options), transport)
 
     command = defopt.run(
@@ -67,5 +67,5 @@
     except CliError as error:
         print(error, file=sys.stderr)
         return error.exit_code
-    print(pretty(output.value) if options.json else output.text)
+    print(format_json(output.value) if options.json else output.text)
     return output.exit_code
--- a/libs/cli/src/cherryrudder/cli/output.py
+++ b/libs/cli/src/cherryrudder/cli/output.py
@@ -15,10 +15,10 @@
     exit_code: int = DONE
 
 
-def table(heads: tuple[str, ...], rows: list[tuple]) -> str:
+def table(headers: tuple[str, ...], rows: list[tuple]) -> str:
     """Return rows under their heads, in columns of equal width."""
-    cells = [heads, *(tuple(str(cell) for cell in row) for row in rows)]
-    widths = [max(len(row[column]) for row in cells) for column in range(len(heads))]
+    cells = [headers, *(tuple(str(cell) for cell in row) for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(headers))]
     lines = [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
         for row in cells
@@ -26,7 +26,7 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def pretty(value) -> str:
+def format_json(value) -> str:
     """Return indented JSON."""
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
 
--- a/libs/cli/src/cherryrudder/cli/platform_commands.py
+++ b/libs/cli/src/cherryrudder/cli/platform_commands.py
@@ -4,9 +4,9 @@
 from cherryrudder.model.endpoints import Kind
 
 from . import client as operator
-from .output import Output, pretty, table
+from .output import Output, format_json, table
 
-HEADS = ("endpoint", "kind", "vm", "data centre", "serves", "slots", "state")
+HEADERS = ("endpoint", "kind", "vm", "data centre", "serves", "slots", "state")
 
 
 def endpoints():
@@ -18,7 +18,7 @@
 
     def run(connect):
         found, silent = operator.endpoints(connect())
-        lines = [table(HEADS, [_row(one) for one in found])]
+        lines = [table(HEADERS, [_row(one) for one in found])]
         lines += [f"no answer from {at}: {fault}" for at, fault in silent.items()]
         value = {"endpoints": jsoncodec.plain(found), "silent": silent}
         return Output("\n".join(lines), value)
@@ -36,7 +36,7 @@
 
     def run(connect):
         value = operator.get(connect(address), "/v1/dump")
-        return Output(pretty(value), value)
+        return Output(format_json(value), value)
 
     return run
 
--- a/libs/cli/src/cherryrudder/cli/requestlog.py
+++ b/libs/cli/src/cherryrudder/cli/requestlog.py
@@ -12,10 +12,12 @@
 from .errors import BadInput
 
 # A death or a lost control VM that lies further back has been dealt with since.
-BEFORE_S = 6.0
+WINDOW_BEFORE_S = 6.0
 # What was found out just after the request had ended may explain it as well.
-AFTER_S = 1.0
-NO_WORD = "no line says how it ended: it is still under way, or its process was killed"
+WINDOW_AFTER_S = 1.0
+NO_END_LOGGED = (
+    "no line says how it ended: it is still under way, or its process was killed"
+)
 
 
 class Line(NamedTuple):
@@ -28,7 +30,7 @@
     event: str
     fields: dict
 
-    def tells(self, name: str, default=""):
+    def get(self, name: str, default=""):
         """Return one of its fields."""
         return self.fields.get(name, default)
 
@@ -42,7 +44,7 @@
     cause: str
 
 
-HEAD = ("time", "vm", "role", "part", "event")
+COMMON_FIELDS = ("time", "vm", "role", "part", "event")
 
 
 def read_line(text: str) -> Line | None:
@@ -51,18 +53,18 @@
         found = json.loads(text)
     except ValueError:
         return None
-    if not isinstance(found, dict) or not all(name in found for name in HEAD):
+    if not isinstance(found, dict) or not all(name in found for name in COMMON_FIELDS):
         return None
-    head = [found.pop(name) for name in HEAD]
+    head = [found.pop(name) for name in COMMON_FIELDS]
     return Line(*head, found)
 
 
 def read_files(files: Iterable[Path]) -> list[Line]:
     """Return the structured lines of log files; raises BadInput."""
-    return [line for file in files for line in _read(file)]
+    return [line for file in files for line in _read_file(file)]
 
 
-def _read(file):
+def _read_file(file):
     try:
         text = file.read_text(encoding="utf-8", errors="replace")
     except OSError as error:
@@ -74,14 +76,14 @@
 def trace(lines: Iterable[Line], request_id: str) -> Trace:
     """Return what a request's lines and those beside them tell."""
     ordered = sorted(lines, key=lambda line: line.time_s)
-    own = [line for line in ordered if line.tells("request_id") == request_id]
+    own = [line for line in ordered if line.get("request_id") == request_id]
     end = _last(own, "ended") or _last(own, "refused")
     if end is None:
-        return Trace(request_id, own, [], NO_WORD if own else "no line names it")
+        return Trace(request_id, own, [], NO_END_LOGGED if own else "no line names it")
     near = [
         line
         for line in ordered
-        if end.time_s - BEFORE_S <= line.time_s <= end.time_s + AFTER_S
+        if end.time_s - WINDOW_BEFORE_S <= line.time_s <= end.time_s + WINDOW_AFTER_S
     ]
     beside, cause = _explain(own, near, end)
     return Trace(request_id, own, beside, cause)
@@ -89,11 +91,11 @@
 
 def _explain(own, near, end):
     refused = _last(own, "refused")
-    outcome = end.tells("outcome", f"refused {end.tells('status')}")
+    outcome = end.get("outcome", f"refused {end.get('status')}")
     if outcome.startswith("broken off"):
         return _explain_break(own, near, end, outcome)
     if outcome.startswith("refused") and refused is not None:
-        if refused.tells("status") in (502, 504):
+        if refused.get("status") in (502, 504):
             return _explain_unknown(own, near, refused)
         return _explain_refusal(own, near, refused)
     return [], outcome
@@ -101,22 +103,22 @@
 
 def _explain_break(own, near, end, outcome):
     """Name the engines of the request's chains that were found dead."""
-    chains = " ".join(line.tells("chain") for line in own if line.event == "sent")
+    chains = " ".join(line.get("chain") for line in own if line.event == "sent")
     deaths = [
         line
         for line in near
-        if line.event == "engine-dead" and f"{line.tells('address')}=" in chains
+        if line.event == "engine-dead" and f"{line.get('address')}=" in chains
     ]
     if not deaths:
         return [], f"{outcome}; no engine of its chains was found dead near that time"
-    named = sorted({line.tells("address") for line in deaths})
+    named = sorted({line.get("address") for line in deaths})
     verdict = _last(own, "retry")
-    left = f", and not sent again: {verdict.tells('verdict')}" if verdict else ""
+    left = f", and not sent again: {verdict.get('verdict')}" if verdict else ""
     return deaths, f"{outcome}; found dead of its chains: {', '.join(named)}{left}"
 
 
 def _explain_refusal(own, near, refused):
-    reason = refused.tells("reason")
+    reason = refused.get("reason")
     blocked = _last(own, "blocked")
     if blocked is not None:
         return _explain_block(near, blocked)
@@ -126,47 +128,47 @@
     if reason.startswith(("configuration", "cut off", "no configuration")):
         kinds = ("control-lost", "leader", "confirmed", "lost")
         beside = [line for line in near if line.event in kinds]
-        age_s = refused.tells("confirmed_age_s")
+        age_s = refused.get("confirmed_age_s")
         return beside, f"refused: {reason}, last confirmed {age_s} s before"
     return [], f"refused: {reason}"
 
 
 def _explain_block(near, blocked):
     """Name the engines that ended under the request, whichever attempt it was."""
-    fingerprint = blocked.tells("fingerprint")
+    fingerprint = blocked.get("fingerprint")
     beside = [
         line
         for line in near
-        if line.part == "crashes" and line.tells("fingerprint") == fingerprint
+        if line.part == "crashes" and line.get("fingerprint") == fingerprint
     ]
-    ended = ", ".join(blocked.tells("engine_ids", ()))
+    ended = ", ".join(blocked.get("engine_ids", ()))
     return beside, f"refused for good: {fingerprint} has ended {ended}"
 
 
 def _explain_no_chain(near, missing, reason):
-    layer = missing.tells("tightest_layer", 0)
+    layer = missing.get("tightest_layer", 0)
     beside = [
         line
         for line in near
         if line.event in ("engine-dead", "endpoint-gone", "endpoint-lost")
-        or (line.event == "order" and _covers(line.tells("layers"), layer))
+        or (line.event == "order" and _covers(line.get("layers"), layer))
     ]
     return beside, (
         f"refused: {reason}; layer {layer} had room for"
-        f" {missing.tells('free_tokens')} tokens where {missing.tells('tokens')} were"
-        f" needed, with {missing.tells('engines')} engines in use"
+        f" {missing.get('free_tokens')} tokens where {missing.get('tokens')} were"
+        f" needed, with {missing.get('engines')} engines in use"
     )
 
 
 def _explain_unknown(own, near, refused):
     sent = _last(own, "sent")
     if sent is None:
-        return [], f"refused: {refused.tells('reason')}"
-    engine_id = sent.tells("engine_id")
-    beside = [line for line in near if line.tells("engine_id") == engine_id]
+        return [], f"refused: {refused.get('reason')}"
+    engine_id = sent.get("engine_id")
+    beside = [line for line in near if line.get("engine_id") == engine_id]
     beside = [line for line in beside if line.part != "request"]
     return beside, (
-        f"outcome unknown: sent to {engine_id}, then: {refused.tells('reason')};"
+        f"outcome unknown: sent to {engine_id}, then: {refused.get('reason')};"
         f" only its own ledger tells whether it has run"
     )
 
--- a/libs/cli/src/cherryrudder/cli/stop_commands.py
+++ b/libs/cli/src/cherryrudder/cli/stop_commands.py
@@ -31,7 +31,7 @@
 
     def run(connect):
         client = connect()
-        held = _announced(client, scope, target)
+        held = _find_stop(client, scope, target)
         if held is not None and not stop_id:
             value = {"stop_id": held.stop_id, "changed": False}
             return Output(f"{held.stop_id}: announced already", value)
@@ -72,7 +72,7 @@
 COMMANDS = {"announce": announce, "list": list_stops, "cancel": cancel}
 
 
-def _announced(client, scope, target):
+def _find_stop(client, scope, target):
     for row in operator.stops(client):
         if (row.stop.scope, row.stop.target) == (scope, target):
             return row.stop
--- a/libs/cli/src/cherryrudder/cli/trace_command.py
+++ b/libs/cli/src/cherryrudder/cli/trace_command.py
@@ -21,9 +21,12 @@
         if not found.lines:
             raise BadInput(f"{request_id}: {found.cause}")
         begins_s = found.lines[0].time_s
-        text = [_show(line, begins_s) for line in found.lines]
+        text = [_format_line(line, begins_s) for line in found.lines]
         if found.beside:
-            text += ["beside it:", *(_show(line, begins_s) for line in found.beside)]
+            text += [
+                "beside it:",
+                *(_format_line(line, begins_s) for line in found.beside),
+            ]
         return Output("\n".join([*text, found.cause]), _plain(found))
 
     return run
@@ -37,7 +40,7 @@
     return value
 
 
-def _show(line: Line, begins_s: float):
+def _format_line(line: Line, begins_s: float):
     fields = {k: v for k, v in line.fields.items() if k != "request_id"}
     told = " ".join(f"{name}={value}" for name, value in fields.items())
     at_s = line.time_s - begins_s
--- a/libs/cli/test/builders.py
+++ b/libs/cli/test/builders.py
@@ -55,7 +55,7 @@
     """Return the path of a log file with some lines, behind other texts."""
     texts = [*texts]
     for line in lines:
-        head = dict(zip(requestlog.HEAD, line[:5], strict=True))
+        head = dict(zip(requestlog.COMMON_FIELDS, line[:5], strict=True))
         texts.append(json.dumps(head | line.fields))
     path = Path(tempfile.mkdtemp()) / "entry.log"
     path.write_text("\n".join(texts))
--- a/libs/cli/test/test_client.py
+++ b/libs/cli/test/test_client.py
@@ -6,7 +6,7 @@
 from builders import ADDRESSES, KEY, FakeControl, a_contract
 
 from cherryrudder.cli import client as operator
-from cherryrudder.cli.client import PATIENCE_S, Client
+from cherryrudder.cli.client import CALL_TIMEOUT_S, Client
 from cherryrudder.cli.errors import BadInput, Conflict, Failed, Unreachable
 
 
@@ -24,14 +24,14 @@
     def sleep(self, wait_s):
         self.now_s += wait_s
 
-    def asked(self):
+    def called_addresses(self):
         return [address for address, *_ in self.control.calls]
 
     def test_the_next_address_is_asked_and_then_kept(self):
         self.control.faults = {ADDRESSES[0]: ["down"], ADDRESSES[1]: ["no-leader"]}
         self.assertEqual(operator.contracts(self.client), {})
         operator.contracts(self.client)
-        self.assertEqual(self.asked(), [*ADDRESSES, ADDRESSES[2]])
+        self.assertEqual(self.called_addresses(), [*ADDRESSES, ADDRESSES[2]])
 
     def test_a_new_leader_is_waited_for(self):
         """The leader dies; for a second nobody takes changes, then one is elected.
@@ -56,7 +56,7 @@
                 operator.put_contract(self.client, a_contract(), 0)
             self.assertEqual(caught.exception.may_have_acted, acted)
             self.assertEqual("may have been accepted" in str(caught.exception), acted)
-        self.assertLess(self.now_s, 2 * (PATIENCE_S + 1))
+        self.assertLess(self.now_s, 2 * (CALL_TIMEOUT_S + 1))
 
     def test_answers_become_typed_errors(self):
         operator.put_contract(self.client, a_contract(), 0)
--- a/libs/cli/test/test_losses.py
+++ b/libs/cli/test/test_losses.py
@@ -21,7 +21,7 @@
 }
 
 
-def a_life(request_id="r1", *between, vm="front-1", **end):
+def request_lines(request_id="r1", *between, vm="front-1", **end):
     """Return the lines of a request that came at 10 s; `end` changes its last one."""
     return [
         a_line(10.0, "admitted", vm=vm, request_id=request_id, route="r", account="a"),
@@ -33,7 +33,7 @@
 
 class CauseTest(unittest.TestCase):
     def cause(self, *between, **end):
-        (loss,) = losses.attribute(a_life("r1", *between, **end))
+        (loss,) = losses.attribute(request_lines("r1", *between, **end))
         return loss.cause
 
     def test_an_answer_in_time(self):
@@ -65,7 +65,7 @@
         lines = [
             a_line(9.0, "endpoint", "uplink", engine_id="e", address="10.2.64.9:8323"),
             a_line(10.8, "engine-pace", "uplink", engine_id="e", slowness=4.0),
-            *a_life("r1", longest_pause_s=0.3),
+            *request_lines("r1", longest_pause_s=0.3),
         ]
         (loss,) = losses.attribute(lines)
         self.assertEqual(loss.cause, "paused: an engine was slow")
@@ -76,7 +76,7 @@
         self.assertEqual(cause, "refused 503: no chain")
 
     def test_a_request_without_an_end(self):
-        (loss,) = losses.attribute(a_life()[:2])
+        (loss,) = losses.attribute(request_lines()[:2])
         self.assertIn("no end", loss.cause)
 
 
@@ -85,9 +85,9 @@
 
     def test_it_counts_each_request_once(self):
         mix = [
-            *a_life("r1"),
-            *a_life("r2", first_byte_s=0.8, waited_s=0.7, waited_for="no room"),
-            *a_life("r1", vm="front-2"),
+            *request_lines("r1"),
+            *request_lines("r2", first_byte_s=0.8, waited_s=0.7, waited_for="no room"),
+            *request_lines("r1", vm="front-2"),
         ]
         value = json.loads(self.run_tool("--json", "losses", a_log_file(mix)))
         self.assertEqual(
--- a/libs/cli/test/test_trace.py
+++ b/libs/cli/test/test_trace.py
@@ -10,7 +10,7 @@
 CHAIN = "10.2.64.13:8323=0-13,10.2.64.9:8323=13-80"
 
 
-def a_death(time_s, address="10.2.64.9:8323"):
+def engine_death(time_s, address="10.2.64.9:8323"):
     """Return the line of an entry that found an engine dead."""
     return a_line(time_s, "engine-dead", "stalls", address=address, why="silent")
 
@@ -22,8 +22,8 @@
     def test_a_broken_stream_names_the_dead_engine_of_its_chain(self):
         found = self.cause(
             a_line(10.0, "sent", chain=CHAIN, engine_id="e13"),
-            a_death(10.5),
-            a_death(10.4, "10.9.9.9:1"),
+            engine_death(10.5),
+            engine_death(10.4, "10.9.9.9:1"),
             a_line(10.6, "retry", verdict="no-budget"),
             a_line(10.7, "ended", outcome="broken off: an engine of the chain died"),
         )
@@ -81,7 +81,9 @@
         self.assertIn("4.2 s before", found.cause)
 
     def test_one_whose_process_was_killed_has_no_end(self):
-        self.assertEqual(self.cause(a_line(1.0, "sent")).cause, requestlog.NO_WORD)
+        self.assertEqual(
+            self.cause(a_line(1.0, "sent")).cause, requestlog.NO_END_LOGGED
+        )
 
     def test_what_is_no_structured_line_is_passed_over(self):
         for text in ("", "Traceback", "[1]", '{"time": 1}'):
--- a/libs/model/src/cherryrudder/model/contractfiles.py
+++ b/libs/model/src/cherryrudder/model/contractfiles.py
@@ -10,8 +10,8 @@
 from .errors import SettingsError
 
 SECTION = "contract"
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-SHA256 = re.compile(r"[0-9a-f]{64}")
+CUSTOMER_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+SHA256_PATTERN = re.compile(r"[0-9a-f]{64}")
 FLOATS = ("requests_per_s", "tokens_per_s", "max_wait_s", "burst_s")
 INTEGERS = ("concurrent_requests", "max_tokens", "priorities")
 LISTS = ("models", "services")
@@ -45,7 +45,7 @@
         for key in values
         if key not in Contract._fields or key == "retired"
     ]
-    fields = _fields(values, faults)
+    fields = _read_fields(values, faults)
     if faults:
         return Error(SettingsError(faults))
     contract = Contract(**fields)
@@ -67,9 +67,9 @@
 def check_contract(contract: Contract) -> list[str]:
     """Return one message for every value that a contract must not have."""
     faults = []
-    if not NAME.fullmatch(contract.customer):
+    if not CUSTOMER_PATTERN.fullmatch(contract.customer):
         faults.append("customer: lower-case letters, digits and hyphens, 63 at most")
-    if not SHA256.fullmatch(contract.key_sha256):
+    if not SHA256_PATTERN.fullmatch(contract.key_sha256):
         faults.append("key_sha256: 64 lower-case hex digits")
     if not contract.models and not contract.services:
         faults.append("models, services: at least one is needed")
@@ -79,7 +79,7 @@
     return [f"[{SECTION}] {fault}" for fault in faults]
 
 
-def _fields(values, faults):
+def _read_fields(values, faults):
     fields = {}
     for key in Contract._fields:
         if key not in values:
--- a/libs/model/src/cherryrudder/model/jsoncodec.py
+++ b/libs/model/src/cherryrudder/model/jsoncodec.py
@@ -20,13 +20,13 @@
 
 def decode(data: bytes | str, kind=object):
     """Return the value of a type that the JSON holds; raises msgspec.DecodeError."""
-    read = msgspec.json.decode(data, type=_twin_of(kind), strict=False)
-    return _from_twin(read)
+    read = msgspec.json.decode(data, type=_struct_type(kind), strict=False)
+    return _from_struct(read)
 
 
 def convert(value, kind):
     """Return the value of a type that bare dicts hold; raises msgspec.DecodeError."""
-    return _from_twin(msgspec.convert(value, type=_twin_of(kind), strict=False))
+    return _from_struct(msgspec.convert(value, type=_struct_type(kind), strict=False))
 
 
 def plain(value):
@@ -44,7 +44,7 @@
     return value
 
 
-class _Twin(msgspec.Struct):
+class _StructBase(msgspec.Struct):
     pass
 
 
@@ -55,42 +55,42 @@
 
 
 @functools.cache
-def _twin_of(kind):
+def _struct_type(kind):
     """Return the type by which msgspec reads a type's JSON."""
     if _is_named_tuple(kind):
-        return _make_twin(kind)
+        return _make_struct(kind)
     arguments = typing.get_args(kind)
     if not arguments or typing.get_origin(kind) is typing.Literal:
         return kind
-    twins = tuple(_twin_of(part) for part in arguments)
+    parts = tuple(_struct_type(part) for part in arguments)
     if isinstance(kind, types.UnionType):
-        return functools.reduce(lambda left, right: left | right, twins)
-    return typing.get_origin(kind)[twins]
+        return functools.reduce(lambda left, right: left | right, parts)
+    return typing.get_origin(kind)[parts]
 
 
-def _make_twin(kind):
+def _make_struct(kind):
     fields = []
     for name, part in typing.get_type_hints(kind).items():
-        field = (name, _twin_of(part))
+        field = (name, _struct_type(part))
         if name in kind._field_defaults:
             field += (kind._field_defaults[name],)
         fields.append(field)
-    twin = msgspec.defstruct(kind.__name__, fields, bases=(_Twin,))
-    _KIND_OF_TWIN[twin] = kind
-    return twin
+    struct = msgspec.defstruct(kind.__name__, fields, bases=(_StructBase,))
+    _TYPE_OF_STRUCT[struct] = kind
+    return struct
 
 
-_KIND_OF_TWIN: dict[type, type] = {}
+_TYPE_OF_STRUCT: dict[type, type] = {}
 
 
-def _from_twin(value):
-    if isinstance(value, _Twin):
-        parts = (_from_twin(getattr(value, n)) for n in value.__struct_fields__)
-        return _KIND_OF_TWIN[type(value)](*parts)
+def _from_struct(value):
+    if isinstance(value, _StructBase):
+        parts = (_from_struct(getattr(value, n)) for n in value.__struct_fields__)
+        return _TYPE_OF_STRUCT[type(value)](*parts)
     if isinstance(value, list):
-        return [_from_twin(part) for part in value]
+        return [_from_struct(part) for part in value]
     if isinstance(value, tuple):
-        return tuple(_from_twin(part) for part in value)
+        return tuple(_from_struct(part) for part in value)
     if isinstance(value, dict):
-        return {key: _from_twin(part) for key, part in value.items()}
+        return {key: _from_struct(part) for key, part in value.items()}
     return value
--- a/libs/model/src/cherryrudder/model/settings.py
+++ b/libs/model/src/cherryrudder/model/settings.py
@@ -104,7 +104,7 @@
 
 
 # What each role cannot do without, as section and key.
-NEEDED = {
+REQUIRED = {
     "all": (
         ("process", "vm"),
         ("process", "data_centre"),
@@ -159,14 +159,14 @@
         own = _read(text)
     except configparser.Error as error:
         return Error(SettingsError([str(error).replace("\n", " ")]))
-    faults = _unknown(own, defaults)
+    faults = _unknown_settings(own, defaults)
     values = {name: dict(defaults[name]) for name in defaults.sections()}
     for name in own.sections():
         values.setdefault(name, {}).update(own[name])
     sections = {}
     for name, kind in Settings.__annotations__.items():
-        sections[name] = _section(name, kind, values[name], faults)
-    faults += _missing(values) + _wrong(values)
+        sections[name] = _read_section(name, kind, values[name], faults)
+    faults += _missing_values(values) + _invalid_values(values)
     if faults:
         return Error(SettingsError(faults))
     return Ok(Settings(**sections))
@@ -182,7 +182,7 @@
     return parser
 
 
-def _unknown(own, defaults):
+def _unknown_settings(own, defaults):
     faults = []
     for section in own.sections():
         if section not in defaults:
@@ -194,7 +194,7 @@
     return faults
 
 
-def _section(name, kind, values, faults):
+def _read_section(name, kind, values, faults):
     read = {}
     for key, wanted in kind.__annotations__.items():
         try:
@@ -221,22 +221,22 @@
     return tuple(part.strip() for part in text.split(",") if part.strip())
 
 
-def _missing(values):
+def _missing_values(values):
     role = values["process"]["role"]
     if role not in ROLES:
         return [f"[process] role: {role!r} is not one of {', '.join(ROLES)}"]
-    needed = NEEDED["all"] + NEEDED[role]
+    required = REQUIRED["all"] + REQUIRED[role]
     if role == "sidecar":
         is_engine = values["sidecar"]["kind"] == Kind.ENGINE
-        needed += (("sidecar", "model" if is_engine else "service"),)
+        required += (("sidecar", "model" if is_engine else "service"),)
     return [
         f"[{section}] {key}: a {role} needs a value"
-        for section, key in needed
+        for section, key in required
         if not values[section][key].strip()
     ]
 
 
-def _wrong(values):
+def _invalid_values(values):
     faults = []
     addresses = [("listen", key, text) for key, text in values["listen"].items()]
     addresses.append(("statsd", "address", values["statsd"]["address"]))
