--- a/libs/cli/src/cherryrudder/cli/__init__.py
+++ b/libs/cli/src/cherryrudder/cli/__init__.py
@@ -1,1 +1,1 @@
-"""cherryrudder, the operators' command-line tool."""
+"""The operators' command-line tool, `cherryrudder`."""
--- a/libs/cli/src/cherryrudder/cli/__main__.py
+++ b/libs/cli/src/cherryrudder/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Run the tool: `python -m cherryrudder.cli`."""
+"""Run the command-line tool by `python -m cherryrudder.cli`."""
 
 import sys
 
--- a/libs/cli/src/cherryrudder/cli/apply_command.py
+++ b/libs/cli/src/cherryrudder/cli/apply_command.py
@@ -1,4 +1,4 @@
-"""The command `apply`: make the platform hold a folder's contracts."""
+"""The command `apply`: bring the platform's contracts in line with a folder."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -12,12 +12,12 @@
 UNCHANGED = {
     Action.KEEP: "no change",
     Action.ABSENT: "no file in the folder, left as it is",
-    Action.RETIRED: "not changed, `contract change` takes it up again",
+    Action.RETIRED: "not changed, use `contract change` to put it in force again",
 }
 
 
 class StepResult(NamedTuple):
-    """What became of a step; `exit_code` is not 0 if it could not be carried out."""
+    """The result of a step; `exit_code` is not 0 if it was not carried out."""
 
     step: Step
     message: str
@@ -25,13 +25,13 @@
 
 
 def apply(folder: Path, *, dry_run: bool = False):
-    """Make the platform hold the contracts of a folder of INI files.
+    """Create or change contracts to match a folder of INI files.
 
-    Prints the plan with its differences and what became of each step. Contracts
+    Prints the plan with its differences and the result of each step. Contracts
     without a file are left alone. Running it again changes nothing.
 
-    Ends with 0 if all is done or nothing was to do, 1 on failure, 2 on bad input, 3
-    if a contract was changed by someone else or is retired.
+    Exits with 0 if all is done or there was nothing to do, 1 on failure, 2 on bad
+    input, 3 if a contract was changed by someone else or is retired.
 
     :param folder: folder with one .ini file per customer
     :param dry_run: print the plan only
@@ -50,14 +50,15 @@
 
 
 def plan_only(steps: list[Step]) -> list[StepResult]:
-    """Return the steps as they would be carried out."""
+    """Return the results of a dry run."""
     return [_unchanged(step) or StepResult(step, "planned") for step in steps]
 
 
 def carry_out(client: Client, steps: list[Step]) -> list[StepResult]:
-    """Carry out each step, also after one that was refused.
+    """Carry out the steps, continuing after a step that was refused.
 
-    Once no control VM answers, the rest is not tried: each step would wait in vain.
+    Once no control VM answers, the remaining steps are not tried, since each would wait
+    until its timeout.
     """
     results, reachable = [], True
     for step in steps:
@@ -76,7 +77,7 @@
 
 
 def report(results: list[StepResult]) -> Output:
-    """Return what is printed about the steps."""
+    """Return the output for the results of all steps."""
     lines, rows = [], []
     for step, message, _ in results:
         lines.append(f"{step.action} {step.contract.customer}: {message}")
@@ -90,7 +91,7 @@
                 "diff": step.diff,
             }
         )
-    # A failure matters more to a script than a refusal, whatever came first.
+    # A failure (1) takes precedence over a conflict (3), in whatever order they came.
     codes = [result.exit_code for result in results if result.exit_code]
     return Output("\n".join(lines), {"plan": rows}, min(codes, default=DONE))
 
--- a/libs/cli/src/cherryrudder/cli/block_commands.py
+++ b/libs/cli/src/cherryrudder/cli/block_commands.py
@@ -1,4 +1,4 @@
-"""The commands on requests that are refused since they end their engines."""
+"""The `block` commands: list and lift blocks of requests that crash their engines."""
 
 from . import client as operator
 from .output import Output, table
@@ -7,7 +7,7 @@
 
 
 def show(address: str):
-    """List the requests that one process refuses, and the engines they ended.
+    """List the requests that one process refuses, and the engines they crashed.
 
     :param address: metrics address of an entry or control VM, IP:PORT
     """
@@ -21,10 +21,10 @@
 
 
 def lift(address: str, fingerprint: str):
-    """Let a request run again, at all entries.
+    """Lift the block of a request at all entries.
 
     :param address: metrics address of a control VM, IP:PORT
-    :param fingerprint: the request, as "block list" prints it
+    :param fingerprint: the request's fingerprint, as "block list" prints it
     """
 
     def run(connect):
--- a/libs/cli/src/cherryrudder/cli/client.py
+++ b/libs/cli/src/cherryrudder/cli/client.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface, for the tool and for programs of operators' own."""
+"""A client of the control VMs' operator API, for this tool and operators' programs."""
 
 import time
 import uuid
@@ -14,11 +14,11 @@
 from .errors import BadInput, CliError, Conflict, Failed, Unreachable
 from .records import Answer, ErrorBody, Status, Voter, read_record, read_rows
 
-# A control VM that cannot reach a majority says so after 4 s; one that has not
+# A control VM that cannot reach a majority returns an error after 4 s; one that has not
 # answered by then is cut off or down.
 ATTEMPT_TIMEOUT_S = 5.0
-# Long enough for each of five addresses to time out once and for a second round to
-# find the new leader.
+# Long enough for each of five addresses to time out once and for a second round of
+# attempts to reach the new leader.
 CALL_TIMEOUT_S = 30.0
 RETRY_DELAY_S = 0.3
 KEY_REFUSED_STATUSES = (httpx.codes.UNAUTHORIZED, httpx.codes.FORBIDDEN)
@@ -27,7 +27,7 @@
 class Client:
     """Connections to the control VMs' operator listeners.
 
-    The clock and the pause are arguments, so that tests need not wait.
+    `clock` and `sleep` are arguments so that tests run without real waiting.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
 
 
 class Attempt(NamedTuple):
-    """One control VM's answer, or why there is none and whether it may have acted."""
+    """A control VM's answer, or the fault and whether the request may have run."""
 
     answer: httpx.Response | None
     fault: str = ""
@@ -60,12 +60,12 @@
 
 
 def call(client: Client, method: str, path: str, body=None) -> httpx.Response:
-    """Return the first answer that a control VM gives, trying each in turn.
+    """Try the control VMs in turn and return the first answer.
 
-    The very same body goes to the next one after a timeout; that is safe because a
-    change carries its id, and the platform answers a known id with its first answer.
+    The same body is sent to the next control VM after a timeout. That is safe because a
+    change carries an id, and the platform returns the first answer for a known id.
 
-    Raises Unreachable when no answer came in time.
+    Raises Unreachable if no answer arrives in time.
     """
     content = None if body is None else msgspec.json.encode(body)
     deadline_s = client.clock() + client.call_timeout_s
@@ -75,7 +75,7 @@
             attempt = _attempt(client, address, method, path, content)
             may_have_acted = may_have_acted or attempt.may_have_acted
             if attempt.answer is not None:
-                # Others may be down; the next call starts where this one ended.
+                # Others may be down, so the next call starts with this address.
                 client.addresses.remove(address)
                 client.addresses.insert(0, address)
                 return attempt.answer
@@ -86,17 +86,17 @@
 
 
 def get(client: Client, path: str):
-    """Return the JSON that a path gives."""
+    """Send a GET request and return the decoded JSON."""
     return _decode_answer(call(client, "GET", path))
 
 
 def post(client: Client, path: str):
-    """Send an order without a body; return the JSON that it gives."""
+    """Send a POST request without a body and return the decoded JSON."""
     return _decode_answer(call(client, "POST", path))
 
 
 def contracts(client: Client) -> dict[str, VersionedContract]:
-    """Return every contract by customer."""
+    """Return all contracts, by customer."""
     rows = read_rows(VersionedContract, get(client, "/v1/contracts"), "contracts")
     return {row.contract.customer: row for row in rows}
 
@@ -107,15 +107,15 @@
 
 
 def statuses(client: Client) -> dict[str, Status | str]:
-    """Return each control VM's status by address, or why it gave none."""
+    """Return each control VM's status, or its fault as text, by address."""
     return _query_all(client, "/v1/status", lambda value: read_record(Status, value))
 
 
 def endpoints(client: Client) -> tuple[list[Announcement], dict[str, str]]:
-    """Return the announced endpoints, and the control VMs that gave no answer.
+    """Return the announced endpoints, and the faults of control VMs without an answer.
 
-    An endpoint announces itself to some control VMs only, so that one of them knows
-    a part of them all. Raises Unreachable if none answers.
+    An endpoint announces itself to some of the control VMs only, so the lists of all
+    are merged. Raises Unreachable if none answers.
     """
     found = _query_all(
         client,
@@ -136,8 +136,8 @@
 def put_contract(client: Client, contract: Contract, expected_version: int) -> Answer:
     """Create (`expected_version` 0) or change a contract.
 
-    Raises Conflict if the contract has another version by now, BadInput if the
-    platform finds it invalid.
+    Raises Conflict if the contract's version is not `expected_version`, BadInput if the
+    platform rejects the contract as invalid.
     """
     return change(
         client,
@@ -148,17 +148,17 @@
 
 
 def announce_stop(client: Client, stop: Stop) -> Answer:
-    """Announce a planned stop; an id that was cancelled raises Conflict."""
+    """Announce a planned stop; raises Conflict if its id was cancelled before."""
     return change(client, "announce-stop", stop=stop._asdict())
 
 
 def cancel_stop(client: Client, stop_id: str) -> Answer:
-    """Take a planned stop back; raises BadInput if there is none of that id."""
+    """Cancel a planned stop; raises BadInput if there is none with that id."""
     return change(client, "cancel-stop", stop_id=stop_id)
 
 
 def change(client: Client, kind: str, **fields) -> Answer:
-    """Send one change under an id of its own and return the platform's answer."""
+    """Send one change under a new change id and return the platform's answer."""
     body = {"kind": kind, "change_id": uuid.uuid4().hex, **fields}
     answer = read_record(
         Answer, _decode_answer(call(client, "POST", "/v1/changes", body))
@@ -176,20 +176,20 @@
 def change_voters(client: Client, action: str, voter: Voter) -> None:
     """Add a learner, promote it or remove a voter; raises Conflict if refused.
 
-    The platform refuses while another change of voters is under way, for a learner
-    that lags, and for a set that would be left without a majority at work.
+    The platform refuses a change while another change of voters is in progress, the
+    promotion of a learner that lags, and a set of voters without a working majority.
     """
     body = {"action": action, "voter": voter._asdict()}
     _decode_answer(call(client, "POST", "/v1/voters", body))
 
 
 def _recency(announcement):
-    # An incarnation begins with the time of its process's start.
+    # An incarnation starts with the time at which its process was started.
     return announcement.incarnation, announcement.sequence
 
 
 def _query_all(client, path, read):
-    """Return what each control VM says by address, or as text why it says nothing."""
+    """Query every control VM; return each result, or the fault as text, by address."""
     found = {}
     for address in client.addresses:
         attempt = _attempt(client, address, "GET", path, None)
@@ -204,22 +204,22 @@
 
 
 def _attempt(client, address, method, path, content):
-    changes = method != "GET"
+    may_have_acted = method != "GET"
     url = f"http://{address}{path}"
     try:
         answer = client.http.request(method, url, content=content)
     except (httpx.ConnectError, httpx.ConnectTimeout) as error:
         return Attempt(None, f"no connection ({error})")
     except httpx.TransportError as error:
-        return Attempt(None, f"no answer ({type(error).__name__})", changes)
+        return Attempt(None, f"no answer ({type(error).__name__})", may_have_acted)
     if answer.is_server_error:
         fault = f"{answer.status_code} {answer.text[:200]}"
-        return Attempt(None, fault, changes)
+        return Attempt(None, fault, may_have_acted)
     return Attempt(answer)
 
 
 def _decode_answer(answer):
-    """Return the JSON of an answer, or raise the error that it tells."""
+    """Return the JSON of an answer; raises the matching CliError for an error."""
     try:
         value = msgspec.json.decode(answer.content)
     except msgspec.DecodeError as error:
--- a/libs/cli/src/cherryrudder/cli/contract_commands.py
+++ b/libs/cli/src/cherryrudder/cli/contract_commands.py
@@ -1,7 +1,7 @@
-"""The commands on single contracts.
+"""The `contract` commands: list, show, create, change and retire single contracts.
 
-Each function is a subcommand: it takes the command line's arguments and returns what
-to do once there is a client.
+Each public function is a subcommand: it takes the command line's arguments and returns
+a function that runs the command, given a function that connects to the control VMs.
 """
 
 from pathlib import Path
@@ -47,7 +47,7 @@
 
 
 def show(customer: str):
-    """Print one contract as its contract file.
+    """Print one contract in the format of a contract file.
 
     :param customer: the customer's name
     """
@@ -75,11 +75,11 @@
 
 
 def change(file: Path, *, expected_version: int | None = None):
-    """Change a contract to what its file says.
+    """Change a contract to the contents of its file.
 
     :param file: the contract file
-    :param expected_version: version that the change is made for, as "show" printed it;
-        without it the version found now
+    :param expected_version: version that the change is based on, as printed by "show";
+        by default the current version
     """
 
     def run(connect):
@@ -93,11 +93,11 @@
 
 
 def retire(customer: str, *, expected_version: int | None = None):
-    """Retire a contract: new work is refused, what runs is finished.
+    """Retire a contract: new requests are refused, running ones are finished.
 
     :param customer: the customer's name
-    :param expected_version: version that the change is made for, as "show" printed it;
-        without it the version found now
+    :param expected_version: version that the change is based on, as printed by "show";
+        by default the current version
     """
 
     def run(connect):
--- a/libs/cli/src/cherryrudder/cli/control_commands.py
+++ b/libs/cli/src/cherryrudder/cli/control_commands.py
@@ -1,4 +1,4 @@
-"""The commands on control VMs: their state, and replacing a lost one."""
+"""The `control` commands: show the control VMs' state and replace a lost one."""
 
 from cherryrudder.model import jsoncodec
 
@@ -8,9 +8,9 @@
 from .output import Output, table
 from .records import Status, Voter
 
-# A learner needs a snapshot of some megabytes and the log after it, and each change
-# of voters must be committed before the next. A minute is ample for both; a longer
-# wait means a fault that an operator has to look at.
+# A learner has to receive a snapshot of some megabytes and the log after it, and each
+# change of voters must be committed before the next. A minute is ample for both; if it
+# takes longer, there is a fault that an operator has to look at.
 VOTER_CHANGE_TIMEOUT_S = 60.0
 RETRY_DELAY_S = 0.5
 HEADERS = ("address", "vm", "disk", "role", "term", "leader", "commit", "applied")
@@ -18,9 +18,9 @@
 
 
 def status():
-    """Show how each control VM sees the log, and who votes.
+    """Show each control VM's view of the log, and the voters.
 
-    Ends with 1 if not all of them answer or none leads.
+    Exits with 1 if a control VM does not answer or none is leader.
     """
 
     def run(connect):
@@ -38,16 +38,16 @@
 
 
 def replace(old_disk_id: str, new_vm: str, new_disk_id: str, new_address: str):
-    """Put a new control VM in the place of one whose disk is lost.
+    """Replace a control VM whose disk is lost by a new one.
 
-    Start the new one first, on a disk made by "cherryrudderd --join". It gets the log
-    without a vote, and votes once it has caught up; then the lost one is taken out.
-    After an interruption run it again: what is done is passed over.
+    Start the new one first, on a disk made by "cherryrudderd --join". It receives the
+    log as a learner and becomes a voter once it has caught up; then the lost one is
+    removed. After an interruption run the command again: it skips what is done.
 
-    :param old_disk_id: the lost disk, as "control status" prints it
-    :param new_vm: VM that takes its place; it may have the same name
-    :param new_disk_id: the new disk, as "cherryrudderd --join" printed it
-    :param new_address: IP:PORT of the new one's frame listener
+    :param old_disk_id: id of the lost disk, as "control status" prints it
+    :param new_vm: name of the new VM, which may be that of the lost one
+    :param new_disk_id: id of the new disk, as "cherryrudderd --join" printed it
+    :param new_address: IP:PORT of the new control VM's frame listener
     """
     new = Voter(new_vm, new_disk_id, new_address)
 
@@ -59,8 +59,9 @@
             held = ", ".join(one.disk_id for one in voters)
             raise BadInput(f"no voter has the disk {old_disk_id}; voters: {held}")
         add_voter(client, new)
-        # The lost voter goes last. With it gone first, two of three voters would be
-        # left, and a fault of either would stop all changes until the new one is in.
+        # The lost voter is removed last. If it were removed first, two of three voters
+        # would be left, and a fault of either would stop all changes until the new one
+        # is added.
         if old is not None:
             retry_voter_change(
                 client,
@@ -75,7 +76,7 @@
 
 
 def add_voter(client: Client, voter: Voter) -> None:
-    """Make a control VM a learner and, once it has caught up, a voter."""
+    """Add a control VM as a learner and promote it to voter once it has caught up."""
     name = voter.disk_id
     retry_voter_change(
         client,
@@ -89,11 +90,14 @@
 
 
 def retry_voter_change(client: Client, action: str, voter: Voter, is_done) -> None:
-    """Ask for a change of voters until it is seen; raises the last refusal.
+    """Request a change of voters until the newest status shows it.
 
-    The platform refuses a learner that lags, since its vote would count towards a
-    majority that lacks accepted changes, and a change while another is under way.
-    Both pass with time.
+    The platform refuses to promote a learner that lags, since its vote would count
+    towards a majority that lacks accepted changes, and refuses a change while another
+    is in progress. Both conditions are temporary, so the request is repeated.
+
+    Raises Conflict with the last refusal after VOTER_CHANGE_TIMEOUT_S, or Failed if the
+    change was accepted but the status does not show it by then.
     """
     deadline_s = client.clock() + VOTER_CHANGE_TIMEOUT_S
     while not is_done(current_status(client)):
@@ -109,14 +113,14 @@
 
 
 def find_member(members: tuple[Voter, ...], disk_id: str) -> Voter | None:
-    """Return the member with a disk."""
+    """Return the member with a disk id, or None."""
     return next((one for one in members if one.disk_id == disk_id), None)
 
 
 def current_status(client: Client) -> Status:
-    """Return the newest status that any control VM gives; raises Failed without one.
+    """Return the newest status of all control VMs; raises Failed if none answers.
 
-    A control VM that is cut off answers too, with voters of long ago.
+    All are queried because one that is cut off answers too, with outdated voters.
     """
     found = operator.statuses(client)
     known = [one for one in found.values() if isinstance(one, Status)]
@@ -126,7 +130,7 @@
 
 
 def newest_status(known: list[Status]) -> Status:
-    """Return the status with the latest term and log."""
+    """Return the status with the highest term and commit index."""
     return max(known, key=lambda one: (one.term, one.commit, one.role == "leader"))
 
 
--- a/libs/cli/src/cherryrudder/cli/errors.py
+++ b/libs/cli/src/cherryrudder/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command-line tool; each knows the exit code that it ends with."""
+"""Errors of the command-line tool, each with the exit code that it leads to."""
 
 from cherryrudder.model.errors import CherryrudderError
 
@@ -9,13 +9,13 @@
 
 
 class CliError(CherryrudderError):
-    """Base of the tool's errors."""
+    """Base class of the tool's errors."""
 
     exit_code = FAILED
 
 
 class BadInput(CliError):
-    """Something that the operator gave cannot be used; one message per fault."""
+    """The operator's input is invalid; the text has one line per fault."""
 
     exit_code = BAD_INPUT
 
@@ -24,23 +24,23 @@
 
 
 class Conflict(CliError):
-    """The change was made for a state that is no longer there."""
+    """The change was based on a state that has changed since."""
 
     exit_code = CONFLICT
 
 
 class Failed(CliError):
-    """A control VM answered, but not as it should."""
+    """A control VM sent an unexpected answer."""
 
 
 class Unreachable(CliError):
-    """No control VM gave an answer; one may have acted all the same."""
+    """No control VM answered; a request may have been carried out nevertheless."""
 
     def __init__(self, faults: dict[str, str], may_have_acted: bool):
         head = "no answer"
         if may_have_acted:
-            # Telling an operator "failed" about a change that was accepted would
-            # invite a second, different one.
+            # If a change that was accepted were reported as failed, the operator might
+            # make a second, different one.
             head += "; a change may have been accepted, run the command again"
         lines = [f"  {address}: {fault}" for address, fault in faults.items()]
         super().__init__("\n".join([head, *lines]))
--- a/libs/cli/src/cherryrudder/cli/local_commands.py
+++ b/libs/cli/src/cherryrudder/cli/local_commands.py
@@ -1,4 +1,4 @@
-"""The commands that need no control VM."""
+"""The commands that work without a control VM."""
 
 import sys
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 def check(file: Path):
-    """Check a daemon's settings file and name every fault in it.
+    """Check a daemon's settings file and print every fault in it.
 
     :param file: the settings file
     """
--- a/libs/cli/src/cherryrudder/cli/loss_command.py
+++ b/libs/cli/src/cherryrudder/cli/loss_command.py
@@ -1,4 +1,4 @@
-"""What requests were lost by, in log files of many processes."""
+"""The command `losses`: count the causes of lost requests in processes' log files."""
 
 from pathlib import Path
 
@@ -9,11 +9,11 @@
 
 
 def losses(*files: Path, width_s: float = 2.0, other: Path | None = None):
-    """Attribute each late, refused or broken answer to one cause.
+    """Attribute each late, refused or broken response to one cause.
 
     :param files: log files of entries and control VMs
-    :param width_s: length of the stretches of time in the second table, seconds
-    :param other: one log file of another run, whose shares are shown beside
+    :param width_s: length of the intervals in the list below the table, seconds
+    :param other: a log file of another run, whose shares are shown for comparison
     """
 
     def run(connect):
@@ -22,10 +22,10 @@
         lines = [table(HEADERS, [_row(one) for one in counts])]
         if other is not None:
             lines += ["", _comparison_table(counts, other)]
-        stretches = attribution.count_by_interval(found, width_s)
+        intervals = attribution.count_by_interval(found, width_s)
         lines += [
             "",
-            *(_format_interval(n, told, width_s) for n, told in stretches.items()),
+            *(_format_interval(n, part, width_s) for n, part in intervals.items()),
         ]
         value = {
             "causes": [one._asdict() for one in counts],
@@ -55,5 +55,5 @@
 
 
 def _format_interval(number, counts, width_s):
-    told = ", ".join(f"{one.cause} {one.requests}" for one in counts)
-    return f"{number * width_s:6.1f} s  {told}"
+    causes = ", ".join(f"{one.cause} {one.requests}" for one in counts)
+    return f"{number * width_s:6.1f} s  {causes}"
--- a/libs/cli/src/cherryrudder/cli/losses.py
+++ b/libs/cli/src/cherryrudder/cli/losses.py
@@ -1,9 +1,9 @@
-"""Why requests were not answered in time, each by one cause, from the processes' logs.
+"""Attribute each late, refused or broken response to one cause, from log lines.
 
-An operator who sees a tenth of the answers late has to know which of many mechanisms to
-look at: too little room, a range of layers that nobody held, an engine that died, one
-that was slow. Each request gets the first of these that explains its loss, in the order
-of its life: refused, late before its first event, late by a pause, broken off.
+Without it, an operator who sees a tenth of the responses late cannot tell which
+mechanism to look at: too little room, a range of layers that no engine held, an engine
+that died or one that was slow. Each request gets the first cause that applies, checked
+in the order of its life: refused, late first event, long pause, broken off.
 """
 
 import collections
@@ -13,12 +13,13 @@
 from .requestlog import Line
 
 IN_TIME = "in time"
-# What happened to an engine this long before a pause was over may explain it. Silence
-# is found within 0.3 s, and a prompt is read again in some 0.1 s.
+# Engine events up to this long before the end of a pause may explain it. A silent
+# engine is detected within 0.3 s, and prefill is repeated in about 0.1 s.
 EVENT_WINDOW_S = 1.5
-# Part of the objective past which a wait for a chain explains a late first event.
+# A wait for a chain explains a late first event if it took more than this share of the
+# objective.
 LONG_WAIT_SHARE = 0.5
-# A retry is logged with the reason of the attempt before it.
+# Parts of the reasons, as logged with a retry, that mean that an engine died.
 DEATH_REASONS = (
     "died",
     "reset",
@@ -30,7 +31,7 @@
 
 
 class Loss(NamedTuple):
-    """One request, when it arrived, and what it was lost by; `cause` may be IN_TIME."""
+    """A request and its cause of loss; `cause` is IN_TIME if it was not lost."""
 
     request_id: str
     vm: str
@@ -42,7 +43,7 @@
 
 
 class Count(NamedTuple):
-    """How many requests had a cause, and which part of all that is."""
+    """The number of requests with a cause, and their share of all requests."""
 
     cause: str
     requests: int
@@ -50,7 +51,7 @@
 
 
 def attribute(lines: Iterable[Line]) -> list[Loss]:
-    """Return what became of each request, in the order of their arrival."""
+    """Return the cause of each request, ordered by time of arrival."""
     lines_by_request: dict[tuple[str, str], list[Line]] = collections.defaultdict(list)
     slow_reports: dict[str, list[float]] = collections.defaultdict(list)
     addresses: dict[str, str] = {}
@@ -69,7 +70,7 @@
 
 
 def count_causes(losses: Iterable[Loss]) -> list[Count]:
-    """Return the causes, the most frequent first."""
+    """Return the number of requests per cause, the most frequent cause first."""
     counts = collections.Counter(loss.cause for loss in losses)
     total = sum(counts.values())
     return [Count(cause, n, n / total) for cause, n in counts.most_common()]
@@ -78,7 +79,7 @@
 def count_by_interval(
     losses: Iterable[Loss], interval_s: float
 ) -> dict[int, list[Count]]:
-    """Return the causes in each stretch of time, by its number since the first."""
+    """Return the causes in each interval, by its index from the first arrival."""
     losses = list(losses)
     start_s = min((loss.arrived_s for loss in losses), default=0.0)
     intervals: dict[int, list[Loss]] = collections.defaultdict(list)
@@ -125,7 +126,7 @@
 
 
 def _late_cause(own, end, arrived_s, slow_reports):
-    """Return what kept a first event from being in time."""
+    """Return the cause of a late first event."""
     if end.get("waited_s", 0) > LONG_WAIT_SHARE * end.get("objective_s"):
         return f"late: waited, {end.get('waited_for') or 'for its turn'}"
     return "late: " + _event_cause(
@@ -134,7 +135,7 @@
 
 
 def _event_cause(own, until_s, slow_reports):
-    """Return what happened to the engines of a request before a time."""
+    """Return the engine event that explains a delay which ended at `until_s`."""
     near = [
         one for one in own if until_s - EVENT_WINDOW_S <= one.time_s <= until_s + 0.01
     ]
--- a/libs/cli/src/cherryrudder/cli/main.py
+++ b/libs/cli/src/cherryrudder/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line of `cherryrudder`."""
+"""Entry point of the `cherryrudder` command line."""
 
 import argparse
 import os
@@ -43,9 +43,9 @@
     options, left = split_options(arguments, environment)
 
     def connect(address=None, needs_key=True):
-        """Return a client of the control VMs, or of one process that is named.
+        """Return a client of the control VMs, or of the one process at `address`.
 
-        Nobody else answers for that one process, so it is asked once only.
+        No other process can answer in its place, so it gets one attempt only.
         """
         if address is not None:
             one = [check_address(address)]
--- a/libs/cli/src/cherryrudder/cli/options.py
+++ b/libs/cli/src/cherryrudder/cli/options.py
@@ -1,4 +1,4 @@
-"""The options that every subcommand takes, and the environment behind them."""
+"""Options common to all subcommands, with their environment variables."""
 
 import argparse
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 KEY_FILE_VARIABLE = "CHERRYRUDDER_OPERATOR_KEY_FILE"
 HELP = f"""\
 "contract", "stop", "control" and "block" have subcommands of their own; --help after
-any of them tells more. These options stand before or after any subcommand:
+any of them lists these. The following options are accepted anywhere in a command:
   --control ADDR[,ADDR]     operator addresses of the control VMs, IP:PORT
                             (or {CONTROL_VARIABLE})
   --operator-key-file FILE  file that holds the operator key
@@ -25,7 +25,7 @@
 
 
 class Options(NamedTuple):
-    """The options of every subcommand."""
+    """The options common to all subcommands."""
 
     control: str
     key_file: str
@@ -35,7 +35,7 @@
 def split_options(
     arguments: list[str], environment: Mapping[str, str]
 ) -> tuple[Options, list[str]]:
-    """Return the common options, and the arguments that are left."""
+    """Return the common options and the remaining arguments."""
     parser = argparse.ArgumentParser(add_help=False, allow_abbrev=False)
     parser.add_argument("--control", default=environment.get(CONTROL_VARIABLE, ""))
     parser.add_argument(
@@ -55,7 +55,7 @@
 
 
 def check_address(address: str) -> str:
-    """Return an address that is IP:PORT; raises BadInput for another."""
+    """Return the address unchanged; raises BadInput if it is not IP:PORT."""
     try:
         split_address(address)
     except ValueError as error:
@@ -64,7 +64,7 @@
 
 
 def read_key(options: Options) -> str:
-    """Return the operator key; raises BadInput if it cannot be read."""
+    """Return the operator key; raises BadInput if it is missing or unreadable."""
     if not options.key_file:
         raise BadInput(f"no key: give --operator-key-file or {KEY_FILE_VARIABLE}")
     try:
--- a/libs/cli/src/cherryrudder/cli/output.py
+++ b/libs/cli/src/cherryrudder/cli/output.py
@@ -1,4 +1,4 @@
-"""What a command prints: text for people, or JSON for programs."""
+"""Output of a command: text for people, or JSON for programs."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Output(NamedTuple):
-    """A command's result; `value` is what `--json` prints."""
+    """A command's result; `value` is printed with `--json`, `text` without."""
 
     text: str
     value: object
@@ -16,7 +16,7 @@
 
 
 def table(headers: tuple[str, ...], rows: list[tuple]) -> str:
-    """Return rows under their heads, in columns of equal width."""
+    """Format rows under their headers, each column padded to its widest cell."""
     cells = [headers, *(tuple(str(cell) for cell in row) for row in rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(headers))]
     lines = [
@@ -27,7 +27,7 @@
 
 
 def format_json(value) -> str:
-    """Return indented JSON."""
+    """Return the value as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
 
 
--- a/libs/cli/src/cherryrudder/cli/plan.py
+++ b/libs/cli/src/cherryrudder/cli/plan.py
@@ -1,4 +1,4 @@
-"""What `apply` has to change so that the platform holds a folder's contracts."""
+"""Plan the changes by which `apply` brings the platform in line with a folder."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -14,21 +14,21 @@
 
 
 class Action(StrEnum):
-    """What becomes of one contract."""
+    """What a step does with one contract."""
 
     CREATE = "create"
     CHANGE = "change"
     KEEP = "keep"
-    # A retired contract comes back by `contract change` only: a folder that still
-    # holds its file would otherwise undo the retirement at the next `apply`.
+    # Only `contract change` puts a retired contract in force again. Otherwise the next
+    # `apply` of a folder that still has its file would undo the retirement.
     RETIRED = "retired"
-    # The platform has it, the folder does not. It stays: a file that is missing from
-    # a checkout must not end a customer's service.
+    # The platform has the contract, the folder does not. It is kept, since a file that
+    # is missing from a checkout must not end a customer's service.
     ABSENT = "absent"
 
 
 class Step(NamedTuple):
-    """One line of a plan; `diff` has its lines with a leading sign."""
+    """One step of a plan; the lines of `diff` start with - or +."""
 
     action: Action
     contract: Contract
@@ -37,7 +37,7 @@
 
 
 def load_folder(folder: Path) -> Result[list[Contract], BadInput]:
-    """Return the contracts of a folder's INI files, or every fault in them."""
+    """Return the contracts of a folder's INI files, or one error with every fault."""
     paths = sorted(folder.glob("*.ini"))
     if not paths:
         return Error(BadInput(f"{folder}: no *.ini files"))
@@ -54,7 +54,11 @@
 
 
 def make_plan(wanted: list[Contract], held: dict[str, VersionedContract]) -> list[Step]:
-    """Return one step for each contract that is wanted or held, by customer."""
+    """Return the steps that lead from the held contracts to the wanted ones.
+
+    There is one for each wanted contract and for each other one in force, ordered by
+    customer.
+    """
     steps = [_step(contract, held.get(contract.customer)) for contract in wanted]
     names = {contract.customer for contract in wanted}
     for name, row in held.items():
@@ -64,7 +68,7 @@
 
 
 def diff_contracts(old: Contract | None, new: Contract) -> tuple[str, ...]:
-    """Return the lines of the contract file that differ, signed - or +."""
+    """Return the contract file's lines that differ, prefixed with - or +."""
     before = [] if old is None else format_contract(old).splitlines()[1:]
     after = format_contract(new).splitlines()[1:]
     removed = [line for line in before if line not in after]
--- a/libs/cli/src/cherryrudder/cli/platform_commands.py
+++ b/libs/cli/src/cherryrudder/cli/platform_commands.py
@@ -1,4 +1,4 @@
-"""The commands that show what the platform holds at this moment."""
+"""The commands that show the platform's current state."""
 
 from cherryrudder.model import jsoncodec
 from cherryrudder.model.endpoints import Kind
@@ -10,10 +10,10 @@
 
 
 def endpoints():
-    """List the endpoints that announce themselves, as all control VMs know them.
+    """List the announced endpoints, merged from all control VMs.
 
-    Names the control VMs that gave no answer; with two of them silent, endpoints may
-    be missing from the list.
+    Also lists the control VMs that gave no answer; if there are two or more of them,
+    endpoints may be missing from the list.
     """
 
     def run(connect):
@@ -31,7 +31,7 @@
 
     For an internal listener give the internal key's file as --operator-key-file.
 
-    :param address: its operator or internal listener, IP:PORT
+    :param address: IP:PORT of the process's operator or internal listener
     """
 
     def run(connect):
--- a/libs/cli/src/cherryrudder/cli/records.py
+++ b/libs/cli/src/cherryrudder/cli/records.py
@@ -1,4 +1,4 @@
-"""What control VMs answer, as typed records."""
+"""Typed records of the control VMs' answers."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class Answer(NamedTuple):
-    """What a change came to; `code` is ok, conflict, invalid, unknown or reused."""
+    """The result of a change; `code` is ok, conflict, invalid, unknown or reused."""
 
     code: str
     message: str = ""
@@ -19,7 +19,7 @@
 
 
 class Voter(NamedTuple):
-    """A control VM with its disk; `address` is that of its frame listener."""
+    """A control VM and its disk; `address` is the IP:PORT of its frame listener."""
 
     vm: str
     disk_id: str
@@ -27,7 +27,7 @@
 
 
 class Status(NamedTuple):
-    """How one control VM sees the log and its voters."""
+    """One control VM's view of the replicated log and its voters."""
 
     vm: str
     disk_id: str
@@ -41,7 +41,7 @@
 
 
 class ErrorBody(NamedTuple):
-    """The typed error of a request that was refused before it was a change."""
+    """The error of a request that was rejected before it became a change."""
 
     code: str
     message: str = ""
@@ -49,9 +49,9 @@
 
 
 def read_record(kind, value):
-    """Return a record from JSON; fields that a newer control VM adds are left out.
+    """Convert decoded JSON to a record, ignoring fields that newer control VMs add.
 
-    Raises Failed for a value that is not such a record.
+    Raises Failed if the value does not have the record's type.
     """
     try:
         return jsoncodec.convert(value, kind)
@@ -60,7 +60,7 @@
 
 
 def read_rows(kind, value, name: str) -> list:
-    """Return a list of records out of an answer; raises Failed if it has none."""
+    """Return the list of records under a field; raises Failed if there is no list."""
     if not isinstance(value, dict) or not isinstance(value.get(name), list):
         raise Failed(f"a control VM sent no list of {name}")
     return [read_record(kind, row) for row in value[name]]
--- a/libs/cli/src/cherryrudder/cli/requestlog.py
+++ b/libs/cli/src/cherryrudder/cli/requestlog.py
@@ -1,7 +1,7 @@
-"""The life of one request, joined from the log lines of many processes.
+"""Trace one request through the log lines of many processes.
 
-Lines are in the order of their times of day. Those of one process are exact; between
-VMs the clocks may differ, so a cause is looked for within some seconds.
+Lines are ordered by their time of day. The order is exact within one process; clocks
+may differ between VMs, so a cause is searched for within a window of some seconds.
 """
 
 import json
@@ -11,9 +11,9 @@
 
 from .errors import BadInput
 
-# A death or a lost control VM that lies further back has been dealt with since.
+# A dead engine or a lost control VM further back has been handled in the meantime.
 WINDOW_BEFORE_S = 6.0
-# What was found out just after the request had ended may explain it as well.
+# A cause may be detected and logged shortly after the request has ended.
 WINDOW_AFTER_S = 1.0
 NO_END_LOGGED = (
     "no line says how it ended: it is still under way, or its process was killed"
@@ -21,7 +21,7 @@
 
 
 class Line(NamedTuple):
-    """One line of a log."""
+    """One structured log line; `time_s` is a time of day."""
 
     time_s: float
     vm: str
@@ -31,12 +31,12 @@
     fields: dict
 
     def get(self, name: str, default=""):
-        """Return one of its fields."""
+        """Return the value of a field, or the default if the line lacks it."""
         return self.fields.get(name, default)
 
 
 class Trace(NamedTuple):
-    """A request's own lines, others that explain its end, and the cause in words."""
+    """A request's lines, related lines that explain its end, and the cause as text."""
 
     request_id: str
     lines: list[Line]
@@ -48,7 +48,7 @@
 
 
 def read_line(text: str) -> Line | None:
-    """Return a structured line; None for anything else that a process prints."""
+    """Parse a structured log line; return None for any other output."""
     try:
         found = json.loads(text)
     except ValueError:
@@ -60,7 +60,7 @@
 
 
 def read_files(files: Iterable[Path]) -> list[Line]:
-    """Return the structured lines of log files; raises BadInput."""
+    """Return the structured lines of log files; raises BadInput for unreadable ones."""
     return [line for file in files for line in _read_file(file)]
 
 
@@ -74,7 +74,7 @@
 
 
 def trace(lines: Iterable[Line], request_id: str) -> Trace:
-    """Return what a request's lines and those beside them tell."""
+    """Return a request's lines, the related lines and the cause of its end."""
     ordered = sorted(lines, key=lambda line: line.time_s)
     own = [line for line in ordered if line.get("request_id") == request_id]
     end = _last(own, "ended") or _last(own, "refused")
@@ -102,7 +102,7 @@
 
 
 def _explain_break(own, near, end, outcome):
-    """Name the engines of the request's chains that were found dead."""
+    """Explain a broken stream by the dead engines of the request's chains."""
     chains = " ".join(line.get("chain") for line in own if line.event == "sent")
     deaths = [
         line
@@ -134,7 +134,7 @@
 
 
 def _explain_block(near, blocked):
-    """Name the engines that ended under the request, whichever attempt it was."""
+    """Explain a blocked request by the engines that ended in any of its attempts."""
     fingerprint = blocked.get("fingerprint")
     beside = [
         line
--- a/libs/cli/src/cherryrudder/cli/stop_commands.py
+++ b/libs/cli/src/cherryrudder/cli/stop_commands.py
@@ -1,4 +1,4 @@
-"""The commands on planned stops."""
+"""The `stop` commands: announce, list and cancel planned stops."""
 
 import uuid
 from typing import Literal
@@ -19,14 +19,14 @@
     reason: str = "",
     stop_id: str = "",
 ):
-    """Announce a planned stop: what it names gets no new work from now on.
+    """Announce a planned stop: its target gets no new work from now on.
 
-    A target that is announced already stays so; nothing is changed.
+    Nothing is changed if a stop of the target is announced already.
 
     :param target: name of the endpoint, VM or data centre
     :param scope: what stops
     :param reason: shown with the stop
-    :param stop_id: name to cancel it by, never used before; made up if not given
+    :param stop_id: id to cancel it by, never used before; generated if not given
     """
 
     def run(connect):
@@ -35,8 +35,8 @@
         if held is not None and not stop_id:
             value = {"stop_id": held.stop_id, "changed": False}
             return Output(f"{held.stop_id}: announced already", value)
-        # An id counts once for ever: a late resend of an announcement must not bring
-        # back a stop that was cancelled. So each announcement has one of its own.
+        # A stop id is accepted only once, so that a delayed resend of an announcement
+        # cannot bring back a cancelled stop. Each announcement needs a new id.
         name = stop_id or f"{target}-{uuid.uuid4().hex[:8]}"
         answer = operator.announce_stop(client, Stop(name, scope, target, reason))
         value = {"stop_id": name, "changed": True, **answer._asdict()}
@@ -46,9 +46,9 @@
 
 
 def cancel(stop_id: str):
-    """Take a planned stop back.
+    """Cancel a planned stop.
 
-    :param stop_id: the stop's name as "stop list" prints it
+    :param stop_id: the stop's id as "stop list" prints it
     """
 
     def run(connect):
--- a/libs/cli/src/cherryrudder/cli/trace_command.py
+++ b/libs/cli/src/cherryrudder/cli/trace_command.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, in log files of many processes."""
+"""The command `trace`: explain the end of a request from processes' log files."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 
 def trace(request_id: str, *files: Path):
-    """Print the life of one request and the cause of its end.
+    """Print the log lines of one request and the cause of its end.
 
     :param request_id: the id that the caller sent
     :param files: log files of entries and control VMs
@@ -33,7 +33,7 @@
 
 
 def _plain(found):
-    """Return what programs read, with the names of all fields."""
+    """Return the trace as dicts, for JSON output."""
     value = found._asdict()
     for name in ("lines", "beside"):
         value[name] = [line._asdict() for line in value[name]]
@@ -42,6 +42,6 @@
 
 def _format_line(line: Line, begins_s: float):
     fields = {k: v for k, v in line.fields.items() if k != "request_id"}
-    told = " ".join(f"{name}={value}" for name, value in fields.items())
+    fields_text = " ".join(f"{name}={value}" for name, value in fields.items())
     at_s = line.time_s - begins_s
-    return f"{at_s:+8.3f} {line.vm} {line.role} {line.part}: {line.event} {told}"
+    return f"{at_s:+8.3f} {line.vm} {line.role} {line.part}: {line.event} {fields_text}"
