--- a/libs/model/src/cherryrudder/model/__init__.py
+++ b/libs/model/src/cherryrudder/model/__init__.py
@@ -1,1 +1,1 @@
-"""Ids, contracts, endpoints, settings and the lowest errors."""
+"""Contracts, endpoints, settings and the errors of the lowest layer."""
--- a/libs/model/src/cherryrudder/model/contractfiles.py
+++ b/libs/model/src/cherryrudder/model/contractfiles.py
@@ -1,4 +1,7 @@
-"""Contract files: one customer's contract in one INI file, checked as a whole."""
+"""Contract files: one customer's contract in one INI file.
+
+A file is checked as a whole, so that all of its faults are reported at once.
+"""
 
 import configparser
 import re
@@ -18,7 +21,7 @@
 
 
 def load_contract(path: str | Path) -> Result[Contract, SettingsError]:
-    """Return the contract of a file, or one error that names every fault."""
+    """Return the contract in a file, or one error with every fault."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -31,7 +34,7 @@
 
 
 def parse_contract(text: str) -> Result[Contract, SettingsError]:
-    """Return the contract of an INI text."""
+    """Return the contract in an INI text, or one error with every fault."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -54,7 +57,7 @@
 
 
 def format_contract(contract: Contract) -> str:
-    """Return the INI text that parses to the contract."""
+    """Return the contract as INI text, without the `retired` flag."""
     lines = [f"[{SECTION}]"]
     for key, value in contract._asdict().items():
         if key == "retired":
@@ -65,7 +68,7 @@
 
 
 def check_contract(contract: Contract) -> list[str]:
-    """Return one message for every value that a contract must not have."""
+    """Return one message for each invalid value of a contract."""
     faults = []
     if not CUSTOMER_PATTERN.fullmatch(contract.customer):
         faults.append("customer: lower-case letters, digits and hyphens, 63 at most")
--- a/libs/model/src/cherryrudder/model/contracts.py
+++ b/libs/model/src/cherryrudder/model/contracts.py
@@ -1,11 +1,11 @@
-"""The contract: what an operator promises one customer, and all of its limits."""
+"""Contracts: the access and limits that an operator has agreed with a customer."""
 
 import hashlib
 from typing import NamedTuple
 
 
 class Contract(NamedTuple):
-    """One customer's contract; every limit that the customer meets follows from it."""
+    """One customer's contract, from which all limits on the customer are derived."""
 
     customer: str
     key_sha256: str
@@ -22,5 +22,5 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the hex SHA-256 of a caller's key, the form that contracts hold."""
+    """Return the hex SHA-256 of a caller's key, as stored in contracts."""
     return hashlib.sha256(key.encode()).hexdigest()
--- a/libs/model/src/cherryrudder/model/endpoints.py
+++ b/libs/model/src/cherryrudder/model/endpoints.py
@@ -1,11 +1,11 @@
-"""What an endpoint announces about itself."""
+"""Endpoints' announcements of themselves, and planned stops of endpoints."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class Kind(StrEnum):
-    """What stands behind an announcement."""
+    """The kind of process that an announcement describes."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -13,7 +13,7 @@
 
 
 class Place(NamedTuple):
-    """Where a process runs; the names come from its settings."""
+    """The location of a process, with the names given in its settings."""
 
     vm: str
     data_centre: str
@@ -21,7 +21,7 @@
 
 
 class Announcement(NamedTuple):
-    """An endpoint as its sidecar announces it; `end_layer` is exclusive."""
+    """An endpoint as announced by its sidecar; `end_layer` is exclusive."""
 
     endpoint: str
     kind: Kind
@@ -57,7 +57,7 @@
 
 
 def stops_endpoint(stop: Stop, announcement: Announcement) -> bool:
-    """Tell whether a planned stop takes an announced endpoint away."""
+    """Return whether a planned stop applies to an announced endpoint."""
     if stop.scope == "endpoint":
         return stop.target == announcement.endpoint
     if stop.scope == "vm":
--- a/libs/model/src/cherryrudder/model/errors.py
+++ b/libs/model/src/cherryrudder/model/errors.py
@@ -1,16 +1,16 @@
-"""The base of the error tree and the errors of the lowest layer.
+"""The base class of cherryrudder's errors, and the errors of the lowest layer.
 
-Deciding functions return `expression.Result` with one of these as the error; only the
-outermost shells raise them.
+Functions that parse or decide return an `expression.Result` with one of these as the
+error; only the outermost layers raise them.
 """
 
 
 class CherryrudderError(Exception):
-    """Base of every error that cherryrudder defines."""
+    """Base class of all errors that cherryrudder defines."""
 
 
 class SettingsError(CherryrudderError):
-    """Settings or a contract file that cannot be used; one message per fault."""
+    """Invalid settings or an invalid contract file, with one message per fault."""
 
     def __init__(self, faults):
         super().__init__("\n".join(faults))
@@ -18,7 +18,7 @@
 
 
 class RequestError(CherryrudderError):
-    """A request that is refused with a 4xx answer; `field` names what is wrong."""
+    """A request that is refused with a 4xx status; `field` names the invalid field."""
 
     def __init__(self, status, code, message, field=None):
         super().__init__(message)
--- a/libs/model/src/cherryrudder/model/jsoncodec.py
+++ b/libs/model/src/cherryrudder/model/jsoncodec.py
@@ -1,8 +1,9 @@
-"""JSON to and from the workspace's types, by msgspec.
+"""Encode the workspace's types as JSON and decode them, with msgspec.
 
-msgspec writes a `NamedTuple` as an array. Between programs of different versions and
-for operators' eyes an object with field names is wanted, so each `NamedTuple` type gets
-a `msgspec.Struct` twin, made once, through which its JSON is read and checked.
+msgspec writes a `NamedTuple` as an array. Programs of different versions and operators
+need an object with field names instead. So for each `NamedTuple` type a
+`msgspec.Struct` type with the same fields is created once, through which its JSON is
+decoded and validated.
 """
 
 import functools
@@ -14,23 +15,26 @@
 
 
 def encode(value) -> bytes:
-    """Return the JSON of any value made of this workspace's types."""
+    """Encode a value made of the workspace's types as JSON."""
     return msgspec.json.encode(plain(value))
 
 
 def decode(data: bytes | str, kind=object):
-    """Return the value of a type that the JSON holds; raises msgspec.DecodeError."""
+    """Decode JSON to a value of the type `kind`; raises msgspec.DecodeError."""
     read = msgspec.json.decode(data, type=_struct_type(kind), strict=False)
     return _from_struct(read)
 
 
 def convert(value, kind):
-    """Return the value of a type that bare dicts hold; raises msgspec.DecodeError."""
+    """Convert plain dicts and lists to a value of the type `kind`.
+
+    Raises msgspec.ValidationError, a msgspec.DecodeError.
+    """
     return _from_struct(msgspec.convert(value, type=_struct_type(kind), strict=False))
 
 
 def plain(value):
-    """Return the value as bare dicts, lists, strings and numbers."""
+    """Convert a value to plain dicts, lists, strings and numbers."""
     if isinstance(value, tuple) and hasattr(value, "_fields"):
         return {
             name: plain(part) for name, part in zip(value._fields, value, strict=True)
@@ -56,7 +60,7 @@
 
 @functools.cache
 def _struct_type(kind):
-    """Return the type by which msgspec reads a type's JSON."""
+    """Return the type that msgspec decodes to: structs in place of named tuples."""
     if _is_named_tuple(kind):
         return _make_struct(kind)
     arguments = typing.get_args(kind)
--- a/libs/model/src/cherryrudder/model/outcomes.py
+++ b/libs/model/src/cherryrudder/model/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told about a request."""
+"""Outcomes of requests, as reported to the caller."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer to a request that was given up before any of it ran."""
+    """The final response to a request that was refused before any of it ran."""
 
     status: int
     code: str
--- a/libs/model/src/cherryrudder/model/revisions.py
+++ b/libs/model/src/cherryrudder/model/revisions.py
@@ -1,7 +1,7 @@
-"""Versioned configuration, and the form in which its changes travel.
+"""Versioned configuration, and the messages that distribute its changes.
 
-The state machine makes a `ConfigDelta`; entries and sidecars take it in. The types
-stand here since neither library may import the other.
+The control VMs' state machine creates a `ConfigDelta`; entries and sidecars apply it.
+The types are defined here since neither of these libraries may import the other.
 """
 
 from typing import NamedTuple
@@ -35,10 +35,11 @@
 
 
 class ConfigDelta(NamedTuple):
-    """What changed after revision `since` up to `revision`; `full` replaces all.
+    """The changes after revision `since` up to and including `revision`.
 
-    Contracts are never deleted: a retired one travels with its `retired` flag set.
-    `cancelled` names the stops that were taken back.
+    If `full` is set, it replaces the receiver's whole configuration. Contracts are
+    never deleted; a retired one is sent with its `retired` flag set. `cancelled` has
+    the ids of the stops that were cancelled.
     """
 
     revision: int
--- a/libs/model/src/cherryrudder/model/settings.py
+++ b/libs/model/src/cherryrudder/model/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a daemon: INI files over the defaults, checked as a whole."""
+"""Settings of a daemon, from an INI file that overrides the defaults.
+
+A file is checked as a whole, so that all of its faults are reported at once.
+"""
 
 import configparser
 import ipaddress
@@ -99,11 +102,11 @@
 
     @property
     def place(self) -> Place:
-        """Return where the process runs."""
+        """Return the VM, data centre and region that the process runs in."""
         return Place(self.process.vm, self.process.data_centre, self.process.region)
 
 
-# What each role cannot do without, as section and key.
+# Settings that must not be empty for each role, as (section, key).
 REQUIRED = {
     "all": (
         ("process", "vm"),
@@ -134,7 +137,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP and port of an IP:PORT text; raises ValueError."""
+    """Return the IP and port of an IP:PORT text; raises ValueError if it is invalid."""
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     number = int(port)
@@ -144,7 +147,7 @@
 
 
 def load_settings(path: str | Path) -> Result[Settings, SettingsError]:
-    """Return the checked settings of a file, or one error that names every fault."""
+    """Return the settings in a file, or one error with every fault."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -153,7 +156,7 @@
 
 
 def parse_settings(text: str) -> Result[Settings, SettingsError]:
-    """Return the checked settings of an INI text."""
+    """Return the settings in an INI text, or one error with every fault."""
     defaults = _read(_default_text())
     try:
         own = _read(text)
