--- a/libs/cli/test/builders.py
+++ b/libs/cli/test/builders.py
@@ -45,14 +45,14 @@
 
 
 def a_line(time_s, event, part="request", vm="front-1", role="entry", **fields):
-    """Return a line; those of the request under test name it `r1`."""
+    """Return a log line; request lines get the id `r1` unless another is given."""
     if part == "request":
         fields = {"request_id": "r1"} | fields
     return Line(time_s, vm, role, part, event, fields)
 
 
 def a_log_file(lines, *texts):
-    """Return the path of a log file with some lines, behind other texts."""
+    """Return the path of a log file that holds the texts, then the lines."""
     texts = [*texts]
     for line in lines:
         head = dict(zip(requestlog.COMMON_FIELDS, line[:5], strict=True))
@@ -68,10 +68,11 @@
 
 
 class FakeControl:
-    """Control VMs that share one state; `faults` are used up in order, one per call.
+    """Control VMs that share one state; each call to an address uses up one fault.
 
-    A fault is `down`, `no-leader` or `lost` (the change is made, the answer is not
-    seen). `after_read` runs once after a read, as another operator's change would.
+    A fault is `down`, `no-leader` or `lost` (the change is made, the answer is lost).
+    `after_read` runs once after the next read of contracts, to simulate a change by
+    another operator.
     """
 
     def __init__(self):
@@ -173,7 +174,7 @@
 
 
 class CliTestCase(unittest.TestCase):
-    """A fake platform, a folder of contract files and the tool in front of them."""
+    """Base of tests that run the tool on contract files and a fake platform."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -185,14 +186,14 @@
         self.control = FakeControl()
 
     def write(self, *contracts):
-        """Write a contract file for each, and return the last one's path."""
+        """Write a contract file for each contract and return the last one's path."""
         for contract in contracts:
             path = self.folder / f"{contract.customer}.ini"
             path.write_text(format_contract(contract))
         return str(path)
 
     def run_tool(self, *arguments, expect=0):
-        """Run the tool; return what it printed on standard output and error."""
+        """Run the tool; return its standard output followed by its standard error."""
         environment = {
             "CHERRYRUDDER_CONTROL": ",".join(ADDRESSES),
             "CHERRYRUDDER_OPERATOR_KEY_FILE": str(self.key_file),
@@ -205,7 +206,7 @@
         return out.getvalue() + err.getvalue()
 
     def changes(self):
-        """Return the change calls as address, change id and kind."""
+        """Return the change requests received, as address, change id and kind."""
         return [
             (address, body["change_id"], body["kind"])
             for address, _, path, body in self.control.calls
--- a/libs/cli/test/test_apply.py
+++ b/libs/cli/test/test_apply.py
@@ -1,4 +1,4 @@
-"""Tests of `apply` and of the plan behind it."""
+"""Tests of the command `apply` and of its plan."""
 
 import json
 import unittest
@@ -21,7 +21,7 @@
 class PlanTest(unittest.TestCase):
     @settings(derandomize=True, database=None, deadline=None, max_examples=200)
     @given(CONTRACTS, CONTRACTS)
-    def test_a_plan_leads_to_the_folder_and_a_second_one_does_nothing(self, old, new):
+    def test_a_plan_yields_the_folder_and_the_next_changes_nothing(self, old, new):
         held = {
             contract.customer: VersionedContract(
                 7, 1, contract._replace(retired=old[contract.customer][1])
@@ -63,12 +63,12 @@
         self.apply()
         self.assertEqual(self.control.contracts["petra"][1]["tokens_per_s"], 900.0)
 
-    def test_a_lost_answer_is_asked_for_again_under_the_same_change_id(self):
-        """The first control VM makes the change, but its answer is lost on the way.
+    def test_a_change_is_retried_with_the_same_id_after_a_lost_answer(self):
+        """The first control VM makes the change, but its answer is lost.
 
-        The tool sends it to the next one. Under a new change id the platform would
-        see a second change for a version that is gone, and tell the operator of a
-        conflict with nobody; the same id gets the first answer, and one change stands.
+        The tool sends the change to the next one. With a new change id it would count
+        as a second change for an outdated version, and the operator would get a
+        conflict without any other change. With the same id the first answer returns.
         """
         self.write(a_contract())
         self.control.faults[ADDRESSES[0]] = ["", "lost"]
@@ -81,8 +81,8 @@
     def test_a_change_by_another_operator_is_a_conflict(self):
         """Another operator changes contract a after the plan was made.
 
-        The tool must not write over that change: it ends with 3 and names a, while
-        contract b, which nobody touched, is changed as planned.
+        The tool must not overwrite that change: it exits with 3 and names a, while
+        contract b is changed as planned.
         """
         self.write(a_contract("a"), a_contract("b"))
         self.apply()
@@ -93,7 +93,7 @@
         self.assertEqual(self.control.contracts["a"], (2, theirs))
         self.assertEqual(self.control.contracts["b"][1]["max_wait_s"], 9.0)
 
-    def test_a_faulty_folder_sends_nothing(self):
+    def test_no_change_is_sent_for_a_folder_with_faults(self):
         path = self.write(a_contract("b"))
         self.write(a_contract("a", tokens_per_s=-1.0))
         with open(path, "a") as file:
@@ -105,10 +105,10 @@
         self.assertEqual(self.control.calls, [])
 
     def test_apply_does_not_undo_a_retirement(self):
-        """A contract is retired, and its file still lies in the folder.
+        """A contract is retired while its file is still in the folder.
 
-        An `apply` that creates what is missing would put the customer back in force
-        without anybody having asked for it.
+        An `apply` that changes it to match the file would put the contract in force
+        again unintentionally.
         """
         path = self.write(a_contract())
         self.apply()
--- a/libs/cli/test/test_blocks.py
+++ b/libs/cli/test/test_blocks.py
@@ -20,7 +20,7 @@
         self.blocks = [BLOCK]
 
     def handle(self, request):
-        """Answer a call."""
+        """Return the response to a request."""
         path = request.url.path
         if path == "/blocks":
             return httpx.Response(200, json={"blocks": self.blocks})
@@ -46,6 +46,6 @@
         self.run_tool("block", "lift", "127.0.0.1:9465", "f1")
         self.assertNotIn("f1", self.run_tool("block", "list", "127.0.0.1:9465"))
 
-    def test_lifting_what_is_not_blocked_is_bad_input(self):
+    def test_lifting_an_unknown_block_is_bad_input(self):
         printed = self.run_tool("block", "lift", "127.0.0.1:9465", "f2", expect=2)
         self.assertIn("no such block", printed)
--- a/libs/cli/test/test_client.py
+++ b/libs/cli/test/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' client: which control VM it asks, and when it gives up."""
+"""Tests of the operator API's client: choice of control VM, retries and timeout."""
 
 import unittest
 
@@ -27,26 +27,26 @@
     def called_addresses(self):
         return [address for address, *_ in self.control.calls]
 
-    def test_the_next_address_is_asked_and_then_kept(self):
+    def test_the_address_that_answers_is_used_first_in_the_next_call(self):
         self.control.faults = {ADDRESSES[0]: ["down"], ADDRESSES[1]: ["no-leader"]}
         self.assertEqual(operator.contracts(self.client), {})
         operator.contracts(self.client)
         self.assertEqual(self.called_addresses(), [*ADDRESSES, ADDRESSES[2]])
 
-    def test_a_new_leader_is_waited_for(self):
-        """The leader dies; for a second nobody takes changes, then one is elected.
+    def test_a_change_is_retried_until_a_leader_is_elected(self):
+        """After the leader's death all control VMs refuse changes for a second.
 
-        The operator's change must not fail for that, and must be made once.
+        The operator's change must not fail, and must be made once.
         """
         self.control.faults = {address: ["no-leader"] * 3 for address in ADDRESSES}
         answer = operator.put_contract(self.client, a_contract(), 0)
         self.assertEqual(answer.version, 1)
         self.assertGreater(self.now_s, 0.5)
 
-    def test_giving_up_tells_whether_a_change_may_stand(self):
-        """All control VMs are out of reach, or one took the change and went silent.
+    def test_unreachable_reports_whether_a_change_may_have_been_made(self):
+        """All control VMs are unreachable, or one made the change but did not answer.
 
-        Only in the first case may the operator be sure that nothing was changed.
+        Only in the first case can the operator be sure that nothing was changed.
         """
         for fault, acted in (("down", False), ("lost", True)):
             self.control.faults = {ADDRESSES[1]: [fault]}
@@ -58,7 +58,7 @@
             self.assertEqual("may have been accepted" in str(caught.exception), acted)
         self.assertLess(self.now_s, 2 * (CALL_TIMEOUT_S + 1))
 
-    def test_answers_become_typed_errors(self):
+    def test_error_answers_raise_typed_errors(self):
         operator.put_contract(self.client, a_contract(), 0)
         with self.assertRaises(Conflict):
             operator.put_contract(self.client, a_contract(), 0)
--- a/libs/cli/test/test_commands.py
+++ b/libs/cli/test/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the other subcommands, as an operator runs them."""
+"""Tests of the other subcommands, run through the command line."""
 
 import io
 import json
@@ -56,19 +56,19 @@
         self.run_tool(*announce, "--stop-id", name, expect=3)
         self.assertNotIn(name, self.run_tool(*announce))
 
-    def test_a_dump_is_asked_of_the_address_given(self):
+    def test_dump_queries_the_given_address_only_and_once(self):
         dump = json.loads(self.run_tool("dump", "127.0.0.1:9"))
         self.assertEqual(dump["term"], 3)
         self.control.faults["127.0.0.1:9"] = ["down"]
         self.run_tool("dump", "127.0.0.1:9", expect=1)
-        asked = [address for address, *_ in self.control.calls]
-        self.assertEqual(asked, ["127.0.0.1:9"] * 2)
+        addresses = [address for address, *_ in self.control.calls]
+        self.assertEqual(addresses, ["127.0.0.1:9"] * 2)
 
     def test_endpoints_are_merged_from_all_control_vms(self):
         """Each endpoint announces itself to two of three control VMs.
 
-        One control VM alone would show a part of them, and an operator would take the
-        others for lost. The newest announcement counts.
+        The list of a single control VM would be incomplete, and an operator would take
+        the missing endpoints for lost. The newest announcement of each is shown.
         """
         rows = self.run_tool("endpoints").splitlines()[1:]
         states = {row.split()[0]: row.split()[-1] for row in rows}
@@ -114,11 +114,11 @@
         return {voter.disk_id for voter in self.control.voters}
 
     def test_the_new_disk_votes_only_once_it_has_caught_up(self):
-        """A control VM lost its disk; the new disk still copies the log.
+        """A control VM lost its disk, and its replacement is still copying the log.
 
-        The platform refuses its vote while it lags. The tool asks again, and takes
-        the lost disk out only after the new one votes; taken out first, the next
-        loss would stop all changes.
+        The platform refuses to promote it while it lags. The tool retries, and removes
+        the lost disk only after the promotion. If it were removed first, the next loss
+        would stop all changes.
         """
         self.control.lags = 2
         self.replace()
@@ -127,11 +127,11 @@
         self.assertEqual(self.actions(), expected)
         self.assertEqual(self.disks(), {"disk-2", "disk-3", "disk-4"})
 
-    def test_an_interrupted_replacement_is_taken_up_where_it_stopped(self):
+    def test_an_interrupted_replacement_is_resumed_by_a_second_run(self):
         """The tool is stopped after each of its steps in turn, then run again.
 
-        The platform refuses a step that is done already; the second run must take
-        that for done and not for a failure, and end with the same voters.
+        The platform refuses a step that is done already. The second run must treat it
+        as done, not as failed, and end with the same voters.
         """
         new = a_voter(4)._replace(vm="vm-1")
         for steps in (["add-learner"], ["add-learner", "promote"]):
@@ -143,7 +143,7 @@
         self.replace()
         self.assertEqual(len(self.actions()), 1)
 
-    def test_a_learner_that_never_catches_up_removes_nobody(self):
+    def test_no_voter_is_removed_if_the_learner_never_catches_up(self):
         self.control.lags = 10_000
         with self.assertRaises(Conflict):
             self.replace()
@@ -156,7 +156,7 @@
 
 
 class LocalCommandTest(CliTestCase):
-    def test_settings_are_checked_whole(self):
+    def test_check_reports_all_faults_of_a_settings_file(self):
         path = self.folder / "entry.ini"
         path.write_text("[process]\nrole = entry\nvm = a\n[listen]\ncaller = x\n")
         printed = self.run_tool("check", str(path), expect=2)
--- a/libs/cli/test/test_trace.py
+++ b/libs/cli/test/test_trace.py
@@ -1,4 +1,4 @@
-"""Tests of the way from a request's id to its cause."""
+"""Tests of the command `trace` and of the causes that it finds."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
 
 
 def engine_death(time_s, address="10.2.64.9:8323"):
-    """Return the line of an entry that found an engine dead."""
+    """Return the line that an entry logs when it detects a dead engine."""
     return a_line(time_s, "engine-dead", "stalls", address=address, why="silent")
 
 
@@ -31,7 +31,7 @@
         self.assertIn("found dead of its chains: 10.2.64.9:8323", found.cause)
         self.assertIn("no-budget", found.cause)
 
-    def test_a_refusal_for_want_of_layers_names_the_layer(self):
+    def test_a_refusal_for_lack_of_room_names_the_layer(self):
         order = a_line(9.5, "order", "layers", "front-2", "control", layers=[50, 58])
         other = a_line(9.5, "order", "layers", "front-2", "control", layers=[0, 8])
         found = self.cause(
@@ -44,7 +44,7 @@
         self.assertEqual(found.beside, [order])
         self.assertIn("layer 53", found.cause)
 
-    def test_a_block_names_the_engines_that_ended(self):
+    def test_a_block_names_the_engines_that_crashed(self):
         ended = a_line(9.0, "engine-ended", "crashes", fingerprint="f1", engine_id="e3")
         other = a_line(9.0, "engine-ended", "crashes", fingerprint="f2", engine_id="e3")
         found = self.cause(
@@ -57,7 +57,7 @@
         self.assertEqual(found.beside, [ended])
         self.assertIn("f1 has ended e1, e2, e3", found.cause)
 
-    def test_a_filing_with_an_unknown_outcome_names_who_may_have_run_it(self):
+    def test_an_unknown_outcome_names_the_service_that_may_have_run_the_call(self):
         found = self.cause(
             a_line(10.0, "sent", engine_id="desk-1"),
             a_line(10.2, "refused", status=502, reason="the connection was reset"),
@@ -65,7 +65,7 @@
         )
         self.assertIn("outcome unknown: sent to desk-1", found.cause)
 
-    def test_a_doubtful_configuration_tells_its_age(self):
+    def test_a_refusal_for_an_unconfirmed_configuration_names_its_age(self):
         lost = a_line(8.0, "control-lost", "uplink", address="10.1.0.2:7001")
         found = self.cause(
             lost,
@@ -80,12 +80,12 @@
         self.assertEqual(found.beside, [lost])
         self.assertIn("4.2 s before", found.cause)
 
-    def test_one_whose_process_was_killed_has_no_end(self):
+    def test_a_request_whose_process_was_killed_has_no_end(self):
         self.assertEqual(
             self.cause(a_line(1.0, "sent")).cause, requestlog.NO_END_LOGGED
         )
 
-    def test_what_is_no_structured_line_is_passed_over(self):
+    def test_unstructured_lines_are_ignored(self):
         for text in ("", "Traceback", "[1]", '{"time": 1}'):
             self.assertIsNone(requestlog.read_line(text))
 
@@ -94,7 +94,7 @@
     def log(self, *lines):
         return a_log_file(lines, "not a line")
 
-    def test_the_life_of_a_request_is_printed_in_order(self):
+    def test_the_lines_of_a_request_are_printed_in_order_of_time(self):
         first = self.log(a_line(10.5, "ended", outcome="status 200"))
         second = self.log(a_line(10.0, "admitted"), a_line(10.1, "sent"))
         printed = self.run_tool("trace", "r1", first, second).splitlines()
--- a/libs/model/test/test_jsoncodec.py
+++ b/libs/model/test/test_jsoncodec.py
@@ -17,20 +17,20 @@
 
 
 class JsonCodecTest(unittest.TestCase):
-    def test_named_tuples_are_objects_and_come_back_equal(self):
+    def test_named_tuples_are_encoded_as_objects_and_decoded_equal(self):
         change = Change(a_contract())
         data = jsoncodec.encode(change)
         self.assertIn(b'"customer":"petra-tours"', data)
         self.assertEqual(jsoncodec.decode(data, Change), change)
 
-    def test_fields_of_a_later_version_are_passed_over(self):
+    def test_fields_of_a_later_version_are_ignored(self):
         place = Place("vm-1", "amman-1", "jordan")
         announcement = Announcement("e", Kind.ENGINE, "1", 1, place, "127.0.0.1:1")
         value = jsoncodec.plain(announcement) | {"later": 1}
         data = jsoncodec.encode([value])
         self.assertEqual(jsoncodec.decode(data, list[Announcement]), [announcement])
 
-    def test_a_wrong_type_names_the_field(self):
+    def test_the_error_for_a_wrong_type_names_the_field(self):
         value = jsoncodec.plain(Change(a_contract()))
         value["contract"]["models"] = 3
         with self.assertRaisesRegex(msgspec.ValidationError, "contract.models"):
