--- a/libs/cli/src/cherryrudder/cli/apply_command.py
+++ b/libs/cli/src/cherryrudder/cli/apply_command.py
@@ -43,8 +43,8 @@
             raise wanted.error
         client = connect()
         steps = make_plan(wanted.ok, operator.contracts(client))
-        done = plan_only(steps) if dry_run else carry_out(client, steps)
-        return report(done)
+        results = plan_only(steps) if dry_run else carry_out(client, steps)
+        return report(results)
 
     return run
 
--- a/libs/cli/src/cherryrudder/cli/control_commands.py
+++ b/libs/cli/src/cherryrudder/cli/control_commands.py
@@ -30,9 +30,9 @@
         text = table(HEADERS, rows)
         if known:
             text += "\n\n" + _members(newest_status(known))
-        healthy = len(known) == len(found) and any(s.role == "leader" for s in known)
+        is_healthy = len(known) == len(found) and any(s.role == "leader" for s in known)
         value = {"control": jsoncodec.plain(found)}
-        return Output(text, value, 0 if healthy else FAILED)
+        return Output(text, value, 0 if is_healthy else FAILED)
 
     return run
 
--- a/libs/cli/src/cherryrudder/cli/loss_command.py
+++ b/libs/cli/src/cherryrudder/cli/loss_command.py
@@ -37,14 +37,14 @@
 
 
 def _comparison_table(counts, other):
-    theirs = attribution.count_causes(
+    other_counts = attribution.count_causes(
         attribution.attribute(requestlog.read_files([other]))
     )
-    shares = {one.cause: one.share for one in theirs}
-    names = dict.fromkeys([one.cause for one in counts] + list(shares))
-    own = {one.cause: one.share for one in counts}
+    other_shares = {one.cause: one.share for one in other_counts}
+    names = dict.fromkeys([one.cause for one in counts] + list(other_shares))
+    own_shares = {one.cause: one.share for one in counts}
     rows = [
-        (f"{own.get(name, 0):.3f}", f"{shares.get(name, 0):.3f}", name)
+        (f"{own_shares.get(name, 0):.3f}", f"{other_shares.get(name, 0):.3f}", name)
         for name in names
     ]
     return table(("share", "other", "cause"), rows)
--- a/libs/cli/src/cherryrudder/cli/losses.py
+++ b/libs/cli/src/cherryrudder/cli/losses.py
@@ -2,8 +2,8 @@
 
 Without it, an operator who sees a tenth of the responses late cannot tell which
 mechanism to look at: too little room, a range of layers that no engine held, an engine
-that died or one that was slow. Each request gets the first cause that applies, checked
-in the order of its life: refused, late first event, long pause, broken off.
+that died or one that was slow. Each request gets the first cause that applies: refused,
+no end logged, failed or broken off, late first event, long pause.
 """
 
 import collections
@@ -136,10 +136,10 @@
 
 def _event_cause(own, until_s, slow_reports):
     """Return the engine event that explains a delay which ended at `until_s`."""
-    near = [
+    nearby = [
         one for one in own if until_s - EVENT_WINDOW_S <= one.time_s <= until_s + 0.01
     ]
-    retry = _last(near, "retry")
+    retry = _last(nearby, "retry")
     if retry is not None:
         reason = retry.get("reason")
         return (
@@ -147,7 +147,7 @@
             if any(word in reason for word in DEATH_REASONS)
             else reason
         )
-    reroute = _last(near, "reroute")
+    reroute = _last(nearby, "reroute")
     if reroute is not None:
         return "moved away" if reroute.get("is_move", False) else "an engine died"
     if _has_slow_engine(own, until_s, slow_reports):
@@ -166,5 +166,5 @@
 
 
 def _last(lines, event):
-    found = [line for line in lines if line.event == event]
-    return found[-1] if found else None
+    matching = [line for line in lines if line.event == event]
+    return matching[-1] if matching else None
--- a/libs/cli/src/cherryrudder/cli/requestlog.py
+++ b/libs/cli/src/cherryrudder/cli/requestlog.py
@@ -50,13 +50,15 @@
 def read_line(text: str) -> Line | None:
     """Parse a structured log line; return None for any other output."""
     try:
-        found = json.loads(text)
+        record = json.loads(text)
     except ValueError:
         return None
-    if not isinstance(found, dict) or not all(name in found for name in COMMON_FIELDS):
+    if not isinstance(record, dict) or not all(
+        name in record for name in COMMON_FIELDS
+    ):
         return None
-    head = [found.pop(name) for name in COMMON_FIELDS]
-    return Line(*head, found)
+    common = [record.pop(name) for name in COMMON_FIELDS]
+    return Line(*common, record)
 
 
 def read_files(files: Iterable[Path]) -> list[Line]:
@@ -111,10 +113,13 @@
     ]
     if not deaths:
         return [], f"{outcome}; no engine of its chains was found dead near that time"
-    named = sorted({line.get("address") for line in deaths})
-    verdict = _last(own, "retry")
-    left = f", and not sent again: {verdict.get('verdict')}" if verdict else ""
-    return deaths, f"{outcome}; found dead of its chains: {', '.join(named)}{left}"
+    addresses = sorted({line.get("address") for line in deaths})
+    retry = _last(own, "retry")
+    suffix = f", and not sent again: {retry.get('verdict')}" if retry else ""
+    return (
+        deaths,
+        f"{outcome}; found dead of its chains: {', '.join(addresses)}{suffix}",
+    )
 
 
 def _explain_refusal(own, near, refused):
@@ -122,12 +127,12 @@
     blocked = _last(own, "blocked")
     if blocked is not None:
         return _explain_block(near, blocked)
-    missing = _last(own, "no-chain")
-    if missing is not None:
-        return _explain_no_chain(near, missing, reason)
+    no_chain = _last(own, "no-chain")
+    if no_chain is not None:
+        return _explain_no_chain(near, no_chain, reason)
     if reason.startswith(("configuration", "cut off", "no configuration")):
-        kinds = ("control-lost", "leader", "confirmed", "lost")
-        beside = [line for line in near if line.event in kinds]
+        events = ("control-lost", "leader", "confirmed", "lost")
+        beside = [line for line in near if line.event in events]
         age_s = refused.get("confirmed_age_s")
         return beside, f"refused: {reason}, last confirmed {age_s} s before"
     return [], f"refused: {reason}"
@@ -145,8 +150,8 @@
     return beside, f"refused for good: {fingerprint} has ended {ended}"
 
 
-def _explain_no_chain(near, missing, reason):
-    layer = missing.get("tightest_layer", 0)
+def _explain_no_chain(near, no_chain, reason):
+    layer = no_chain.get("tightest_layer", 0)
     beside = [
         line
         for line in near
@@ -155,8 +160,8 @@
     ]
     return beside, (
         f"refused: {reason}; layer {layer} had room for"
-        f" {missing.get('free_tokens')} tokens where {missing.get('tokens')} were"
-        f" needed, with {missing.get('engines')} engines in use"
+        f" {no_chain.get('free_tokens')} tokens where {no_chain.get('tokens')} were"
+        f" needed, with {no_chain.get('engines')} engines in use"
     )
 
 
@@ -178,5 +183,5 @@
 
 
 def _last(lines, event):
-    found = [line for line in lines if line.event == event]
-    return found[-1] if found else None
+    matching = [line for line in lines if line.event == event]
+    return matching[-1] if matching else None
--- a/libs/model/src/cherryrudder/model/settings.py
+++ b/libs/model/src/cherryrudder/model/settings.py
@@ -198,28 +198,28 @@
 
 
 def _read_section(name, kind, values, faults):
-    read = {}
-    for key, wanted in kind.__annotations__.items():
+    converted = {}
+    for key, value_kind in kind.__annotations__.items():
         try:
-            read[key] = _convert(values[key], wanted)
+            converted[key] = _convert(values[key], value_kind)
         except ValueError as error:
             faults.append(f"[{name}] {key}: {error}")
-            read[key] = None
-    return kind(**read)
+            converted[key] = None
+    return kind(**converted)
 
 
-def _convert(text, wanted):
+def _convert(text, kind):
     text = text.strip()
-    if wanted is bool:
+    if kind is bool:
         if text.lower() not in BOOLEANS:
             raise ValueError(f"{text!r} is not yes or no")
         return BOOLEANS[text.lower()]
-    if wanted in (int, float):
-        number = wanted(text)
+    if kind in (int, float):
+        number = kind(text)
         if not 0 <= number < float("inf"):
             raise ValueError(f"{text!r} is out of range")
         return number
-    if wanted is str:
+    if kind is str:
         return text
     return tuple(part.strip() for part in text.split(",") if part.strip())
 
