--- a/libs/cli/src/cherryrudder/cli/apply_command.py
+++ b/libs/cli/src/cherryrudder/cli/apply_command.py
@@ -1,4 +1,4 @@
-"""The command `apply`: make the platform hold a folder's contracts."""
+"""The command `apply`: bring the platform's contracts in line with a folder."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -12,12 +12,12 @@
 UNCHANGED = {
     Action.KEEP: "no change",
     Action.ABSENT: "no file in the folder, left as it is",
-    Action.RETIRED: "not changed, `contract change` takes it up again",
+    Action.RETIRED: "not changed, use `contract change` to put it in force again",
 }
 
 
-class Done(NamedTuple):
-    """What became of a step; `exit_code` is not 0 if it could not be carried out."""
+class StepResult(NamedTuple):
+    """The result of a step; `exit_code` is not 0 if it was not carried out."""
 
     step: Step
     message: str
@@ -25,13 +25,13 @@
 
 
 def apply(folder: Path, *, dry_run: bool = False):
-    """Make the platform hold the contracts of a folder of INI files.
+    """Create or change contracts to match a folder of INI files.
 
-    Prints the plan with its differences and what became of each step. Contracts
+    Prints the plan with its differences and the result of each step. Contracts
     without a file are left alone. Running it again changes nothing.
 
-    Ends with 0 if all is done or nothing was to do, 1 on failure, 2 on bad input, 3
-    if a contract was changed by someone else or is retired.
+    Exits with 0 if all is done or there was nothing to do, 1 on failure, 2 on bad
+    input, 3 if a contract was changed by someone else or is retired.
 
     :param folder: folder with one .ini file per customer
     :param dry_run: print the plan only
@@ -43,42 +43,43 @@
             raise wanted.error
         client = connect()
         steps = make_plan(wanted.ok, operator.contracts(client))
-        done = plan_only(steps) if dry_run else carry_out(client, steps)
-        return report(done)
+        results = plan_only(steps) if dry_run else carry_out(client, steps)
+        return report(results)
 
     return run
 
 
-def plan_only(steps: list[Step]) -> list[Done]:
-    """Return the steps as they would be carried out."""
-    return [_unchanged(step) or Done(step, "planned") for step in steps]
+def plan_only(steps: list[Step]) -> list[StepResult]:
+    """Return the results of a dry run."""
+    return [_unchanged(step) or StepResult(step, "planned") for step in steps]
 
 
-def carry_out(client: Client, steps: list[Step]) -> list[Done]:
-    """Carry out each step, also after one that was refused.
+def carry_out(client: Client, steps: list[Step]) -> list[StepResult]:
+    """Carry out the steps, continuing after a step that was refused.
 
-    Once no control VM answers, the rest is not tried: each step would wait in vain.
+    Once no control VM answers, the remaining steps are not tried, since each would wait
+    until its timeout.
     """
-    done, reachable = [], True
+    results, reachable = [], True
     for step in steps:
         unchanged = _unchanged(step)
         if unchanged:
-            done.append(unchanged)
+            results.append(unchanged)
         elif not reachable:
-            done.append(Done(step, "not tried", Unreachable.exit_code))
+            results.append(StepResult(step, "not tried", Unreachable.exit_code))
         else:
             try:
-                done.append(_put(client, step))
+                results.append(_put(client, step))
             except Unreachable as error:
                 reachable = False
-                done.append(Done(step, str(error), error.exit_code))
-    return done
+                results.append(StepResult(step, str(error), error.exit_code))
+    return results
 
 
-def report(done: list[Done]) -> Output:
-    """Return what is printed about the steps."""
+def report(results: list[StepResult]) -> Output:
+    """Return the output for the results of all steps."""
     lines, rows = [], []
-    for step, message, _ in done:
+    for step, message, _ in results:
         lines.append(f"{step.action} {step.contract.customer}: {message}")
         lines += [f"    {line}" for line in step.diff]
         rows.append(
@@ -90,8 +91,8 @@
                 "diff": step.diff,
             }
         )
-    # A failure matters more to a script than a refusal, whatever came first.
-    codes = [result.exit_code for result in done if result.exit_code]
+    # A failure (1) takes precedence over a conflict (3), in whatever order they came.
+    codes = [result.exit_code for result in results if result.exit_code]
     return Output("\n".join(lines), {"plan": rows}, min(codes, default=DONE))
 
 
@@ -99,7 +100,9 @@
     message = UNCHANGED.get(step.action)
     if message is None:
         return None
-    return Done(step, message, CONFLICT if step.action == Action.RETIRED else DONE)
+    return StepResult(
+        step, message, CONFLICT if step.action == Action.RETIRED else DONE
+    )
 
 
 def _put(client, step):
@@ -108,5 +111,5 @@
     except Unreachable:
         raise
     except CliError as error:
-        return Done(step, str(error), error.exit_code)
-    return Done(step, f"done, version {answer.version}")
+        return StepResult(step, str(error), error.exit_code)
+    return StepResult(step, f"done, version {answer.version}")
--- a/libs/cli/src/cherryrudder/cli/block_commands.py
+++ b/libs/cli/src/cherryrudder/cli/block_commands.py
@@ -1,13 +1,13 @@
-"""The commands on requests that are refused since they end their engines."""
+"""The `block` commands: list and lift blocks of requests that crash their engines."""
 
 from . import client as operator
 from .output import Output, table
 
-HEADS = ("request", "account", "service", "engines", "left s")
+HEADERS = ("request", "account", "service", "engines", "left s")
 
 
 def show(address: str):
-    """List the requests that one process refuses, and the engines they ended.
+    """List the requests that one process refuses, and the engines they crashed.
 
     :param address: metrics address of an entry or control VM, IP:PORT
     """
@@ -15,16 +15,16 @@
     def run(connect):
         value = operator.get(connect(address, needs_key=False), "/blocks")
         rows = [_row(block) for block in value["blocks"]]
-        return Output(table(HEADS, rows), value)
+        return Output(table(HEADERS, rows), value)
 
     return run
 
 
 def lift(address: str, fingerprint: str):
-    """Let a request run again, at all entries.
+    """Lift the block of a request at all entries.
 
     :param address: metrics address of a control VM, IP:PORT
-    :param fingerprint: the request, as "block list" prints it
+    :param fingerprint: the request's fingerprint, as "block list" prints it
     """
 
     def run(connect):
--- a/libs/cli/src/cherryrudder/cli/contract_commands.py
+++ b/libs/cli/src/cherryrudder/cli/contract_commands.py
@@ -1,7 +1,7 @@
-"""The commands on single contracts.
+"""The `contract` commands: list, show, create, change and retire single contracts.
 
-Each function is a subcommand: it takes the command line's arguments and returns what
-to do once there is a client.
+Each public function is a subcommand: it takes the command line's arguments and returns
+a function that runs the command, given a function that connects to the control VMs.
 """
 
 from pathlib import Path
@@ -31,22 +31,29 @@
             )
             for name, row in sorted(held.items())
         ]
-        heads = ("customer", "version", "requests/s", "tokens/s", "concurrent", "state")
+        headers = (
+            "customer",
+            "version",
+            "requests/s",
+            "tokens/s",
+            "concurrent",
+            "state",
+        )
         return Output(
-            table(heads, rows), {"contracts": jsoncodec.plain(list(held.values()))}
+            table(headers, rows), {"contracts": jsoncodec.plain(list(held.values()))}
         )
 
     return run
 
 
 def show(customer: str):
-    """Print one contract as its contract file.
+    """Print one contract in the format of a contract file.
 
     :param customer: the customer's name
     """
 
     def run(connect):
-        held = _held(connect(), customer)
+        held = _get_contract(connect(), customer)
         state = "retired" if held.contract.retired else "in force"
         head = f"; version {held.version}, {state}\n"
         text = head + format_contract(held.contract).rstrip()
@@ -68,17 +75,17 @@
 
 
 def change(file: Path, *, expected_version: int | None = None):
-    """Change a contract to what its file says.
+    """Change a contract to the contents of its file.
 
     :param file: the contract file
-    :param expected_version: version that the change is made for, as "show" printed it;
-        without it the version found now
+    :param expected_version: version that the change is based on, as printed by "show";
+        by default the current version
     """
 
     def run(connect):
         contract = _load(file)
         client = connect()
-        held = _held(client, contract.customer)
+        held = _get_contract(client, contract.customer)
         version = held.version if expected_version is None else expected_version
         return _put(client, contract, held.contract, version)
 
@@ -86,16 +93,16 @@
 
 
 def retire(customer: str, *, expected_version: int | None = None):
-    """Retire a contract: new work is refused, what runs is finished.
+    """Retire a contract: new requests are refused, running ones are finished.
 
     :param customer: the customer's name
-    :param expected_version: version that the change is made for, as "show" printed it;
-        without it the version found now
+    :param expected_version: version that the change is based on, as printed by "show";
+        by default the current version
     """
 
     def run(connect):
         client = connect()
-        held = _held(client, customer)
+        held = _get_contract(client, customer)
         version = held.version if expected_version is None else expected_version
         retired = held.contract._replace(retired=True)
         return _put(client, retired, held.contract, version)
@@ -119,7 +126,7 @@
     return result.ok
 
 
-def _held(client, customer):
+def _get_contract(client, customer):
     held = operator.contracts(client).get(customer)
     if held is None:
         raise BadInput(f"{customer}: no such contract")
--- a/libs/cli/src/cherryrudder/cli/output.py
+++ b/libs/cli/src/cherryrudder/cli/output.py
@@ -1,4 +1,4 @@
-"""What a command prints: text for people, or JSON for programs."""
+"""Output of a command: text for people, or JSON for programs."""
 
 from typing import NamedTuple
 
@@ -8,17 +8,17 @@
 
 
 class Output(NamedTuple):
-    """A command's result; `value` is what `--json` prints."""
+    """A command's result; `value` is printed with `--json`, `text` without."""
 
     text: str
     value: object
     exit_code: int = DONE
 
 
-def table(heads: tuple[str, ...], rows: list[tuple]) -> str:
-    """Return rows under their heads, in columns of equal width."""
-    cells = [heads, *(tuple(str(cell) for cell in row) for row in rows)]
-    widths = [max(len(row[column]) for row in cells) for column in range(len(heads))]
+def table(headers: tuple[str, ...], rows: list[tuple]) -> str:
+    """Format rows under their headers, each column padded to its widest cell."""
+    cells = [headers, *(tuple(str(cell) for cell in row) for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(headers))]
     lines = [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
         for row in cells
@@ -26,8 +26,8 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def pretty(value) -> str:
-    """Return indented JSON."""
+def format_json(value) -> str:
+    """Return the value as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
 
 
--- a/libs/cli/src/cherryrudder/cli/platform_commands.py
+++ b/libs/cli/src/cherryrudder/cli/platform_commands.py
@@ -1,24 +1,24 @@
-"""The commands that show what the platform holds at this moment."""
+"""The commands that show the platform's current state."""
 
 from cherryrudder.model import jsoncodec
 from cherryrudder.model.endpoints import Kind
 
 from . import client as operator
-from .output import Output, pretty, table
+from .output import Output, format_json, table
 
-HEADS = ("endpoint", "kind", "vm", "data centre", "serves", "slots", "state")
+HEADERS = ("endpoint", "kind", "vm", "data centre", "serves", "slots", "state")
 
 
 def endpoints():
-    """List the endpoints that announce themselves, as all control VMs know them.
+    """List the announced endpoints, merged from all control VMs.
 
-    Names the control VMs that gave no answer; with two of them silent, endpoints may
-    be missing from the list.
+    Also lists the control VMs that gave no answer; if there are two or more of them,
+    endpoints may be missing from the list.
     """
 
     def run(connect):
         found, silent = operator.endpoints(connect())
-        lines = [table(HEADS, [_row(one) for one in found])]
+        lines = [table(HEADERS, [_row(one) for one in found])]
         lines += [f"no answer from {at}: {fault}" for at, fault in silent.items()]
         value = {"endpoints": jsoncodec.plain(found), "silent": silent}
         return Output("\n".join(lines), value)
@@ -31,12 +31,12 @@
 
     For an internal listener give the internal key's file as --operator-key-file.
 
-    :param address: its operator or internal listener, IP:PORT
+    :param address: IP:PORT of the process's operator or internal listener
     """
 
     def run(connect):
         value = operator.get(connect(address), "/v1/dump")
-        return Output(pretty(value), value)
+        return Output(format_json(value), value)
 
     return run
 
--- a/libs/model/src/cherryrudder/model/contractfiles.py
+++ b/libs/model/src/cherryrudder/model/contractfiles.py
@@ -1,4 +1,7 @@
-"""Contract files: one customer's contract in one INI file, checked as a whole."""
+"""Contract files: one customer's contract in one INI file.
+
+A file is checked as a whole, so that all of its faults are reported at once.
+"""
 
 import configparser
 import re
@@ -10,15 +13,15 @@
 from .errors import SettingsError
 
 SECTION = "contract"
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-SHA256 = re.compile(r"[0-9a-f]{64}")
+CUSTOMER_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+SHA256_PATTERN = re.compile(r"[0-9a-f]{64}")
 FLOATS = ("requests_per_s", "tokens_per_s", "max_wait_s", "burst_s")
 INTEGERS = ("concurrent_requests", "max_tokens", "priorities")
 LISTS = ("models", "services")
 
 
 def load_contract(path: str | Path) -> Result[Contract, SettingsError]:
-    """Return the contract of a file, or one error that names every fault."""
+    """Return the contract in a file, or one error with every fault."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -31,7 +34,7 @@
 
 
 def parse_contract(text: str) -> Result[Contract, SettingsError]:
-    """Return the contract of an INI text."""
+    """Return the contract in an INI text, or one error with every fault."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -45,7 +48,7 @@
         for key in values
         if key not in Contract._fields or key == "retired"
     ]
-    fields = _fields(values, faults)
+    fields = _read_fields(values, faults)
     if faults:
         return Error(SettingsError(faults))
     contract = Contract(**fields)
@@ -54,7 +57,7 @@
 
 
 def format_contract(contract: Contract) -> str:
-    """Return the INI text that parses to the contract."""
+    """Return the contract as INI text, without the `retired` flag."""
     lines = [f"[{SECTION}]"]
     for key, value in contract._asdict().items():
         if key == "retired":
@@ -65,11 +68,11 @@
 
 
 def check_contract(contract: Contract) -> list[str]:
-    """Return one message for every value that a contract must not have."""
+    """Return one message for each invalid value of a contract."""
     faults = []
-    if not NAME.fullmatch(contract.customer):
+    if not CUSTOMER_PATTERN.fullmatch(contract.customer):
         faults.append("customer: lower-case letters, digits and hyphens, 63 at most")
-    if not SHA256.fullmatch(contract.key_sha256):
+    if not SHA256_PATTERN.fullmatch(contract.key_sha256):
         faults.append("key_sha256: 64 lower-case hex digits")
     if not contract.models and not contract.services:
         faults.append("models, services: at least one is needed")
@@ -79,7 +82,7 @@
     return [f"[{SECTION}] {fault}" for fault in faults]
 
 
-def _fields(values, faults):
+def _read_fields(values, faults):
     fields = {}
     for key in Contract._fields:
         if key not in values:
--- a/libs/model/src/cherryrudder/model/jsoncodec.py
+++ b/libs/model/src/cherryrudder/model/jsoncodec.py
@@ -1,8 +1,9 @@
-"""JSON to and from the workspace's types, by msgspec.
+"""Encode the workspace's types as JSON and decode them, with msgspec.
 
-msgspec writes a `NamedTuple` as an array. Between programs of different versions and
-for operators' eyes an object with field names is wanted, so each `NamedTuple` type gets
-a `msgspec.Struct` twin, made once, through which its JSON is read and checked.
+msgspec writes a `NamedTuple` as an array. Programs of different versions and operators
+need an object with field names instead. So for each `NamedTuple` type a
+`msgspec.Struct` type with the same fields is created once, through which its JSON is
+decoded and validated.
 """
 
 import functools
@@ -14,23 +15,26 @@
 
 
 def encode(value) -> bytes:
-    """Return the JSON of any value made of this workspace's types."""
+    """Encode a value made of the workspace's types as JSON."""
     return msgspec.json.encode(plain(value))
 
 
 def decode(data: bytes | str, kind=object):
-    """Return the value of a type that the JSON holds; raises msgspec.DecodeError."""
-    read = msgspec.json.decode(data, type=_twin_of(kind), strict=False)
-    return _from_twin(read)
+    """Decode JSON to a value of the type `kind`; raises msgspec.DecodeError."""
+    read = msgspec.json.decode(data, type=_struct_type(kind), strict=False)
+    return _from_struct(read)
 
 
 def convert(value, kind):
-    """Return the value of a type that bare dicts hold; raises msgspec.DecodeError."""
-    return _from_twin(msgspec.convert(value, type=_twin_of(kind), strict=False))
+    """Convert plain dicts and lists to a value of the type `kind`.
+
+    Raises msgspec.ValidationError, a msgspec.DecodeError.
+    """
+    return _from_struct(msgspec.convert(value, type=_struct_type(kind), strict=False))
 
 
 def plain(value):
-    """Return the value as bare dicts, lists, strings and numbers."""
+    """Convert a value to plain dicts, lists, strings and numbers."""
     if isinstance(value, tuple) and hasattr(value, "_fields"):
         return {
             name: plain(part) for name, part in zip(value._fields, value, strict=True)
@@ -44,7 +48,7 @@
     return value
 
 
-class _Twin(msgspec.Struct):
+class _StructBase(msgspec.Struct):
     pass
 
 
@@ -55,42 +59,42 @@
 
 
 @functools.cache
-def _twin_of(kind):
-    """Return the type by which msgspec reads a type's JSON."""
+def _struct_type(kind):
+    """Return the type that msgspec decodes to: structs in place of named tuples."""
     if _is_named_tuple(kind):
-        return _make_twin(kind)
+        return _make_struct(kind)
     arguments = typing.get_args(kind)
     if not arguments or typing.get_origin(kind) is typing.Literal:
         return kind
-    twins = tuple(_twin_of(part) for part in arguments)
+    parts = tuple(_struct_type(part) for part in arguments)
     if isinstance(kind, types.UnionType):
-        return functools.reduce(lambda left, right: left | right, twins)
-    return typing.get_origin(kind)[twins]
+        return functools.reduce(lambda left, right: left | right, parts)
+    return typing.get_origin(kind)[parts]
 
 
-def _make_twin(kind):
+def _make_struct(kind):
     fields = []
     for name, part in typing.get_type_hints(kind).items():
-        field = (name, _twin_of(part))
+        field = (name, _struct_type(part))
         if name in kind._field_defaults:
             field += (kind._field_defaults[name],)
         fields.append(field)
-    twin = msgspec.defstruct(kind.__name__, fields, bases=(_Twin,))
-    _KIND_OF_TWIN[twin] = kind
-    return twin
+    struct = msgspec.defstruct(kind.__name__, fields, bases=(_StructBase,))
+    _TYPE_OF_STRUCT[struct] = kind
+    return struct
 
 
-_KIND_OF_TWIN: dict[type, type] = {}
+_TYPE_OF_STRUCT: dict[type, type] = {}
 
 
-def _from_twin(value):
-    if isinstance(value, _Twin):
-        parts = (_from_twin(getattr(value, n)) for n in value.__struct_fields__)
-        return _KIND_OF_TWIN[type(value)](*parts)
+def _from_struct(value):
+    if isinstance(value, _StructBase):
+        parts = (_from_struct(getattr(value, n)) for n in value.__struct_fields__)
+        return _TYPE_OF_STRUCT[type(value)](*parts)
     if isinstance(value, list):
-        return [_from_twin(part) for part in value]
+        return [_from_struct(part) for part in value]
     if isinstance(value, tuple):
-        return tuple(_from_twin(part) for part in value)
+        return tuple(_from_struct(part) for part in value)
     if isinstance(value, dict):
-        return {key: _from_twin(part) for key, part in value.items()}
+        return {key: _from_struct(part) for key, part in value.items()}
     return value
--- a/libs/model/src/cherryrudder/model/settings.py
+++ b/libs/model/src/cherryrudder/model/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a daemon: INI files over the defaults, checked as a whole."""
+"""Settings of a daemon, from an INI file that overrides the defaults.
+
+A file is checked as a whole, so that all of its faults are reported at once.
+"""
 
 import configparser
 import ipaddress
@@ -99,12 +102,12 @@
 
     @property
     def place(self) -> Place:
-        """Return where the process runs."""
+        """Return the VM, data centre and region that the process runs in."""
         return Place(self.process.vm, self.process.data_centre, self.process.region)
 
 
-# What each role cannot do without, as section and key.
-NEEDED = {
+# Settings that must not be empty for each role, as (section, key).
+REQUIRED = {
     "all": (
         ("process", "vm"),
         ("process", "data_centre"),
@@ -134,7 +137,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP and port of an IP:PORT text; raises ValueError."""
+    """Return the IP and port of an IP:PORT text; raises ValueError if it is invalid."""
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     number = int(port)
@@ -144,7 +147,7 @@
 
 
 def load_settings(path: str | Path) -> Result[Settings, SettingsError]:
-    """Return the checked settings of a file, or one error that names every fault."""
+    """Return the settings in a file, or one error with every fault."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -153,20 +156,20 @@
 
 
 def parse_settings(text: str) -> Result[Settings, SettingsError]:
-    """Return the checked settings of an INI text."""
+    """Return the settings in an INI text, or one error with every fault."""
     defaults = _read(_default_text())
     try:
         own = _read(text)
     except configparser.Error as error:
         return Error(SettingsError([str(error).replace("\n", " ")]))
-    faults = _unknown(own, defaults)
+    faults = _unknown_settings(own, defaults)
     values = {name: dict(defaults[name]) for name in defaults.sections()}
     for name in own.sections():
         values.setdefault(name, {}).update(own[name])
     sections = {}
     for name, kind in Settings.__annotations__.items():
-        sections[name] = _section(name, kind, values[name], faults)
-    faults += _missing(values) + _wrong(values)
+        sections[name] = _read_section(name, kind, values[name], faults)
+    faults += _missing_values(values) + _invalid_values(values)
     if faults:
         return Error(SettingsError(faults))
     return Ok(Settings(**sections))
@@ -182,7 +185,7 @@
     return parser
 
 
-def _unknown(own, defaults):
+def _unknown_settings(own, defaults):
     faults = []
     for section in own.sections():
         if section not in defaults:
@@ -194,49 +197,49 @@
     return faults
 
 
-def _section(name, kind, values, faults):
-    read = {}
-    for key, wanted in kind.__annotations__.items():
+def _read_section(name, kind, values, faults):
+    converted = {}
+    for key, value_kind in kind.__annotations__.items():
         try:
-            read[key] = _convert(values[key], wanted)
+            converted[key] = _convert(values[key], value_kind)
         except ValueError as error:
             faults.append(f"[{name}] {key}: {error}")
-            read[key] = None
-    return kind(**read)
+            converted[key] = None
+    return kind(**converted)
 
 
-def _convert(text, wanted):
+def _convert(text, kind):
     text = text.strip()
-    if wanted is bool:
+    if kind is bool:
         if text.lower() not in BOOLEANS:
             raise ValueError(f"{text!r} is not yes or no")
         return BOOLEANS[text.lower()]
-    if wanted in (int, float):
-        number = wanted(text)
+    if kind in (int, float):
+        number = kind(text)
         if not 0 <= number < float("inf"):
             raise ValueError(f"{text!r} is out of range")
         return number
-    if wanted is str:
+    if kind is str:
         return text
     return tuple(part.strip() for part in text.split(",") if part.strip())
 
 
-def _missing(values):
+def _missing_values(values):
     role = values["process"]["role"]
     if role not in ROLES:
         return [f"[process] role: {role!r} is not one of {', '.join(ROLES)}"]
-    needed = NEEDED["all"] + NEEDED[role]
+    required = REQUIRED["all"] + REQUIRED[role]
     if role == "sidecar":
         is_engine = values["sidecar"]["kind"] == Kind.ENGINE
-        needed += (("sidecar", "model" if is_engine else "service"),)
+        required += (("sidecar", "model" if is_engine else "service"),)
     return [
         f"[{section}] {key}: a {role} needs a value"
-        for section, key in needed
+        for section, key in required
         if not values[section][key].strip()
     ]
 
 
-def _wrong(values):
+def _invalid_values(values):
     faults = []
     addresses = [("listen", key, text) for key, text in values["listen"].items()]
     addresses.append(("statsd", "address", values["statsd"]["address"]))
