--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from cherryrudder.daemon.announcer import Announcer
-from cherryrudder.daemon.creditdesk import CreditDesk
+from cherryrudder.daemon.creditgranter import CreditGranter
 from cherryrudder.daemon.follower import Follower
 from cherryrudder.daemon.framemessages import DATA_MESSAGES, CreditReport
 from cherryrudder.fakes.deployment import free_address
@@ -61,12 +61,12 @@
         codec = FrameCodec(DATA_MESSAGES)
         links = Links(self.group, codec, self.key, self.frames, lambda address: None)
         settings = SimpleNamespace(endpoint=self.name, slots=SLOTS)
-        desk = CreditDesk(settings, links)
+        desk = CreditGranter(settings, links)
 
         def on_messages(peer, messages):
             for message in messages:
                 if isinstance(message, CreditReport):
-                    desk.answer(message, time.monotonic())
+                    desk.handle_report(message, time.monotonic())
 
         self.announcer.start()
         await listen_frames(self.frames, codec, self.key, on_messages, anyio.Event())
--- a/libs/daemon/src/cherryrudder/daemon/creditdesk.py
+++ b/libs/daemon/src/cherryrudder/daemon/creditgranter.py
@@ -9,7 +9,7 @@
 LEARNING_PART = 0.1
 
 
-class CreditDesk:
+class CreditGranter:
     """The credits of one endpoint and the calls that it has not answered."""
 
     def __init__(self, process, links):
@@ -20,7 +20,7 @@
         self.step_s = 0.0
         self.calls: dict[object, float] = {}
 
-    def answer(self, report: CreditReport, at_s: float) -> None:
+    def handle_report(self, report: CreditReport, at_s: float) -> None:
         """Answer an entry's report."""
         given = credits.handle_report(
             self.issuer, report.entry, report.running, report.wanted, at_s
--- a/libs/daemon/src/cherryrudder/daemon/enginehost.py
+++ b/libs/daemon/src/cherryrudder/daemon/enginehost.py
@@ -16,7 +16,7 @@
 from cherryrudder.wire.errors import WireError
 
 from .clock import now_s
-from .creditdesk import CreditDesk
+from .creditgranter import CreditGranter
 from .fenceguard import FenceGuard
 from .framemessages import DATA_MESSAGES, CreditReport
 from .frameport import FramePort
@@ -63,7 +63,7 @@
             process, DATA_MESSAGES, self._on_messages, self._link_down
         )
         self.links = self.port.links
-        self.desk = CreditDesk(process, self.links)
+        self.desk = CreditGranter(process, self.links)
         self.leaving = False
         self._computes: list[Compute] = []
         self._wake = anyio.Event()
@@ -101,7 +101,7 @@
         at_s = now_s()
         for message in messages:
             if isinstance(message, CreditReport):
-                self.desk.answer(message, at_s)
+                self.desk.handle_report(message, at_s)
             elif self.leaving and self._is_new(message):
                 self._refuse(message)
             else:
--- a/libs/daemon/src/cherryrudder/daemon/servicehost.py
+++ b/libs/daemon/src/cherryrudder/daemon/servicehost.py
@@ -11,7 +11,7 @@
 
 from . import gate
 from .clock import now_s
-from .creditdesk import CreditDesk
+from .creditgranter import CreditGranter
 from .framemessages import DATA_MESSAGES, CreditReport
 from .frameport import FramePort
 from .gate import NO_ANSWER, Call, Gate, Run, Verdict
@@ -35,7 +35,7 @@
         # The service knows nothing of the system's keys and must not see them.
         self.client = Client()
         self.port = FramePort(process, DATA_MESSAGES, self._on_messages)
-        self.desk = CreditDesk(process, self.port.links)
+        self.desk = CreditGranter(process, self.port.links)
         self.leaving = False
         self.forwarding = 0
         self._finished: dict[str, anyio.Event] = {}
@@ -72,7 +72,7 @@
     def _on_messages(self, peer, messages):
         for message in messages:
             if isinstance(message, CreditReport):
-                self.desk.answer(message, now_s())
+                self.desk.handle_report(message, now_s())
 
     async def _run(self, request: Request):
         run = await request.json(Run)
