--- a/libs/daemon/src/cherryrudder/daemon/clock.py
+++ b/libs/daemon/src/cherryrudder/daemon/clock.py
@@ -1,4 +1,4 @@
-"""The daemon's clock and random names: those that all processes share."""
+"""The clock and random ids of the daemon, which all processes share."""
 
 from cherryrudder.replica.clock import new_id, new_incarnation, now_s, wall_s
 
--- a/libs/daemon/src/cherryrudder/daemon/completions.py
+++ b/libs/daemon/src/cherryrudder/daemon/completions.py
@@ -16,16 +16,16 @@
 from cherryrudder.policy.dispatch import Work
 from cherryrudder.wire.asgi import Request, StreamReply, json_reply
 
-from .callers import OUTCOME, Caller, fail, identify, refuse
+from .callers import OUTCOME_HEADER, Caller, failure_reply, identify, refusal_reply
 from .clock import new_id, now_s
 from .dataplane import PipelineBroken
-from .frontdoor import TurnedAway
+from .requestdispatch import RequestRefused
 
-# Tokens that a chain may be ahead of its caller: some seconds at 33 ms a token, so
-# that a brief pause of the caller's network leaves the accelerators busy.
+# Tokens that a chain may be ahead of its caller. Some seconds at 33 ms a token keep the
+# accelerators busy through a brief stall of the caller's network.
 WINDOW_TOKENS = 64
-# Prompts that begin alike share their engine's cached prefix; so many tokens are enough
-# to tell a customer's templates apart.
+# Prompts with the same first tokens can share an engine's cached prefix. This many
+# tokens distinguish a customer's templates.
 PREFIX_TOKENS = 16
 DONE_EVENT = b"data: [DONE]\n\n"
 
@@ -42,16 +42,16 @@
     priority: int = 0
 
 
-class Late(Exception):
-    """The caller's deadline has passed while the answer was being made."""
+class DeadlinePassed(Exception):
+    """The caller's deadline passed before the answer was complete."""
 
 
 class CallerGone(Exception):
-    """The caller closed its connection before its answer."""
+    """The caller closed its connection before the answer."""
 
 
 class Completions:
-    """The completions of one entry."""
+    """Handles the completion requests of one entry."""
 
     def __init__(self, entry):
         self.entry = entry
@@ -59,13 +59,13 @@
         self.in_flight = 0
 
     async def handle(self, request: Request):
-        """Answer one request, whole or as a stream of events."""
+        """Answer one request, as one reply or as a stream of events."""
         arrived_s = now_s()
         caller = identify(request, self.entry.contracts, arrived_s)
         body = await request.json(Completion)
         check(body, caller)
         if self.entry.is_closed:
-            return refuse(self.entry.closed_refusal())
+            return refusal_reply(self.entry.closed_refusal())
         self.in_flight += 1
         flow, is_streamed = None, False
         try:
@@ -77,18 +77,18 @@
             is_streamed = True
             events = self._events(flow, body, chunks)
             return StreamReply(events, partial(self._end, flow), _stream_headers())
-        except TurnedAway as error:
-            return refuse(error.refusal)
+        except RequestRefused as error:
+            return refusal_reply(error.refusal)
         except CallerGone:
-            # Only a request that had no place yet has certainly not run.
+            # Only a request that was not placed yet has certainly not run.
             outcome = Outcome.NOT_RUN if flow is None else Outcome.UNKNOWN
-            return fail(400, "disconnected", "the caller went away", outcome)
+            return failure_reply(400, "disconnected", "the caller went away", outcome)
         finally:
             if not is_streamed:
                 self._end(flow)
 
     def _end(self, flow):
-        """Free the engines of a caller that has gone; at the end it frees nothing."""
+        """End a request; frees its engines if it is still running."""
         if flow is not None:
             self.entry.plane.cancel(flow)
         self.in_flight -= 1
@@ -105,7 +105,7 @@
             deadline_s=caller.deadline_s,
         )
         work = Work(offer, prefix=" ".join(prompt[:PREFIX_TOKENS]))
-        sent = await _while_connected(request, self.entry.door.enter(work))
+        sent = await _while_connected(request, self.entry.requests.submit(work))
         began_s = now_s()
         start = Start(
             request=offer.request_id,
@@ -125,17 +125,17 @@
             used_tokens = len(prompt) + len(core.tokens)
             if len(core.tokens) == start.max_tokens:
                 took_s = now_s() - began_s
-                self.entry.door.finish(offer.request_id, used_tokens, took_s)
+                self.entry.requests.finish(offer.request_id, used_tokens, took_s)
             else:
-                self.entry.door.cancel(offer.request_id, used_tokens)
+                self.entry.requests.cancel(offer.request_id, used_tokens)
 
         def find_stage(need):
-            return self.entry.door.replace_stage(offer.request_id, need)
+            return self.entry.requests.replace_stage(offer.request_id, need)
 
         return self.entry.plane.begin(start, find_stage, ended)
 
     async def _tokens(self, flow, caller, arrived_s) -> AsyncIterator[list[str]]:
-        """Yield tokens until the end or the deadline; raises Late, PipelineBroken."""
+        """Yield tokens until the end; raises DeadlinePassed, PipelineBroken."""
         tokens = self.entry.plane.tokens(flow)
         is_first = True
         while True:
@@ -145,7 +145,7 @@
                 except StopAsyncIteration:
                     return
             if scope.cancelled_caught:
-                raise Late
+                raise DeadlinePassed
             if is_first:
                 self.metrics.timing("first_token", (now_s() - arrived_s) * 1000)
                 is_first = False
@@ -156,10 +156,12 @@
         try:
             async for chunk in chunks:
                 tokens += chunk
-        except Late:
-            return fail(504, "deadline", "the deadline has passed", Outcome.UNKNOWN)
+        except DeadlinePassed:
+            return failure_reply(
+                504, "deadline", "the deadline has passed", Outcome.UNKNOWN
+            )
         except PipelineBroken as error:
-            return fail(502, "pipeline-broken", str(error), Outcome.UNKNOWN)
+            return failure_reply(502, "pipeline-broken", str(error), Outcome.UNKNOWN)
         finally:
             await chunks.aclose()
         choice = {"text": " ".join(tokens), "index": 0, "finish_reason": "length"}
@@ -176,7 +178,7 @@
             "choices": [choice],
             "usage": usage,
         }
-        return json_reply(answer, headers=((OUTCOME, Outcome.DONE),))
+        return json_reply(answer, headers=((OUTCOME_HEADER, Outcome.DONE),))
 
     async def _events(self, flow, body, chunks):
         request_id = flow.core.start.request
@@ -186,15 +188,15 @@
                 text = " ".join(chunk) if is_first else " " + " ".join(chunk)
                 is_first = False
                 yield _event(request_id, body.model, text, None)
-            # A stream tells its outcome at its end: its head is sent before anyone
-            # can know.
+            # A stream reports its outcome at its end, since its headers are sent before
+            # the outcome is known.
             self.metrics.incr(f"outcome.{Outcome.DONE}")
             yield _event(request_id, body.model, "", "length", Outcome.DONE)
             yield DONE_EVENT
-        except Late:
+        except DeadlinePassed:
             yield self._broken("deadline", "the deadline has passed")
         except PipelineBroken as error:
-            # A stream cut short must never look like one that ended.
+            # A truncated stream must not look like a complete one.
             yield self._broken("pipeline-broken", str(error))
         finally:
             await chunks.aclose()
@@ -206,7 +208,7 @@
 
 
 def check(body: Completion, caller: Caller) -> None:
-    """Check a request against its contract; raises RequestError."""
+    """Check a request against the caller's contract; raises RequestError."""
     contract = caller.contract
     if body.model not in contract.models:
         message = f"the contract has no model {body.model!r}"
@@ -222,14 +224,14 @@
 
 
 async def _while_connected(request, working):
-    """Return what the work gives; it is cancelled when the caller goes away."""
+    """Return the result of the work; cancels it when the caller disconnects."""
     result = []
     failure = []
 
     async def work():
         try:
             result.append(await working)
-        except TurnedAway as error:
+        except RequestRefused as error:
             failure.append(error)
         group.cancel_scope.cancel()
 
--- a/libs/daemon/src/cherryrudder/daemon/controlapi.py
+++ b/libs/daemon/src/cherryrudder/daemon/controlapi.py
@@ -1,4 +1,4 @@
-"""The control VMs' surface for the system's own processes."""
+"""The internal API of the control VMs, for entries and sidecars."""
 
 from typing import NamedTuple
 
@@ -13,24 +13,24 @@
 from .clock import now_s
 from .errors import NoQuorum
 
-PROPOSE_S = 4.0
+PROPOSE_TIMEOUT_S = 4.0
 MAX_WATCH_S = 30.0
 
 
 class Announce(NamedTuple):
-    """A sidecar's or entry's announcement and how long it holds."""
+    """An announcement of a sidecar or entry, with the length of its lease."""
 
     announcement: Announcement
     lease_s: float
 
 
 def no_quorum(error: NoQuorum) -> RequestError:
-    """Return the answer of a control VM that cannot reach a majority."""
+    """Return the error of a control VM that cannot reach a majority."""
     return RequestError(503, "no-quorum", str(error))
 
 
 def internal_routes(control) -> Routes:
-    """Return the routes between the system's processes."""
+    """Return the routes for entries and sidecars."""
     voter = control.voter
 
     def command_route(kind):
@@ -38,7 +38,7 @@
             command = await request.json(kind)
             payload = machine.encode_command(command)
             try:
-                return json_reply(await voter.propose(payload, PROPOSE_S))
+                return json_reply(await voter.propose(payload, PROPOSE_TIMEOUT_S))
             except NoQuorum as error:
                 raise no_quorum(error) from error
 
@@ -47,7 +47,7 @@
     async def find_claim(request):
         query = request.query
         try:
-            await voter.wait_for_read_index(PROPOSE_S)
+            await voter.wait_for_read_index(PROPOSE_TIMEOUT_S)
         except NoQuorum as error:
             raise no_quorum(error) from error
         claim = machine.find_claim(
@@ -57,7 +57,7 @@
 
     async def fence(request):
         try:
-            await voter.wait_for_read_index(PROPOSE_S)
+            await voter.wait_for_read_index(PROPOSE_TIMEOUT_S)
         except NoQuorum as error:
             raise no_quorum(error) from error
         endpoint = request.query.get("endpoint", "")
@@ -94,7 +94,7 @@
 
 
 class VoterChange(NamedTuple):
-    """A change of the voters, by one."""
+    """A change of the voters by one member."""
 
     action: str
     voter: events.Voter
--- a/libs/daemon/src/cherryrudder/daemon/controlcalls.py
+++ b/libs/daemon/src/cherryrudder/daemon/controlclient.py
@@ -1,7 +1,7 @@
-"""Calls to the control VMs: the first that answers serves, a follower asks the leader.
+"""Calls to the control VMs: uses the first that answers; followers ask the leader.
 
-Every command carries an id that makes it idempotent, so that trying the next control
-VM after a lost answer is safe.
+Every command carries an id that makes it idempotent, so that a retry at the next
+control VM after a lost answer is safe.
 """
 
 from typing import Any
@@ -21,27 +21,27 @@
 from .clock import now_s
 from .errors import NoQuorum
 
-# Longer than an election, so that a call outlives the loss of the leader; a caller
-# without a quorum is refused after it.
-CALL_S = 3.0
-TRY_S = 1.5
-PAUSE_S = 0.05
+# Longer than an election, so that a call survives the loss of the leader. Without a
+# quorum the caller is refused after this timeout.
+CALL_TIMEOUT_S = 3.0
+TRY_TIMEOUT_S = 1.5
+RETRY_PAUSE_S = 0.05
 HTTP_SERVER_FAULT = 500
 
 
-class Controls:
-    """The control VMs in the order in which they are to be asked."""
+class ControlClient:
+    """Calls the control VMs in order of preference."""
 
     def __init__(self, process):
         self.process = process
         self.addresses = list(process.settings.control.addresses)
 
-    async def call(self, method, path, value, kind, timeout_s=CALL_S) -> Any:
-        """Return the answer of the first control VM that has one; raises NoQuorum."""
+    async def call(self, method, path, value, kind, timeout_s=CALL_TIMEOUT_S) -> Any:
+        """Return the answer of the first control VM that gives one; raises NoQuorum."""
         deadline_s = now_s() + timeout_s
         while now_s() < deadline_s:
             for address in list(self.addresses):
-                try_s = min(TRY_S, deadline_s - now_s())
+                try_s = min(TRY_TIMEOUT_S, deadline_s - now_s())
                 if try_s <= 0:
                     break
                 url = f"http://{address}{path}"
@@ -53,11 +53,11 @@
                         raise
                 except WireError:
                     pass
-                # Ask the others first from now on: this one is away or isolated.
+                # Prefer the others from now on: this one is down or isolated.
                 self.addresses.remove(address)
                 self.addresses.append(address)
-            # Refused connections fail at once; without a pause this would spin.
-            await anyio.sleep(PAUSE_S)
+            # Refused connections fail at once; without a pause this loop would spin.
+            await anyio.sleep(RETRY_PAUSE_S)
         raise NoQuorum("no control VM answered in time")
 
     async def open_claim(self, command: OpenClaim, timeout_s: float) -> ClaimAnswer:
@@ -78,7 +78,7 @@
 
 
 async def read_fence(process, endpoint: str) -> int:
-    """Return the newest fencing number that was taken for an endpoint."""
+    """Return the highest fencing number that was issued for an endpoint."""
     path = "/v1/fences?" + urlencode({"endpoint": endpoint})
-    answer = await Controls(process).call("GET", path, None, dict[str, int])
+    answer = await ControlClient(process).call("GET", path, None, dict[str, int])
     return answer["fence"]
--- a/libs/daemon/src/cherryrudder/daemon/controlrole.py
+++ b/libs/daemon/src/cherryrudder/daemon/controlrole.py
@@ -1,4 +1,4 @@
-"""The control role: the replicated log, the operators' surface and the soft table."""
+"""The control role: the replicated log, the operator API and the endpoint table."""
 
 import anyio
 from loguru import logger
@@ -12,8 +12,8 @@
 from .voter import Voter
 from .watches import Watches
 
-EXPIRE_S = 0.2
-HAND_OVER_S = 0.5
+EXPIRE_INTERVAL_S = 0.2
+LEADER_TRANSFER_S = 0.5
 
 log = logger.bind(part="control")
 
@@ -46,16 +46,17 @@
     )
     process.listen(process.settings.listen.operator, routes, process.operator_key)
     await process.leaving.wait()
-    # Watchers and announcers have other control VMs; nothing here is in flight for
-    # longer than one answer. A leader hands over first, which saves an election.
+    # Watchers and announcers have other control VMs, and nothing is in flight here for
+    # longer than one answer. A leader transfers its leadership first, which avoids an
+    # election timeout.
     control.voter.feed(TransferLeadership())
-    await anyio.sleep(HAND_OVER_S)
+    await anyio.sleep(LEADER_TRANSFER_S)
     control.voter.disk.close()
     process.stop()
 
 
 def dump(control: Control) -> dict:
-    """Return what the control VM knows."""
+    """Return the control VM's state for the dump."""
     state = control.voter.state
     return {
         "quorum": control.voter.status(),
@@ -69,6 +70,6 @@
 
 async def _expire(control):
     while True:
-        await anyio.sleep(EXPIRE_S)
+        await anyio.sleep(EXPIRE_INTERVAL_S)
         if soft.expire(control.table, now_s()):
             control.watches.wake()
--- a/libs/daemon/src/cherryrudder/daemon/dataplane.py
+++ b/libs/daemon/src/cherryrudder/daemon/dataplane.py
@@ -1,4 +1,4 @@
-"""The entry's side of the pipelines: each request's core, its links and its tokens."""
+"""The entry's side of the pipelines: runs request cores and delivers their tokens."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -16,28 +16,28 @@
 from .frameport import FramePort
 
 TICK_S = 0.1
-# Some seconds at 33 ms a token: below that a planned stop waits for the answer's end.
-HAND_OVER_TOKENS = 100
+# Below this (some seconds at 33 ms a token) a planned stop waits for the answer to end.
+MIN_HANDOVER_TOKENS = 100
 
 log = logger.bind(part="pipeline")
 
 
 class PipelineBroken(DaemonError):
-    """A request's chain could not be kept up; the text ends here."""
+    """A request's chain failed and could not be repaired; the text is incomplete."""
 
 
 class Flow:
-    """One request's pipeline as the caller's task sees it."""
+    """One request's pipeline, with the tokens that its caller has not read yet."""
 
-    def __init__(self, core, find_stage, ended):
+    def __init__(self, core, find_stage, on_end):
         self.core = core
         self.find_stage = find_stage
-        self.ended = ended
-        self.waiting: list[str] = []
-        self.taken = 0
+        self.on_end = on_end
+        self.unread: list[str] = []
+        self.consumed = 0
         self.is_last = False
         self.failure = ""
-        self.news = anyio.Event()
+        self.changed = anyio.Event()
 
 
 class DataPlane:
@@ -60,7 +60,7 @@
         self.links = self.port.links
 
     def start(self) -> None:
-        """Start listening for tokens and looking after stalled requests."""
+        """Start listening for tokens and checking for stalled requests."""
         self.port.start()
         self.process.group.start_soon(self._tick)
 
@@ -68,54 +68,56 @@
         self,
         start: Start,
         find_stage: Callable[[NeedStage], Stage | None],
-        ended: Callable[[driver.RequestCore], None],
+        on_end: Callable[[driver.RequestCore], None],
     ) -> Flow:
-        """Start a request; `ended` is called once, however it ends."""
-        flow = Flow(driver.RequestCore(start, self.timing), find_stage, ended)
+        """Start a request; `on_end` is called once, however it ends."""
+        flow = Flow(driver.RequestCore(start, self.timing), find_stage, on_end)
         self.flows[start.request] = flow
         self._carry_out(flow, driver.begin(flow.core, now_s()))
         return flow
 
     async def tokens(self, flow: Flow) -> AsyncIterator[list[str]]:
-        """Yield the tokens as they come; raises PipelineBroken."""
+        """Yield the tokens as they arrive; raises PipelineBroken."""
         while True:
-            if flow.waiting:
-                tokens, flow.waiting = flow.waiting, []
+            if flow.unread:
+                tokens, flow.unread = flow.unread, []
                 yield tokens
-                # Acknowledged only after the caller's socket took them, which is what
-                # holds the chain back behind a slow caller.
-                flow.taken += len(tokens)
-                self._carry_out(flow, driver.consumed(flow.core, flow.taken, now_s()))
+                # Tokens are acknowledged only after the caller's socket has accepted
+                # them. This is the backpressure on the chain of a slow caller.
+                flow.consumed += len(tokens)
+                self._carry_out(
+                    flow, driver.consumed(flow.core, flow.consumed, now_s())
+                )
             elif flow.failure:
                 raise PipelineBroken(flow.failure)
             elif flow.is_last:
                 return
             else:
-                flow.news = anyio.Event()
-                await flow.news.wait()
+                flow.changed = anyio.Event()
+                await flow.changed.wait()
 
     def cancel(self, flow: Flow) -> None:
-        """Free every stage of a request that nobody waits for; harmless at its end."""
+        """Free every stage of a request; does nothing once it has ended."""
         self._carry_out(flow, driver.cancel(flow.core, now_s()))
 
-    def lose(self, request_id: str, endpoint: str) -> None:
-        """Go on elsewhere with a request that has lost an endpoint."""
+    def record_stage_loss(self, request_id: str, endpoint: str) -> None:
+        """Record that a request has lost an endpoint, so that its stage is replaced."""
         flow = self.flows.get(request_id)
         if flow is not None:
             self._carry_out(flow, driver.stage_lost(flow.core, endpoint, now_s()))
 
     def dump(self) -> dict:
-        """Return every request in flight as its core sees it."""
+        """Return the state of every request in flight."""
         return {name: dump_entry(flow.core) for name, flow in self.flows.items()}
 
-    def relieve(self, endpoint: str) -> None:
-        """Hand over the long requests of an endpoint that is to stop.
+    def hand_over(self, endpoint: str) -> None:
+        """Hand over the long requests of an endpoint that is about to stop.
 
-        The short ones end sooner than a move of their KV would pay.
+        Short requests end before a transfer of their KV would pay off.
         """
         for flow in list(self.flows.values()):
             left = flow.core.start.max_tokens - len(flow.core.tokens)
-            if left >= HAND_OVER_TOKENS:
+            if left >= MIN_HANDOVER_TOKENS:
                 effects = driver.stage_leaving(flow.core, endpoint, now_s())
                 self._carry_out(flow, effects)
 
@@ -138,8 +140,8 @@
         while True:
             await anyio.sleep(TICK_S)
             for flow in list(self.flows.values()):
-                # No endpoint may have been free at first; the core's own time limit
-                # ends the request that finds none.
+                # Retry, since no endpoint may have been free at first. The core's own
+                # timeout ends a request that finds none.
                 for need in driver.needs(flow.core):
                     self._find_stage(flow, need)
                 self._carry_out(flow, driver.tick(flow.core, now_s()))
@@ -150,9 +152,9 @@
                 case SendTo():
                     self.links.send(effect.address, effect.message)
                 case Deliver():
-                    flow.waiting += effect.tokens
+                    flow.unread += effect.tokens
                     flow.is_last = flow.is_last or effect.last
-                    flow.news.set()
+                    flow.changed.set()
                 case NeedStage():
                     self._find_stage(flow, effect)
                 case Fail():
@@ -160,7 +162,7 @@
                         "{} failed: {}.", flow.core.start.request, effect.message
                     )
                     flow.failure = effect.message
-                    flow.news.set()
+                    flow.changed.set()
                 case Finished():
                     self._finish(flow)
 
@@ -169,9 +171,9 @@
         if found is not None:
             self._carry_out(flow, driver.replace(flow.core, found, now_s()))
         elif flow.core.leaving:
-            # Nothing is free to take over: the leaving stage works on to the end.
+            # No endpoint is free to take over: the leaving stage continues to the end.
             driver.no_stage(flow.core, now_s())
 
     def _finish(self, flow):
         if self.flows.pop(flow.core.start.request, None) is not None:
-            flow.ended(flow.core)
+            flow.on_end(flow.core)
--- a/libs/daemon/src/cherryrudder/daemon/enginehost.py
+++ b/libs/daemon/src/cherryrudder/daemon/enginehost.py
@@ -1,4 +1,4 @@
-"""The sidecar beside an engine: its stage of each request's pipeline, and its fence."""
+"""The sidecar of an engine: its stage of each request's pipeline, and its fence."""
 
 from typing import Any, NamedTuple
 
@@ -21,22 +21,22 @@
 from .framemessages import DATA_MESSAGES, CreditReport
 from .frameport import FramePort
 
-# The longest single step: a long prompt on a slow accelerator.
-STEP_S = 60.0
-FREE_S = 5.0
-# An export and its import are given up for a replay by the core after its own limit.
-KV_S = 5.0
+# Long enough for a long prompt on a slow accelerator in a single step.
+STEP_TIMEOUT_S = 60.0
+FREE_TIMEOUT_S = 5.0
+# The core replays the request if an export or import exceeds the core's own timeout.
+KV_TIMEOUT_S = 5.0
 TICK_S = 0.25
-# Batches under way in a chain: one for each of three stages, and one between them.
-PARTS = 4
-# Smaller calls cost more than the waiting that they save: some 3 ms each.
-MIN_BATCH = 16
+# Batches in flight in a chain: one for each of three stages, and one between them.
+BATCHES_PER_CHAIN = 4
+# A smaller call costs more (some 3 ms each) than the waiting time that it saves.
+MIN_BATCH_STEPS = 16
 
 log = logger.bind(part="stage")
 
 
 class StepOutput(NamedTuple):
-    """One request's part of an engine's answer."""
+    """The output of one step of a batch."""
 
     request: str
     position: int
@@ -45,13 +45,13 @@
 
 
 class StepAnswer(NamedTuple):
-    """An engine's answer to a batch of steps."""
+    """The answer of an engine to a batch of steps."""
 
     outputs: tuple[StepOutput, ...]
 
 
 class EngineHost:
-    """The stage cores' shell: frame links on one side, the engine on the other."""
+    """Runs the stage core between the frame links and the engine."""
 
     def __init__(self, process):
         self.process = process
@@ -63,7 +63,7 @@
             process, DATA_MESSAGES, self._on_messages, self._link_down
         )
         self.links = self.port.links
-        self.desk = CreditGranter(process, self.links)
+        self.credits = CreditGranter(process, self.links)
         self.leaving = False
         self._computes: list[Compute] = []
         self._wake = anyio.Event()
@@ -77,16 +77,16 @@
         group.start_soon(self._tick)
 
     def set_leaving(self, leaving: bool) -> None:
-        """Refuse new requests, or take them again."""
+        """Refuse new requests, or accept them again."""
         self.leaving = leaving
-        self.desk.set_leaving(leaving, now_s())
+        self.credits.set_leaving(leaving, now_s())
 
     def in_flight(self) -> int:
-        """Return the number of requests that have a part here."""
+        """Return the number of requests that use this stage."""
         return len(self.core.requests)
 
     def dump(self) -> dict:
-        """Return what the stage holds."""
+        """Return the stage's state for the dump."""
         return {
             **dump_sidecar(self.core),
             "links": self.links.peers(),
@@ -94,14 +94,14 @@
         }
 
     def routes(self) -> Routes:
-        """Return the routes for orders to the engine."""
+        """Return the route for orders to the engine."""
         return {("POST", "/v1/orders"): self.guard.order}
 
     def _on_messages(self, peer, messages):
         at_s = now_s()
         for message in messages:
             if isinstance(message, CreditReport):
-                self.desk.handle_report(message, at_s)
+                self.credits.handle_report(message, at_s)
             elif self.leaving and self._is_new(message):
                 self._refuse(message)
             else:
@@ -132,8 +132,8 @@
                 case ImportKv():
                     self.process.group.start_soon(self._import, effect)
                 case FreeKv():
-                    # A later compute of the same request waits for this, or the
-                    # engine would drop the KV that it has just built.
+                    # A later compute of the same request waits for this event.
+                    # Otherwise the engine would drop KV that it has just built.
                     self._freeing[effect.request] = anyio.Event()
                     self.process.group.start_soon(self._free, effect.request)
 
@@ -145,7 +145,7 @@
     async def _feed_engine(self):
         while True:
             await self._wake.wait()
-            # One turn of the loop lets steps that have already arrived share the call.
+            # Yield once, so that steps that have already arrived share the call.
             await anyio.lowlevel.checkpoint()
             computes, self._computes = self._computes, []
             self._wake = anyio.Event()
@@ -157,9 +157,9 @@
                 )
             for compute in computes:
                 if compute.request in self._freeing:
-                    self.process.group.start_soon(self._compute_freed, compute)
+                    self.process.group.start_soon(self._compute_after_free, compute)
 
-    async def _compute_freed(self, compute):
+    async def _compute_after_free(self, compute):
         while compute.request in self._freeing:
             await self._freeing[compute.request].wait()
         await self._compute([compute])
@@ -168,26 +168,28 @@
         url = f"{self.back_end}/v1/steps"
         value = {"steps": [compute._asdict() for compute in computes]}
         call = object()
-        self.desk.call_began(call, now_s())
+        self.credits.record_call_start(call, now_s())
         try:
-            answer = await self.client.call("POST", url, value, StepAnswer, STEP_S)
+            answer = await self.client.call(
+                "POST", url, value, StepAnswer, STEP_TIMEOUT_S
+            )
         except WireError as error:
             log.warning("The engine gave no answer: {}.", error)
             outputs = failures(computes, str(error))
-            self.desk.call_ended(call, 0, now_s())
+            self.credits.record_call_end(call, 0, now_s())
         else:
-            # A step that the engine left out would otherwise hold its stream until the
-            # stage's own limit for a compute, half a minute.
+            # A step that the engine left out would otherwise stall its stream until the
+            # stage's own compute timeout, half a minute.
             answered = {(one.request, one.position) for one in answer.outputs}
             left_out = [c for c in computes if (c.request, c.position) not in answered]
             outputs = (*answer.outputs, *failures(left_out, "no output"))
-            # One call is one step of the engine's batch, unless it fills a prompt.
+            # A call is one step of the engine's batch, unless it contains a prefill.
             decodes = all(len(compute.inputs) == 1 for compute in computes)
-            self.desk.call_ended(call, int(decodes), now_s())
+            self.credits.record_call_end(call, int(decodes), now_s())
         for output in outputs:
-            self._computed(output)
+            self._handle_output(output)
 
-    def _computed(self, output):
+    def _handle_output(self, output):
         if output.error:
             act, result = stage.compute_failed, output.error
         else:
@@ -200,7 +202,7 @@
         url = f"{self.back_end}/v1/kv/export"
         try:
             kv = await self.client.call(
-                "POST", url, {"request": request}, dict, timeout_s=KV_S
+                "POST", url, {"request": request}, dict, timeout_s=KV_TIMEOUT_S
             )
         except WireError as error:
             log.warning("The engine did not export {}: {}.", request, error)
@@ -213,7 +215,7 @@
         url = f"{self.back_end}/v1/kv/import"
         try:
             value = jsoncodec.decode(effect.kv)
-            await self.client.call("POST", url, value, timeout_s=KV_S)
+            await self.client.call("POST", url, value, timeout_s=KV_TIMEOUT_S)
         except (WireError, ValueError) as error:
             log.warning("The engine did not import {}: {}.", effect.request, error)
             is_done = False
@@ -226,7 +228,7 @@
         url = f"{self.back_end}/v1/free"
         value: dict[str, Any] = {"requests": [request]}
         try:
-            await self.client.call("POST", url, value, timeout_s=FREE_S)
+            await self.client.call("POST", url, value, timeout_s=FREE_TIMEOUT_S)
         except WireError as error:
             log.warning("The engine did not free {}: {}.", request, error)
         if self._freeing.get(request) is done:
@@ -235,15 +237,16 @@
 
 
 def failures(computes, error: str) -> list[StepOutput]:
-    """Return an output with an error for each step."""
+    """Return an error output for each step."""
     return [StepOutput(c.request, c.position, (), error) for c in computes]
 
 
 def batch_size(requests: int) -> int:
-    """Return how many steps one call to the engine may carry.
+    """Return the maximum number of steps in one call to the engine.
 
-    Streams that are computed together stay together: without a limit all of a chain's
-    streams travel as one batch, and each stage waits while the others work. Parts of
-    all that is in flight keep every stage busy, and stay of one size on their way.
+    Streams that are computed together stay together: without a limit all streams of a
+    chain would move as one batch, and each stage would idle while the others work.
+    Batches of an equal part of the requests in flight keep every stage busy, and keep
+    their size from stage to stage.
     """
-    return max(MIN_BATCH, -(-requests // PARTS))
+    return max(MIN_BATCH_STEPS, -(-requests // BATCHES_PER_CHAIN))
--- a/libs/daemon/src/cherryrudder/daemon/entryrole.py
+++ b/libs/daemon/src/cherryrudder/daemon/entryrole.py
@@ -1,4 +1,4 @@
-"""The entry role: callers' connections, admission, placement and streams."""
+"""The entry role: client connections, admission, placement and streams."""
 
 from functools import partial
 
@@ -11,40 +11,44 @@
 
 from . import gauges
 from .announcer import Announcer
-from .callers import by_key, with_outcome
+from .callers import contracts_by_key, with_outcome
 from .clock import now_s
 from .completions import Completions
-from .controlcalls import Controls
-from .creditline import CreditLine
+from .controlclient import ControlClient
+from .creditreporter import CreditReporter
 from .dataplane import DataPlane
 from .fleet import FleetView
 from .follower import Follower
-from .frontdoor import FrontDoor
 from .process import Process, dump_routes, probe_routes
+from .requestdispatch import RequestDispatch
 from .services import Services
 from .sharing import Sharing
 
-# How often endpoints whose lease ran out at a silent control VM are looked for.
-REFRESH_S = 0.5
-DRAIN_CHECK_S = 0.05
-# A caller that is refused by an entry which is leaving reaches another one at once.
+# Interval of the check for endpoints whose lease ran out at an unreachable control VM.
+REFRESH_INTERVAL_S = 0.5
+DRAIN_POLL_S = 0.05
+# The balancer routes a caller that a leaving entry refused to another entry at once.
 CLOSED_RETRY_S = 1.0
 
 log = logger.bind(part="entry")
 
 
 class Entry:
-    """One entry VM's process."""
+    """The process of one entry VM."""
 
     def __init__(self, process: Process):
         self.process = process
         self.contracts = {}
         self.is_closed = True
         self.fleet = FleetView(process)
-        self.controls = Controls(process)
-        self.door = FrontDoor(process, self.fleet, self.ask_credits, self.lose_stage)
-        self.plane = DataPlane(process, self.take_grant, self.lose_link)
-        self.credits = CreditLine(process, self.fleet, self.plane.links, self.door)
+        self.controls = ControlClient(process)
+        self.requests = RequestDispatch(
+            process, self.fleet, self.request_credits, self.handle_stage_stall
+        )
+        self.plane = DataPlane(process, self.handle_grant, self.handle_link_loss)
+        self.credits = CreditReporter(
+            process, self.fleet, self.plane.links, self.requests
+        )
         self.follower = Follower(process, self.on_change)
         self.completions = Completions(self)
         self.services = Services(self)
@@ -58,46 +62,46 @@
         )
 
     def on_change(self) -> None:
-        """Put what the follower has seen in force."""
+        """Apply the configuration and endpoints that the follower has read."""
         contracts = [c.contract for c in self.follower.config.contracts.values()]
-        self.contracts = by_key(contracts)
-        self.sharing.see_contracts(contracts)
+        self.contracts = contracts_by_key(contracts)
+        self.sharing.set_contracts(contracts)
         self.refresh()
 
     def refresh(self) -> None:
-        """Take the endpoints that are live now."""
+        """Update the fleet and the shares from the endpoints that are live now."""
         stops = [held.stop for held in self.follower.config.stops.values()]
         announcements = self.follower.endpoints()
         self.fleet.update(announcements, stops)
         entries = [a for a in announcements if a.kind == Kind.ENTRY]
-        self.sharing.see_entries(entries, now_s())
-        self.sharing.put_in_force(now_s())
-        self.door.advance()
+        self.sharing.set_entries(entries, now_s())
+        self.sharing.apply_shares(now_s())
+        self.requests.advance()
 
-    def ask_credits(self) -> None:
-        """Ask for more credits: a request waits for some."""
-        self.credits.kick()
+    def request_credits(self) -> None:
+        """Request more credits, because a request waits for one."""
+        self.credits.report_soon()
 
-    def lose_link(self, frames_address: str) -> None:
-        """Send nothing to an endpoint whose link broke until it is heard again."""
+    def handle_link_loss(self, frames_address: str) -> None:
+        """Stop sending to an endpoint whose link broke until it sends a message."""
         for announcement, _, _ in self.fleet.members():
             if announcement.frames_address == frames_address:
-                self.follower.lost_link(announcement.endpoint)
-                self.fleet.cut_off(announcement.endpoint)
+                self.follower.record_link_loss(announcement.endpoint)
+                self.fleet.revoke_credits(announcement.endpoint)
 
-    def lose_stage(self, request_id: str, endpoint: str) -> None:
-        """Go on elsewhere with a request that an endpoint is silent on."""
-        self.plane.lose(request_id, endpoint)
+    def handle_stage_stall(self, request_id: str, endpoint: str) -> None:
+        """Move a request away from an endpoint that makes no progress on it."""
+        self.plane.record_stage_loss(request_id, endpoint)
 
-    def take_grant(self, grant) -> None:
-        """Take in an endpoint's credits, and start what they make room for."""
-        self.fleet.take_grant(grant)
-        # Sidecars cut off from the control VMs but not from here go on serving.
-        self.follower.saw_link(grant.endpoint, grant.incarnation)
-        self.door.advance()
+    def handle_grant(self, grant) -> None:
+        """Record an endpoint's credits and start the requests that they allow."""
+        self.fleet.record_grant(grant)
+        # A sidecar that has lost the control VMs but not this entry stays in use.
+        self.follower.record_link_message(grant.endpoint, grant.incarnation)
+        self.requests.advance()
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send callers here."""
+        """Return whether the balancer may send callers to this entry."""
         return not self.is_closed and not self.process.leaving.is_set()
 
     def in_flight(self) -> int:
@@ -105,13 +109,13 @@
         return self.completions.in_flight + self.services.in_flight
 
     def closed_refusal(self) -> Refusal:
-        """Return the answer of an entry that takes no requests."""
+        """Return the refusal that a closed entry gives to every request."""
         message = "this entry takes no requests now; another one does"
         return Refusal(503, "entry-closed", message, CLOSED_RETRY_S)
 
 
 def first_announcement(process: Process) -> Announcement:
-    """Return the announcement by which entries know of one another."""
+    """Return the announcement by which entries discover one another."""
     return Announcement(
         endpoint=f"entry/{process.settings.listen.internal}",
         kind=Kind.ENTRY,
@@ -143,16 +147,16 @@
     process.listen(listen.internal, internal, process.internal_key)
     gauges.start(process, lambda: gauges.entry_gauges(entry))
     entry.plane.start()
-    entry.door.start()
+    entry.requests.start()
     entry.credits.start()
     entry.follower.start()
-    process.group.start_soon(refresh_often, entry)
+    process.group.start_soon(refresh_periodically, entry)
     await entry.follower.ready.wait()
     entry.announcer.start()
     entry.sharing.start()
-    # Other entries may still use what this one's earlier run has lent them.
+    # Other entries may still use shares that this entry's previous run granted them.
     while not entry.sharing.is_ready(now_s()):
-        await anyio.sleep(DRAIN_CHECK_S)
+        await anyio.sleep(DRAIN_POLL_S)
     entry.is_closed = False
     log.info("Ready at revision {}.", entry.follower.config.revision)
     await process.leaving.wait()
@@ -160,31 +164,31 @@
     process.stop()
 
 
-async def refresh_often(entry: Entry) -> None:
-    """Look for endpoints that left without a message."""
+async def refresh_periodically(entry: Entry) -> None:
+    """Refresh at an interval, since an expired lease sends no message."""
     while True:
-        await anyio.sleep(REFRESH_S)
+        await anyio.sleep(REFRESH_INTERVAL_S)
         entry.refresh()
         for endpoint in entry.fleet.leaving():
-            entry.plane.relieve(endpoint)
+            entry.plane.hand_over(endpoint)
 
 
 async def leave(entry: Entry) -> None:
-    """Let the balancer turn away, then finish what is in flight."""
+    """Wait until the balancer stops sending, then drain what is in flight."""
     entry.announcer.change(leaving=True)
     settings = entry.process.settings
-    # The balancer sends here until its next probe fails; these callers are served.
+    # The balancer sends requests until its next probe fails; they are still served.
     await anyio.sleep(settings.entry.drain_s)
     entry.is_closed = True
     with anyio.move_on_after(settings.process.stop_wait_s) as scope:
         while entry.in_flight():
-            await anyio.sleep(DRAIN_CHECK_S)
+            await anyio.sleep(DRAIN_POLL_S)
     if scope.cancelled_caught:
         log.error("Stopped with {} in flight.", entry.in_flight())
 
 
 def dump(entry: Entry) -> dict:
-    """Return what the entry knows."""
+    """Return the entry's state for the dump."""
     return {
         "ready": entry.is_ready(),
         "revision": entry.follower.config.revision,
@@ -192,5 +196,5 @@
         "in_flight": entry.in_flight(),
         "pipelines": entry.plane.dump(),
         "sharing": entry.sharing.dump(),
-        **dispatch.dump(entry.door.dispatcher, now_s()),
+        **dispatch.dump(entry.requests.dispatcher, now_s()),
     }
--- a/libs/daemon/src/cherryrudder/daemon/errors.py
+++ b/libs/daemon/src/cherryrudder/daemon/errors.py
@@ -11,4 +11,4 @@
 
 
 class StartError(DaemonError):
-    """Something without which the process cannot start; one line for the operator."""
+    """The process cannot start; the message is one line for the operator."""
--- a/libs/daemon/src/cherryrudder/daemon/fenceguard.py
+++ b/libs/daemon/src/cherryrudder/daemon/fenceguard.py
@@ -1,8 +1,8 @@
-"""The fence in front of an engine's orders.
+"""Checks the fencing numbers of orders to an engine.
 
-Two holders may race to order one engine, and some engines ignore the fencing number.
-Without the fence the late order of a superseded holder would undo a newer one. The
-sidecar is the only way to its engine, so its own check covers both kinds.
+Two holders may race to send orders to one engine, and some engines ignore the fencing
+number. Without the check a late order of a superseded holder would revert a newer one.
+All orders pass through the sidecar, so its check covers both kinds of engine.
 """
 
 from typing import NamedTuple
@@ -13,10 +13,10 @@
 from cherryrudder.wire.asgi import Request, json_reply
 from cherryrudder.wire.errors import StatusError, WireError
 
-from .controlcalls import read_fence
+from .controlclient import read_fence
 from .errors import NoQuorum
 
-ORDER_S = 30.0
+ORDER_TIMEOUT_S = 30.0
 
 
 class Order(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class FenceGuard:
-    """The highest fencing number that this sidecar has let through."""
+    """Forwards orders, and records the highest fencing number forwarded."""
 
     def __init__(self, process, client, back_end):
         self.process = process
@@ -39,24 +39,24 @@
         self.back_end = back_end
         self.highest = 0
         self._is_known = False
-        self._one = anyio.Lock()
+        self._lock = anyio.Lock()
 
     async def order(self, request: Request):
-        """Pass an order on unless a newer one has passed; one at a time."""
+        """Forward an order unless a newer one was forwarded; one at a time."""
         order = await request.json(Order)
-        # In order and one by one: an engine that ignores the number would otherwise
-        # end with whichever of two overlapping orders it finished last.
-        async with self._one:
-            await self._learn()
+        # One order at a time: an engine that ignores the number would otherwise end
+        # with whichever of two overlapping orders it finished last.
+        async with self._lock:
+            await self._read_highest()
             if order.fence <= self.highest:
                 message = f"fencing number {order.fence} is not above {self.highest}"
                 raise RequestError(409, "old-fence", message, "fence")
             self.highest = order.fence
             return await self._pass_on(order)
 
-    async def _learn(self):
-        # A restarted sidecar has forgotten what it let through: without the number
-        # from the log it would let an old holder's late order pass.
+    async def _read_highest(self):
+        # A restarted sidecar has no record of earlier orders. Without the number from
+        # the log it would forward a late order of an old holder.
         if self._is_known:
             return
         try:
@@ -65,14 +65,14 @@
             )
         except NoQuorum as error:
             raise RequestError(503, "no-quorum", str(error)) from error
-        # The newest number may belong to an order that is yet to come.
+        # The newest number may belong to an order that has not arrived yet.
         self.highest = max(self.highest, taken - 1)
         self._is_known = True
 
     async def _pass_on(self, order):
         try:
             answer = await self.client.call(
-                "POST", f"{self.back_end}/v1/orders", order, dict, ORDER_S
+                "POST", f"{self.back_end}/v1/orders", order, dict, ORDER_TIMEOUT_S
             )
         except StatusError as error:
             raise RequestError(error.status, "refused", str(error.body)) from error
--- a/libs/daemon/src/cherryrudder/daemon/follower.py
+++ b/libs/daemon/src/cherryrudder/daemon/follower.py
@@ -1,4 +1,4 @@
-"""Follows the configuration and the endpoints by long polls on several control VMs."""
+"""Follows the configuration and the endpoints by long polls of several control VMs."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,28 +17,28 @@
 
 from .clock import now_s
 
-# An entry tells a silent control VM by three missed answers (see membership.reader).
+# Three missed answers mark a control VM as unreachable (see membership.reader).
 TABLE_POLL_S = 1.0
-# Without the table an answer is only needed on a change.
+# Without the table an answer is needed only on a change.
 CONFIG_POLL_S = 10.0
-# A poll that has not come back this long after its due time is taken for lost.
-GRACE_S = 2.0
+# A poll that is this much overdue counts as lost.
+POLL_GRACE_S = 2.0
 RETRY_S = 0.2
-# Without the table: one control VM may be frozen and another restarting at once.
+# Used without the table. One control VM may be frozen while another one restarts.
 CONFIG_SOURCES = 3
 
 log = logger.bind(part="follow")
 
 
 class WatchAnswer(NamedTuple):
-    """What a control VM answers to a watch."""
+    """The answer of a control VM to a watch."""
 
     config: ConfigDelta
     table: TableDelta | None = None
 
 
 class Follower:
-    """The newest configuration and endpoints that this process has seen."""
+    """Holds the newest configuration and endpoints that this process has received."""
 
     def __init__(self, process, on_change: Callable[[], None], with_table=True):
         self.process = process
@@ -49,46 +49,46 @@
         self.ready = anyio.Event()
 
     def start(self) -> None:
-        """Start one task per control VM that is followed."""
+        """Start one polling task for each followed control VM."""
         addresses = self.process.settings.control.addresses
         if self.with_table:
             sources = table_addresses(addresses)
         else:
-            # Each follower has its own order, or three control VMs would carry all.
+            # Each VM ranks the control VMs differently, which spreads the load.
             vm = self.process.settings.process.vm
             sources = rank(list(addresses), vm)[:CONFIG_SOURCES]
         for address in sources:
             self.process.group.start_soon(self._follow, address)
 
     def is_ready(self) -> bool:
-        """Tell whether a fresh configuration has been read since the start."""
+        """Return whether a fresh configuration has been read since the start."""
         return self.ready.is_set()
 
     def endpoints(self):
-        """Return the announcements of the endpoints that count as live now."""
+        """Return the announcements of the endpoints that are considered live now."""
         return endpoints.endpoints(self.reader, now_s())
 
-    def saw_link(self, endpoint: str, incarnation: str) -> None:
-        """Note that an endpoint was heard directly, whatever the control VMs say."""
+    def record_link_message(self, endpoint: str, incarnation: str) -> None:
+        """Record a message that an endpoint sent directly to this process."""
         endpoints.saw_link(self.reader, endpoint, incarnation, now_s())
 
-    def lost_link(self, endpoint: str) -> None:
-        """Note that the link to an endpoint broke; its lease alone counts now."""
+    def record_link_loss(self, endpoint: str) -> None:
+        """Record that the link to an endpoint broke; only its lease counts now."""
         endpoints.lost_link(self.reader, endpoint)
 
     async def _follow(self, address):
-        # The first answer must be confirmed by a majority after it was asked for:
-        # otherwise a process that restarts 500 changes behind could be ready with an
-        # old configuration that an isolated control VM still holds.
+        # The first answer must be confirmed by a majority after the request was sent.
+        # Otherwise a process that restarts 500 changes behind could become ready with
+        # an old configuration of an isolated control VM.
         fresh = True
         while True:
             try:
                 answer = await self._ask(address, fresh)
             except WireError as error:
-                log.debug("No news from {}: {}.", address, error)
+                log.debug("Poll of {} failed: {}.", address, error)
                 await anyio.sleep(RETRY_S)
                 continue
-            self._take(address, answer, fresh)
+            self._apply(address, answer, fresh)
             fresh = False
 
     async def _ask(self, address, fresh):
@@ -103,12 +103,12 @@
             "table": int(self.with_table),
         }
         url = f"http://{address}/v1/watch?{urlencode(query)}"
-        timeout_s = poll_s + GRACE_S
+        timeout_s = poll_s + POLL_GRACE_S
         return await self.process.client.call(
             "GET", url, None, WatchAnswer, timeout_s=timeout_s
         )
 
-    def _take(self, address, answer, fresh):
+    def _apply(self, address, answer, fresh):
         changed = followed.take(self.config, answer.config) == Taken.TAKEN
         if answer.table is not None:
             endpoints.merge(self.reader, address, answer.table, now_s())
--- a/libs/daemon/src/cherryrudder/daemon/framemessages.py
+++ b/libs/daemon/src/cherryrudder/daemon/framemessages.py
@@ -6,7 +6,7 @@
 
 
 class CreditReport(NamedTuple):
-    """Entry to sidecar: what it runs there, and how many more it would send."""
+    """Entry to sidecar: its running requests there, and how many more it would send."""
 
     entry: str
     endpoint: str
@@ -15,7 +15,7 @@
 
 
 class CreditGrant(NamedTuple):
-    """Sidecar to entry: how many it may have there, and how the endpoint does.
+    """Sidecar to entry: the granted credits and the endpoint's progress.
 
     `step_s` is the smoothed time of a decoding step, 0 while unknown; `oldest_s` is the
     age of the oldest call that the endpoint has not answered.
--- a/libs/daemon/src/cherryrudder/daemon/gate.py
+++ b/libs/daemon/src/cherryrudder/daemon/gate.py
@@ -1,12 +1,12 @@
-"""The at-most-once gate of a sidecar: which claimed calls may run here, and once.
+"""The at-most-once gate of a sidecar: decides which claimed calls may run.
 
-Load pattern: a caller, a balancer or an entry resends a call whose answer was lost,
-and packets come late or doubled. Without the gate each copy would file once more.
+Callers, balancers and entries resend calls whose answer was lost, and packets arrive
+late or twice. Without the gate each copy would run the call again.
 
-The log gives claims rising indexes. The gate remembers the newest attempts one by one
-and keeps the highest index that it has forgotten as a floor: an attempt that it does
-not know at or below the floor may be one that it forgot, so it never runs. Memory is
-bounded and yet no attempt can run twice, nor run after it was declared not run.
+The log assigns rising indexes to claims. The gate records the newest attempts one by
+one and keeps the highest index that it has dropped as a floor. An unrecorded attempt at
+or below the floor may be a dropped one, so it never runs. Memory is bounded, and still
+no attempt can run twice, or run after it was declared not run.
 """
 
 import heapq
@@ -14,17 +14,17 @@
 
 from cherryrudder.state.commands import Claim
 
-# Attempts remembered: at 100 filings a second it takes 40 s until one is forgotten,
-# and an entry has its outcome in the log within a second.
-KEPT_ATTEMPTS = 4096
-# Answers are replayed from here only until the log has them; this bounds their memory.
-KEPT_BYTES = 4 * 1024 * 1024
+# At 100 calls per second an attempt is dropped after 40 s; an entry records its outcome
+# in the log within a second.
+MAX_RECORDED_ATTEMPTS = 4096
+# Bound on the recorded answers. They are replayed only until the log has them.
+MAX_RECORDED_BYTES = 4 * 1024 * 1024
 # Status of a call to which the service gave no answer.
 NO_ANSWER = 0
 
 
 class Call(NamedTuple):
-    """A call as the service is to get it."""
+    """A call as it is sent to the service."""
 
     method: str
     path: str
@@ -41,11 +41,11 @@
 
 
 class Verdict(NamedTuple):
-    """What becomes of a call.
+    """The gate's decision on a call.
 
     `action` is run, wait (it is running), replay (`status` and `body` are the answer;
-    status 0 means that the service gave none), tombstone (it never ran and never
-    will) or forgotten (this process cannot tell).
+    status 0 means that the service gave none), tombstone (it has not run and never
+    will) or forgotten (this process has no record of it).
     """
 
     action: str
@@ -58,7 +58,7 @@
 
 
 class Gate:
-    """What one incarnation of a sidecar has run, is running and will never run."""
+    """The attempts that a sidecar's incarnation runs, has run or will never run."""
 
     def __init__(self, incarnation: str):
         self.incarnation = incarnation
@@ -66,56 +66,56 @@
         self.verdicts: dict[str, Verdict] = {}
         self.by_index: list[tuple[int, str]] = []
         self.floor = 0
-        self.kept_bytes = 0
+        self.recorded_bytes = 0
 
 
 def admit(gate: Gate, claim: Claim) -> Verdict:
-    """Decide on a run; `run` is said at most once for each attempt."""
+    """Return whether a call may run; `run` is returned at most once per attempt."""
     known = _known(gate, claim)
     if known is not None:
         return known
     if claim.index <= gate.floor:
-        # It has not run if it was never seen, and cannot be told from one that was:
-        # refusing is safe either way, and "cannot tell" is the honest answer.
+        # A new attempt cannot be told from a dropped one that has run. Refusing is safe
+        # in both cases.
         return FORGOTTEN
     gate.running.add(claim.attempt_id)
     return Verdict("run")
 
 
-def finish(gate: Gate, claim: Claim, status: int, body: str) -> None:
-    """Keep the answer of a call that has run; status 0 means that there was none."""
+def record_answer(gate: Gate, claim: Claim, status: int, body: str) -> None:
+    """Record the answer of a call that has run; status 0 means that there was none."""
     gate.running.discard(claim.attempt_id)
-    _keep(gate, claim, Verdict("replay", status, body))
+    _record(gate, claim, Verdict("replay", status, body))
 
 
-def never_sent(gate: Gate, claim: Claim) -> None:
-    """Bury a call whose connection to the service was refused."""
+def record_not_sent(gate: Gate, claim: Claim) -> None:
+    """Record that a call was not sent because the service refused the connection."""
     gate.running.discard(claim.attempt_id)
-    _keep(gate, claim, TOMBSTONE)
+    _record(gate, claim, TOMBSTONE)
 
 
 def query(gate: Gate, claim: Claim) -> Verdict:
-    """Tell what became of a claim; one that has not started by now never will.
+    """Return the state of a claim; one that has not started by now never will.
 
-    The tombstone makes `not-run` a fact: a run that is still on its way meets it.
+    The tombstone guarantees `not-run`: a run that arrives later is refused by it.
     """
     known = _known(gate, claim)
     if known is not None:
         return known
     if claim.index <= gate.floor:
         return FORGOTTEN
-    _keep(gate, claim, TOMBSTONE)
+    _record(gate, claim, TOMBSTONE)
     return TOMBSTONE
 
 
 def is_known(gate: Gate, claim: Claim) -> bool:
-    """Tell whether a query would be answered without burying the claim."""
+    """Return whether a query would be answered without recording a tombstone."""
     return _known(gate, claim) is not None or claim.index <= gate.floor
 
 
 def _known(gate, claim):
-    # A claim names one incarnation of the sidecar. A restarted one has forgotten what
-    # it ran, so it neither runs nor judges a claim made for an earlier incarnation.
+    # A claim names one incarnation of the sidecar. A restarted sidecar has no record of
+    # earlier runs, so it neither runs nor judges a claim for an earlier incarnation.
     if claim.incarnation != gate.incarnation:
         return FORGOTTEN
     if claim.attempt_id in gate.running:
@@ -123,11 +123,14 @@
     return gate.verdicts.get(claim.attempt_id)
 
 
-def _keep(gate, claim, verdict):
+def _record(gate, claim, verdict):
     gate.verdicts[claim.attempt_id] = verdict
-    gate.kept_bytes += len(verdict.body)
+    gate.recorded_bytes += len(verdict.body)
     heapq.heappush(gate.by_index, (claim.index, claim.attempt_id))
-    while len(gate.verdicts) > KEPT_ATTEMPTS or gate.kept_bytes > KEPT_BYTES:
+    while (
+        len(gate.verdicts) > MAX_RECORDED_ATTEMPTS
+        or gate.recorded_bytes > MAX_RECORDED_BYTES
+    ):
         index, attempt_id = heapq.heappop(gate.by_index)
         gate.floor = max(gate.floor, index)
-        gate.kept_bytes -= len(gate.verdicts.pop(attempt_id).body)
+        gate.recorded_bytes -= len(gate.verdicts.pop(attempt_id).body)
--- a/libs/daemon/src/cherryrudder/daemon/gauges.py
+++ b/libs/daemon/src/cherryrudder/daemon/gauges.py
@@ -1,4 +1,4 @@
-"""What each role tells statsd: counts as things happen, gauges every ten seconds."""
+"""The statsd metrics of each role: counters on events, gauges every 10 s."""
 
 from collections.abc import Callable
 
@@ -9,23 +9,23 @@
 from cherryrudder.model.outcomes import Outcome
 from cherryrudder.wire.asgi import Handler, Reply, Request
 
-from .callers import OUTCOME
+from .callers import OUTCOME_HEADER
 
-# As often as statsd servers flush by default: more would be thrown away.
-EVERY_S = 10.0
+# The default flush interval of statsd servers; more frequent values are discarded.
+SEND_INTERVAL_S = 10.0
 
 Gauges = dict[str, float]
 
 
 def start(process, read: Callable[[], Gauges]) -> None:
-    """Send what `read` gives every ten seconds."""
-    process.group.start_soon(_send_often, process.metrics, read)
+    """Send the gauges that `read` returns every 10 s."""
+    process.group.start_soon(_send_periodically, process.metrics, read)
 
 
 def counted(metrics, handle: Handler) -> Handler:
-    """Return a handler whose whole answers are counted by outcome and error code.
+    """Return a handler whose replies are counted by outcome and error code.
 
-    A stream counts its own outcome, which is known at its end only.
+    A stream counts its own outcome, which is known only at its end.
     """
 
     async def run(request: Request):
@@ -47,22 +47,22 @@
 def entry_gauges(entry) -> Gauges:
     """Return the gauges of an entry."""
     return {
-        "queued": len(entry.door.admission.queue.waiting),
+        "queued": len(entry.requests.admission.queue.waiting),
         "in_flight": entry.in_flight(),
     }
 
 
 def sidecar_gauges(sidecar) -> Gauges:
-    """Return the gauges of a sidecar; a service has no steps."""
-    step_ms = sidecar.host.desk.step_s * 1000
+    """Return the gauges of a sidecar; the step time of a service is 0."""
+    step_ms = sidecar.host.credits.step_s * 1000
     return {"in_flight": sidecar.host.in_flight(), "step_ms": step_ms}
 
 
 def control_gauges(metrics, control) -> Callable[[], Gauges]:
-    """Return a reader of a control VM's gauges, which also counts its log's progress.
+    """Return a function that reads a control VM's gauges and counts its log's progress.
 
-    What the log took in before the first reading is not counted: a restarted control
-    VM applies its whole log again, and no such burst of commits has happened.
+    Commits before the first reading are not counted: a restarted control VM applies
+    its whole log again, which would look like a burst of commits.
     """
     last = {}
 
@@ -84,22 +84,22 @@
 
 
 def send(metrics, values: Gauges) -> None:
-    """Send gauges."""
+    """Send gauges to statsd."""
     for name, value in values.items():
         metrics.gauge(name, value)
 
 
-async def _send_often(metrics, read):
+async def _send_periodically(metrics, read):
     while True:
-        await anyio.sleep(EVERY_S)
+        await anyio.sleep(SEND_INTERVAL_S)
         send(metrics, read())
 
 
 def _count(metrics, reply):
-    outcome = dict(reply.headers).get(OUTCOME)
+    outcome = dict(reply.headers).get(OUTCOME_HEADER)
     metrics.incr(f"outcome.{outcome}")
-    # The answer of a service is its own, whatever its status; only what was refused
-    # or has failed here has a code of ours.
+    # A service's own answer counts as done, whatever its status. Only requests that
+    # were refused or have failed in this process have an error code.
     if outcome == Outcome.DONE:
         return
     kind = "refused" if outcome == Outcome.NOT_RUN else "failed"
--- a/libs/daemon/src/cherryrudder/daemon/main.py
+++ b/libs/daemon/src/cherryrudder/daemon/main.py
@@ -1,4 +1,4 @@
-"""cherryrudderd: reads its settings and runs one role until it is told to stop."""
+"""cherryrudderd: reads its settings and runs one role until it is stopped."""
 
 import argparse
 import sys
@@ -43,8 +43,8 @@
         print(f"cherryrudderd: {error}", file=sys.stderr)
         sys.exit(FAILED)
     except Exception:
-        # A part that failed for a reason that nobody foresaw ends the process: the
-        # others must not go on beside it. The log says so before the traceback.
+        # An unexpected error in one task ends the process: the other tasks must not run
+        # on without it. The log entry precedes the traceback.
         log.exception("A part of the process has failed.")
         sys.exit(FAILED)
 
@@ -52,7 +52,7 @@
 def read_options(arguments):
     """Return the command line's options.
 
-    argparse and not defopt: the daemon runs on small VMs and must not load docutils.
+    Uses argparse instead of defopt, which would load docutils on small VMs.
     """
     parser = argparse.ArgumentParser(prog="cherryrudderd", description=__doc__)
     parser.add_argument("--config", required=True, help="settings file (INI)")
@@ -73,7 +73,7 @@
 
 
 async def run(settings: Settings) -> None:
-    """Run the role that the settings name until a graceful shutdown ends."""
+    """Run the configured role until a graceful shutdown ends."""
     failure = None
     try:
         async with anyio.create_task_group() as group:
@@ -84,7 +84,7 @@
     except* DaemonError as errors:
         failure = errors.exceptions[0]
     if failure is not None:
-        # A task group wraps the error of a part; the operator is told that error.
+        # Task groups wrap errors; report the innermost one to the operator.
         while isinstance(failure, ExceptionGroup):
             failure = failure.exceptions[0]
         raise failure
--- a/libs/daemon/src/cherryrudder/daemon/operatorapi.py
+++ b/libs/daemon/src/cherryrudder/daemon/operatorapi.py
@@ -1,4 +1,4 @@
-"""The operators' surface on the control VMs."""
+"""The operator API of the control VMs."""
 
 from cherryrudder.membership import table as soft
 from cherryrudder.model import jsoncodec
@@ -14,7 +14,7 @@
 )
 from cherryrudder.wire.asgi import Request, Routes, json_reply
 
-from .controlapi import PROPOSE_S, VoterChange, no_quorum
+from .controlapi import PROPOSE_TIMEOUT_S, VoterChange, no_quorum
 from .errors import NoQuorum
 
 CHANGES = {
@@ -27,13 +27,13 @@
 
 
 def operator_routes(control) -> Routes:
-    """Return the routes that operators and their tool use."""
+    """Return the routes for operators and their command-line tool."""
     voter = control.voter
 
     async def fresh_state():
-        # An operator must never be shown what a majority has since changed.
+        # An operator must never get state that a majority has since changed.
         try:
-            await voter.wait_for_read_index(PROPOSE_S)
+            await voter.wait_for_read_index(PROPOSE_TIMEOUT_S)
         except NoQuorum as error:
             raise no_quorum(error) from error
         return voter.state
@@ -53,9 +53,11 @@
     async def change(request: Request):
         command = read_change(await request.body())
         try:
-            answer = await voter.propose(machine.encode_command(command), PROPOSE_S)
+            answer = await voter.propose(
+                machine.encode_command(command), PROPOSE_TIMEOUT_S
+            )
         except NoQuorum as error:
-            # The change may still be committed; a resend of its id gets the answer.
+            # The change may still be committed; a resend with its id gets the answer.
             raise no_quorum(error) from error
         answer = jsoncodec.plain(answer)
         return json_reply(answer, STATUS_OF_CODE.get(answer["code"], 400))
@@ -69,7 +71,9 @@
     async def voters(request):
         value = await request.json(VoterChange)
         try:
-            done = await voter.change_voters(value.action, value.voter, PROPOSE_S)
+            done = await voter.change_voters(
+                value.action, value.voter, PROPOSE_TIMEOUT_S
+            )
         except NoQuorum as error:
             raise no_quorum(error) from error
         if not done:
@@ -87,7 +91,7 @@
 
 
 def read_change(body: bytes):
-    """Return the checked command of a change's JSON; raises RequestError 400."""
+    """Return the validated command of a change's JSON; raises RequestError 400."""
     try:
         value = jsoncodec.decode(body, dict)
         kind = CHANGES.get(value.pop("kind", ""))
--- a/libs/daemon/src/cherryrudder/daemon/process.py
+++ b/libs/daemon/src/cherryrudder/daemon/process.py
@@ -1,4 +1,4 @@
-"""What every role has in common: keys, listeners, signals, the dump and the probes."""
+"""Shared parts of all roles: keys, listeners, signals, dump and probes."""
 
 import os
 import signal
@@ -22,7 +22,7 @@
 
 
 class Process:
-    """One running daemon: its settings, keys, connections and task group."""
+    """A running daemon: its settings, keys, connections and task group."""
 
     def __init__(self, settings: Settings, group: TaskGroup):
         self.settings = settings
@@ -32,9 +32,9 @@
         self.operator_key = read_key(settings.keys.operator_file)
         self.client = Client(self.internal_key)
         self.metrics = open_metrics(settings.statsd, settings.process.role)
-        # Set by SIGTERM or SIGINT: no new work, finish what is in flight.
+        # Set by SIGTERM or SIGINT: accept no new work, finish what is in flight.
         self.leaving = anyio.Event()
-        # Set once drained: the listeners close and the process ends.
+        # Set after the drain: the listeners close and the process ends.
         self.stopping = anyio.Event()
         self._listening = 0
 
@@ -47,8 +47,8 @@
                 await serve(app, address, self.stopping)
             except OSError as error:
                 raise StartError(f"cannot listen at {address}: {error}") from error
-            # The last listener to close ends the process: ending it before would cut
-            # off the answers that are still being written.
+            # The last listener to close ends the process. Ending it earlier would
+            # truncate answers that are still being written.
             self._listening -= 1
             if not self._listening:
                 self.group.cancel_scope.cancel()
@@ -67,12 +67,12 @@
                 self.leaving.set()
 
     def stop(self) -> None:
-        """Close the listeners; the process ends with the last of them."""
+        """Close the listeners; the process ends when the last one is closed."""
         self.stopping.set()
 
 
 def read_key(path: str) -> str:
-    """Return the key that a file holds; raises StartError."""
+    """Return the key in a file; raises StartError."""
     try:
         key = Path(path).read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as error:
@@ -83,7 +83,7 @@
 
 
 def probe_routes(is_ready: Callable[[], bool]) -> Routes:
-    """Return the balancer's probes."""
+    """Return the routes of the balancer's health probes."""
 
     async def livez(request):
         return Reply(200, b'{"live": true}')
@@ -96,7 +96,7 @@
 
 
 def dump_routes(process: Process, dump: Callable[[], dict]) -> Routes:
-    """Return the route that shows what the process does at this moment."""
+    """Return the route that shows the current state of the process."""
 
     async def show(request):
         place = process.settings.place
--- a/libs/daemon/src/cherryrudder/daemon/frontdoor.py
+++ b/libs/daemon/src/cherryrudder/daemon/requestdispatch.py
@@ -1,4 +1,4 @@
-"""Carries out what the policy decides of each request: send, wait, answer, retry."""
+"""Carries out the policy's decisions on requests: send, wait, answer, retry."""
 
 from collections.abc import Callable
 
@@ -21,39 +21,39 @@
 log = logger.bind(part="admission")
 
 
-class TurnedAway(DaemonError):
-    """A request that is given up before any of it ran."""
+class RequestRefused(DaemonError):
+    """A request was refused before any part of it ran."""
 
     def __init__(self, refusal: Refusal):
         super().__init__(refusal.message)
         self.refusal = refusal
 
 
-class GivenUp(DaemonError):
-    """A request that failed and is not sent again."""
+class RequestFailed(DaemonError):
+    """A request failed and is not retried."""
 
     def __init__(self, outcome: Outcome, reason: str):
         super().__init__(f"no endpoint answered, and it is not sent again: {reason}")
         self.outcome = outcome
 
 
-class _Ticket:
-    """What the task of a waiting request is told."""
+class _PendingRequest:
+    """A waiting request: the effect that ends the wait."""
 
     def __init__(self):
         self.effect = None
         self.done = anyio.Event()
 
 
-class FrontDoor:
-    """The requests of one entry, from their arrival to their end."""
+class RequestDispatch:
+    """Queues and places the requests of one entry, from arrival to end."""
 
     def __init__(
         self,
         process,
         view: FleetView,
         on_wait: Callable[[], None],
-        on_silent: Callable[[str, str], None],
+        on_stall: Callable[[str, str], None],
     ):
         settings = process.settings.entry
         self.process = process
@@ -61,25 +61,25 @@
         self.admission = Admission(settings.max_queued)
         self.dispatcher = Dispatcher(self.admission, view.fleet)
         self._on_wait = on_wait
-        self._on_silent = on_silent
-        self._tickets: dict[str, _Ticket] = {}
+        self._on_stall = on_stall
+        self._pending: dict[str, _PendingRequest] = {}
 
     def start(self) -> None:
-        """Start looking for requests that may start or must be given up."""
+        """Start checking for requests that may start or must be refused."""
         self.process.group.start_soon(self._tick)
 
-    async def enter(self, work: Work) -> Send:
-        """Return where a request is to be sent; raises TurnedAway.
+    async def submit(self, work: Work) -> Send:
+        """Return the endpoints for a new request; raises RequestRefused.
 
-        A request that got its `Send` ends in `finish`, `cancel` or `retry`.
+        Each returned `Send` must be followed by `finish`, `cancel` or `retry`.
         """
-        ticket = self._tickets[work.offer.request_id] = _Ticket()
+        ticket = self._pending[work.offer.request_id] = _PendingRequest()
         self._carry_out(dispatch.submit(self.dispatcher, work, now_s()))
         return await self._wait(work.offer.request_id, ticket)
 
     async def retry(self, request_id, endpoint, is_certain_not_run: bool) -> Send:
-        """Return where to send a failed request again; raises GivenUp, TurnedAway."""
-        ticket = self._tickets[request_id] = _Ticket()
+        """Return endpoints for a retry; raises RequestFailed, RequestRefused."""
+        ticket = self._pending[request_id] = _PendingRequest()
         self._carry_out(
             dispatch.fail_attempt(
                 self.dispatcher, request_id, endpoint, is_certain_not_run, now_s()
@@ -88,8 +88,8 @@
         return await self._wait(request_id, ticket)
 
     def finish(self, request_id: str, used_tokens: int, took_s: float) -> None:
-        """End a request that was answered."""
-        own_s = self.view.own_s
+        """Record the end of a request that was answered."""
+        own_s = self.view.decode_time_s
         self._carry_out(
             dispatch.finish(
                 self.dispatcher, request_id, used_tokens, took_s, now_s(), own_s
@@ -97,12 +97,12 @@
         )
 
     def cancel(self, request_id: str, used_tokens: int) -> None:
-        """End a request that was not answered to its end."""
+        """Record the end of a request without a complete answer."""
         effects = dispatch.cancel(self.dispatcher, request_id, used_tokens, now_s())
         self._carry_out(effects)
 
     def replace_stage(self, request_id: str, need) -> Stage | None:
-        """Return a stage for a range that a running request has lost."""
+        """Return a stage for a layer range that a running request has lost."""
         placed = self.dispatcher.placed.get(request_id)
         for endpoint in placed.stages if placed else ():
             member = self.view.fleet.members.get(endpoint)
@@ -117,7 +117,7 @@
         return None
 
     def advance(self) -> None:
-        """Start what there is room for: credits or shares have changed."""
+        """Start queued requests after credits or shares have changed."""
         self._carry_out(dispatch.advance(self.dispatcher, now_s()))
 
     async def _wait(self, request_id, ticket):
@@ -126,28 +126,28 @@
         try:
             await ticket.done.wait()
         except anyio.get_cancelled_exc_class():
-            # The caller went away: what waits leaves the queue, and what was placed
-            # in this very moment gives its places back.
+            # The caller disconnected. A queued request leaves the queue; a request that
+            # was placed just now releases its places.
             if request_id in self.dispatcher.works:
                 self.cancel(request_id, 0)
             raise
         finally:
-            del self._tickets[request_id]
+            del self._pending[request_id]
         match ticket.effect:
             case Send():
                 return ticket.effect
             case dispatch.Refuse():
-                raise TurnedAway(ticket.effect.refusal)
+                raise RequestRefused(ticket.effect.refusal)
             case dispatch.Failed():
-                raise GivenUp(ticket.effect.outcome, ticket.effect.verdict)
+                raise RequestFailed(ticket.effect.outcome, ticket.effect.verdict)
 
     def _carry_out(self, effects):
         for effect in effects:
             if isinstance(effect, dispatch.Silent):
-                log.warning("{} is silent.", effect.endpoint)
-                self._on_silent(effect.request_id, effect.endpoint)
+                log.warning("{} makes no progress.", effect.endpoint)
+                self._on_stall(effect.request_id, effect.endpoint)
                 continue
-            ticket = self._tickets.get(effect.request_id)
+            ticket = self._pending.get(effect.request_id)
             if ticket is not None:
                 ticket.effect = effect
                 ticket.done.set()
--- a/libs/daemon/src/cherryrudder/daemon/servicehost.py
+++ b/libs/daemon/src/cherryrudder/daemon/servicehost.py
@@ -1,4 +1,4 @@
-"""The sidecar beside a plain service: passes calls on, claimed ones at most once."""
+"""The sidecar of a plain service: forwards calls, claimed ones at most once."""
 
 import anyio
 from loguru import logger
@@ -16,11 +16,11 @@
 from .frameport import FramePort
 from .gate import NO_ANSWER, Call, Gate, Run, Verdict
 
-# A service that does not answer for this long is given up; its call's outcome is
-# unknown from then on.
-CALL_S = 30.0
-# A granted run arrives within a round trip; far more than that, and still at once.
-PATIENCE_S = 0.3
+# After this timeout the outcome of a call is unknown.
+CALL_TIMEOUT_S = 30.0
+# Wait of a query for the claim's run, which normally arrives within a round trip. The
+# timeout is far longer than that, and still short for the caller.
+RUN_ARRIVAL_TIMEOUT_S = 0.3
 
 log = logger.bind(part="service")
 
@@ -32,10 +32,10 @@
         self.process = process
         self.back_end = process.settings.sidecar.back_end.rstrip("/")
         self.gate = Gate(process.incarnation)
-        # The service knows nothing of the system's keys and must not see them.
+        # The service has no use for the system's keys and must not get them.
         self.client = Client()
         self.port = FramePort(process, DATA_MESSAGES, self._on_messages)
-        self.desk = CreditGranter(process, self.port.links)
+        self.credits = CreditGranter(process, self.port.links)
         self.leaving = False
         self.forwarding = 0
         self._finished: dict[str, anyio.Event] = {}
@@ -45,16 +45,16 @@
         self.port.start()
 
     def set_leaving(self, leaving: bool) -> None:
-        """Refuse new calls, or take them again."""
+        """Refuse new calls, or accept them again."""
         self.leaving = leaving
-        self.desk.set_leaving(leaving, now_s())
+        self.credits.set_leaving(leaving, now_s())
 
     def in_flight(self) -> int:
         """Return the number of calls that have not ended."""
         return len(self.gate.running) + self.forwarding
 
     def dump(self) -> dict:
-        """Return what the gate holds."""
+        """Return the gate's state for the dump."""
         return {
             "running": sorted(self.gate.running),
             "remembered": len(self.gate.verdicts),
@@ -62,7 +62,7 @@
         }
 
     def routes(self) -> Routes:
-        """Return the routes that entries use."""
+        """Return the routes that entries call."""
         return {
             ("POST", "/v1/run"): self._run,
             ("POST", "/v1/run/query"): self._query,
@@ -72,37 +72,39 @@
     def _on_messages(self, peer, messages):
         for message in messages:
             if isinstance(message, CreditReport):
-                self.desk.handle_report(message, now_s())
+                self.credits.handle_report(message, now_s())
 
     async def _run(self, request: Request):
         run = await request.json(Run)
         if self.leaving and run.claim.attempt_id not in self.gate.running:
-            # The tombstone and not a bare refusal: the entry tells its caller
-            # "not run" on the strength of it.
+            # Record a tombstone instead of only refusing: the entry relies on it when
+            # it answers "not run".
             verdict = gate.query(self.gate, run.claim)
         else:
             verdict = gate.admit(self.gate, run.claim)
         if verdict.action == "run":
             self._finished[run.claim.attempt_id] = anyio.Event()
-            # Its own task: the call goes on and its answer is kept when the entry's
-            # connection breaks in the meantime.
+            # A task of its own, so that the call continues and its answer is recorded
+            # when the entry's connection breaks.
             self.process.group.start_soon(self._execute, run)
             verdict = Verdict("wait")
-        return json_reply(await self._settled(run.claim, verdict))
+        return json_reply(await self._wait_for_verdict(run.claim, verdict))
 
     async def _query(self, request: Request):
         claim = await request.json(Claim)
-        await self._await_run(claim)
-        return json_reply(await self._settled(claim, gate.query(self.gate, claim)))
+        await self._wait_for_run(claim)
+        return json_reply(
+            await self._wait_for_verdict(claim, gate.query(self.gate, claim))
+        )
 
-    async def _await_run(self, claim):
+    async def _wait_for_run(self, claim):
         # The entry that holds the claim may be about to send its run. Two entries that
-        # each bury the other's attempt at once would never get the call done.
-        with anyio.move_on_after(PATIENCE_S):
+        # each record a tombstone for the other's attempt would never run the call.
+        with anyio.move_on_after(RUN_ARRIVAL_TIMEOUT_S):
             while not gate.is_known(self.gate, claim):
-                await anyio.sleep(PATIENCE_S / 10)
+                await anyio.sleep(RUN_ARRIVAL_TIMEOUT_S / 10)
 
-    async def _settled(self, claim, verdict):
+    async def _wait_for_verdict(self, claim, verdict):
         if verdict.action == "wait":
             await self._finished[claim.attempt_id].wait()
             verdict = gate.query(self.gate, claim)
@@ -114,16 +116,16 @@
         except WireError as error:
             log.warning("{} gave no answer: {}.", run.claim.service, error)
             if error.may_have_run:
-                gate.finish(self.gate, run.claim, NO_ANSWER, "")
+                gate.record_answer(self.gate, run.claim, NO_ANSWER, "")
             else:
                 # The service refused the connection, so it cannot have run the call.
-                gate.never_sent(self.gate, run.claim)
+                gate.record_not_sent(self.gate, run.claim)
         else:
-            gate.finish(self.gate, run.claim, status, body)
+            gate.record_answer(self.gate, run.claim, status, body)
         self._finished.pop(run.claim.attempt_id).set()
 
     async def _forward(self, request: Request):
-        """Pass on an idempotent call, which needs no claim."""
+        """Forward an idempotent call, which needs no claim."""
         if self.leaving:
             raise RequestError(503, "leaving", "the endpoint takes no new work")
         call = await request.json(Call)
@@ -141,15 +143,15 @@
         if call.idempotency_key:
             headers.append(("idempotency-key", call.idempotency_key))
         mark = object()
-        self.desk.call_began(mark, now_s())
+        self.credits.record_call_start(mark, now_s())
         try:
             reply = await self.client.send(
                 call.method,
                 self.back_end + call.path,
                 call.body.encode(),
                 headers,
-                CALL_S,
+                CALL_TIMEOUT_S,
             )
         finally:
-            self.desk.call_ended(mark, 0, now_s())
+            self.credits.record_call_end(mark, 0, now_s())
         return reply.status_code, reply.text
--- a/libs/daemon/src/cherryrudder/daemon/services.py
+++ b/libs/daemon/src/cherryrudder/daemon/services.py
@@ -1,9 +1,9 @@
-"""`/services/NAME/...`: calls to plain services, those that may not be repeated too.
+"""`/services/NAME/...`: idempotent and non-idempotent calls to plain services.
 
-A call that may not be repeated is claimed in the log for one incarnation of one
-sidecar before any byte of it is sent. Whoever finds an open claim asks that sidecar
-and never runs the call itself, so that no interleaving of callers, entries and lost
-answers runs it twice.
+A non-idempotent call is claimed in the log for one incarnation of one sidecar before
+any byte of it is sent. An entry that finds an open claim queries that sidecar and never
+runs the call itself, so that no interleaving of callers, entries and lost answers runs
+the call twice.
 """
 
 import hashlib
@@ -20,26 +20,26 @@
 from cherryrudder.wire.asgi import Reply, Request
 from cherryrudder.wire.errors import StatusError, WireError
 
-from .callers import OUTCOME, fail, identify, refuse
+from .callers import OUTCOME_HEADER, failure_reply, identify, refusal_reply
 from .clock import new_id, now_s
-from .controlcalls import CALL_S
+from .controlclient import CALL_TIMEOUT_S
 from .errors import NoQuorum
-from .frontdoor import GivenUp, TurnedAway
 from .gate import NO_ANSWER, Call, Run, Verdict
+from .requestdispatch import RequestFailed, RequestRefused
 
 KEY_HEADER = "idempotency-key"
 MAX_KEY_CHARS = 200
-# A sidecar answers a query from memory, unless the call is running.
-RUN_S = 35.0
-QUERY_S = 35.0
-# The caller has its result already; the record is for a later resend.
-CLOSE_S = 1.0
+# A sidecar answers a query from memory, unless the call is still running.
+RUN_TIMEOUT_S = 35.0
+QUERY_TIMEOUT_S = 35.0
+# Short, since the record only serves a later resend: the outcome is already known.
+CLOSE_TIMEOUT_S = 1.0
 
 log = logger.bind(part="services")
 
 
-class Filing(NamedTuple):
-    """A call that may not be repeated, as its caller sent it."""
+class ClaimedCall(NamedTuple):
+    """A non-idempotent call, as its caller sent it."""
 
     customer: str
     key: str
@@ -71,52 +71,52 @@
             request.headers.get(KEY_HEADER, ""),
         )
         if self.entry.is_closed:
-            return refuse(self.entry.closed_refusal())
+            return refusal_reply(self.entry.closed_refusal())
         self.in_flight += 1
         try:
-            if self._may_repeat(name, request.method):
-                return await self._repeatable(caller, name, call)
-            filing = read_filing(request, caller, name, call)
-            return await self._file(filing)
-        except TurnedAway as error:
-            return refuse(error.refusal)
-        except GivenUp as error:
-            return fail(502, "no-answer", str(error), error.outcome)
+            if self._is_idempotent(name, request.method):
+                return await self._run_idempotent(caller, name, call)
+            claimed = read_claimed_call(request, caller, name, call)
+            return await self._run_once(claimed)
+        except RequestRefused as error:
+            return refusal_reply(error.refusal)
+        except RequestFailed as error:
+            return failure_reply(502, "no-answer", str(error), error.outcome)
         finally:
             self.in_flight -= 1
 
-    def _may_repeat(self, name, method):
+    def _is_idempotent(self, name, method):
         announced = self.entry.fleet.service(name)
-        # While no endpoint is known, the safe side: it may not be repeated.
+        # While no endpoint is known, only GET and HEAD are taken for idempotent.
         methods = announced.idempotent_methods if announced else ("GET", "HEAD")
         return method in methods
 
-    async def _repeatable(self, caller, name, call):
+    async def _run_idempotent(self, caller, name, call):
         work = work_for(caller.contract.customer, name, caller.deadline_s, True)
         return await self._send(work, lambda to: self._forward(to, call))
 
-    async def _file(self, filing):
-        work = work_for(filing.customer, filing.service, filing.deadline_s, False)
-        return await self._send(work, lambda to: self._attempt(filing, to))
+    async def _run_once(self, claimed):
+        work = work_for(claimed.customer, claimed.service, claimed.deadline_s, False)
+        return await self._send(work, lambda to: self._attempt(claimed, to))
 
     async def _send(self, work, attempt):
-        """Make attempts until one gives an answer; raises TurnedAway, GivenUp."""
+        """Retry until an attempt is answered; raises RequestRefused, RequestFailed."""
         request_id = work.offer.request_id
         may_have_run = False
-        sent = await self.entry.door.enter(work)
+        sent = await self.entry.requests.submit(work)
         for number in itertools.count(1):
             began_s = now_s()
             endpoint = sent.stages[0]
             try:
                 reply = await attempt(endpoint)
             except BaseException:
-                self.entry.door.cancel(request_id, 1)
+                self.entry.requests.cancel(request_id, 1)
                 raise
             if reply is not None:
-                self.entry.door.finish(request_id, 1, now_s() - began_s)
+                self.entry.requests.finish(request_id, 1, now_s() - began_s)
                 return reply
-            # An attempt without an answer may be repeated, and then may have run, or it
-            # has certainly not run: its sidecar has said so.
+            # An idempotent attempt without a reply may have run. A claimed one has
+            # certainly not run if it gives no reply.
             log.info(
                 "{}: attempt {} at {} failed.", request_id, number, endpoint.endpoint
             )
@@ -125,102 +125,108 @@
 
     async def _retry(self, request_id, endpoint, may_have_run):
         try:
-            return await self.entry.door.retry(request_id, endpoint, not may_have_run)
-        except TurnedAway as error:
-            # The second attempt was refused before it ran; of the first one nobody can
-            # say so, and "not run" would be a guess.
+            return await self.entry.requests.retry(
+                request_id, endpoint, not may_have_run
+            )
+        except RequestRefused as error:
+            # The second attempt was refused before it ran, but the first one may have
+            # run, so "not run" could be false.
             if may_have_run:
-                raise GivenUp(Outcome.UNKNOWN, str(error)) from error
+                raise RequestFailed(Outcome.UNKNOWN, str(error)) from error
             raise
 
     async def _forward(self, announcement, call) -> Reply | None:
         try:
-            return answer_of(await self._post(announcement, "forward", call, RUN_S))
+            return service_reply(
+                await self._post(announcement, "forward", call, RUN_TIMEOUT_S)
+            )
         except WireError as error:
             log.info("{} failed: {}.", announcement.endpoint, error)
             return None
 
-    async def _attempt(self, filing, announcement) -> Reply | None:
+    async def _attempt(self, claimed, announcement) -> Reply | None:
         """Return the final answer, or None when this attempt certainly did not run."""
         command = OpenClaim(
-            customer=filing.customer,
-            key=filing.key,
-            body_sha256=filing.body_sha256,
+            customer=claimed.customer,
+            key=claimed.key,
+            body_sha256=claimed.body_sha256,
             attempt_id=new_id(),
-            service=filing.service,
+            service=claimed.service,
             endpoint=announcement.endpoint,
             incarnation=announcement.incarnation,
             address=announcement.address,
         )
         try:
-            timeout_s = min(CALL_S, filing.deadline_s - now_s())
+            timeout_s = min(CALL_TIMEOUT_S, claimed.deadline_s - now_s())
             answer = await self.entry.controls.open_claim(command, timeout_s)
         except (NoQuorum, StatusError) as error:
-            # The claim may be committed after this, but only this entry could ever
-            # send its attempt, and it does not: "not run" is certain.
-            return not_run(str(error))
+            # The claim may still be committed, but only this entry may send its attempt
+            # and it does not, so "not run" is certain.
+            return not_run_reply(str(error))
         if answer.code == "granted":
-            return await self._run(answer.claim, filing.call)
+            return await self._run(answer.claim, claimed.call)
         if answer.code == "body-differs":
             raise RequestError(
                 422, "body-differs", "the key was used with another body", KEY_HEADER
             )
         if answer.code == "exists":
-            return await self._earlier(answer.claim)
-        return not_run(f"the claim was refused: {answer.code}")
+            return await self._answer_resend(answer.claim)
+        return not_run_reply(f"the claim was refused: {answer.code}")
 
     async def _run(self, claim, call):
-        """Send a granted claim's call, once."""
+        """Send the call of a granted claim, once."""
         try:
-            verdict = await self._post_claim(claim, "run", Run(claim, call), RUN_S)
+            verdict = await self._post_claim(
+                claim, "run", Run(claim, call), RUN_TIMEOUT_S
+            )
         except WireError as error:
             if not error.may_have_run:
-                # No byte left, and nobody else sends a claim granted to this entry.
+                # No byte was sent, and no other entry sends this entry's claim.
                 await self._close(claim, Outcome.NOT_RUN)
                 return None
-            return await self._ask(claim)
+            return await self._query(claim)
         if verdict.action == "forgotten":
-            # The only copy of this attempt met a gate that refused it.
+            # The gate refused the only copy of this attempt, so it has not run.
             verdict = Verdict("tombstone")
-        return await self._conclude(claim, verdict)
+        return await self._apply_verdict(claim, verdict)
 
-    async def _earlier(self, claim):
-        """Answer a resend whose key was claimed before."""
+    async def _answer_resend(self, claim):
+        """Return the reply to a call whose key was claimed before."""
         if claim.outcome == Outcome.DONE:
-            return answer_of(Verdict("replay", claim.status, claim.body))
+            return service_reply(Verdict("replay", claim.status, claim.body))
         if claim.outcome == Outcome.UNKNOWN:
-            return unknown()
+            return unknown_reply()
         if claim.outcome == Outcome.NOT_RUN:
-            # The state opens a key again only so many times.
-            return not_run("this key has been tried too often; use another one")
-        return await self._ask(claim)
+            # The state machine limits how often a key is reopened.
+            return not_run_reply("this key has been tried too often; use another one")
+        return await self._query(claim)
 
-    async def _ask(self, claim):
+    async def _query(self, claim):
         try:
-            verdict = await self._post_claim(claim, "run/query", claim, QUERY_S)
+            verdict = await self._post_claim(claim, "run/query", claim, QUERY_TIMEOUT_S)
         except WireError:
-            # Said at once: the sidecar may be dead, and waiting would not tell.
-            return unknown()
-        return await self._conclude(claim, verdict)
+            # Reply at once: the sidecar may be dead, and waiting would not help.
+            return unknown_reply()
+        return await self._apply_verdict(claim, verdict)
 
-    async def _conclude(self, claim, verdict):
+    async def _apply_verdict(self, claim, verdict):
         if verdict.action == "tombstone":
             await self._close(claim, Outcome.NOT_RUN)
             return None
         if verdict.action != "replay" or verdict.status == NO_ANSWER:
-            return unknown()
+            return unknown_reply()
         await self._close(claim, Outcome.DONE, verdict)
-        return answer_of(verdict)
+        return service_reply(verdict)
 
     async def _close(self, claim: Claim, outcome, verdict=None):
         command = CloseClaim(claim.customer, claim.key, claim.attempt_id, outcome)
         if verdict is not None:
             command = command._replace(status=verdict.status, body=verdict.body)
         try:
-            await self.entry.controls.close_claim(command, CLOSE_S)
+            await self.entry.controls.close_claim(command, CLOSE_TIMEOUT_S)
         except (NoQuorum, StatusError) as error:
-            # The sidecar still has the answer, and a resend asks it.
-            log.warning("Outcome of {} is not recorded: {}.", claim.key, error)
+            # The sidecar still has the answer, and a resend queries it.
+            log.warning("The outcome of {} was not recorded: {}.", claim.key, error)
 
     async def _post_claim(self, claim, path, value, timeout_s):
         url = f"http://{claim.address}/v1/{path}"
@@ -234,14 +240,14 @@
 
 
 def split_path(request: Request) -> tuple[str, str]:
-    """Return a service's name and the path that it is to get."""
+    """Return the service's name and the path to request from it."""
     name, _, rest = request.path.removeprefix("/services/").partition("/")
     query = f"?{request.query_string}" if request.query_string else ""
     return name, f"/{rest}{query}"
 
 
 def work_for(customer, service, deadline_s: float, is_idempotent: bool) -> Work:
-    """Return what the policy needs to know of a service call."""
+    """Return the policy's description of a service call."""
     offer = Offer(
         request_id=new_id(),
         customer=customer,
@@ -262,31 +268,31 @@
         raise RequestError(400, "bad-encoding", f"not UTF-8: {error}") from None
 
 
-def read_filing(request, caller, name, call) -> Filing:
-    """Return a call that may not be repeated; raises RequestError without a key."""
+def read_claimed_call(request, caller, name, call) -> ClaimedCall:
+    """Return a non-idempotent call; raises RequestError without a valid key."""
     key = request.headers.get(KEY_HEADER, "")
     if not 0 < len(key) <= MAX_KEY_CHARS:
         message = f"this call needs a key of 1 to {MAX_KEY_CHARS} characters"
         raise RequestError(400, "bad-idempotency-key", message, KEY_HEADER)
-    # The path is part of what was asked: the same key on another path is no resend.
+    # The path is part of the digest: the same key on another path is not a resend.
     content = "\n".join((name, call.method, call.path, call.body))
     digest = hashlib.sha256(content.encode()).hexdigest()
     customer = caller.contract.customer
-    return Filing(customer, key, digest, name, call, caller.deadline_s)
+    return ClaimedCall(customer, key, digest, name, call, caller.deadline_s)
 
 
-def answer_of(verdict: Verdict) -> Reply:
-    """Return the service's own answer, first or replayed."""
-    headers = (("content-type", "application/json"), (OUTCOME, Outcome.DONE))
+def service_reply(verdict: Verdict) -> Reply:
+    """Return the service's own answer, new or replayed."""
+    headers = (("content-type", "application/json"), (OUTCOME_HEADER, Outcome.DONE))
     return Reply(verdict.status, verdict.body.encode(), headers)
 
 
-def not_run(message: str) -> Reply:
-    """Return the answer to a call that certainly did not run."""
-    return fail(503, "not-run", message, Outcome.NOT_RUN)
+def not_run_reply(message: str) -> Reply:
+    """Return the reply to a call that certainly did not run."""
+    return failure_reply(503, "not-run", message, Outcome.NOT_RUN)
 
 
-def unknown() -> Reply:
-    """Return the answer to a call of which nobody can tell whether it ran."""
+def unknown_reply() -> Reply:
+    """Return the reply to a call that may or may not have run."""
     message = "the call may have run; a resend with the same key cannot run it twice"
-    return fail(502, "unknown", message, Outcome.UNKNOWN)
+    return failure_reply(502, "unknown", message, Outcome.UNKNOWN)
--- a/libs/daemon/src/cherryrudder/daemon/sidecarrole.py
+++ b/libs/daemon/src/cherryrudder/daemon/sidecarrole.py
@@ -1,4 +1,4 @@
-"""The sidecar role: one endpoint's announcement, stage, gate, fence and shutdown."""
+"""The sidecar role: an endpoint's announcement, stage, gate, fence and shutdown."""
 
 import anyio
 from loguru import logger
@@ -11,13 +11,13 @@
 from .follower import Follower
 from .process import Process, dump_routes, probe_routes
 
-DRAIN_CHECK_S = 0.05
+DRAIN_POLL_S = 0.05
 
 log = logger.bind(part="sidecar")
 
 
 class Sidecar:
-    """One endpoint's process of the system."""
+    """The process beside one endpoint."""
 
     def __init__(self, process: Process):
         self.process = process
@@ -30,20 +30,20 @@
         self.host = make_host(process)
 
     def on_change(self) -> None:
-        """Leave, or come back, as the planned stops say."""
+        """Start or stop leaving, according to planned stops and signals."""
         announcement = self.announcer.announcement
         leaving = self.process.leaving.is_set() or any(
             stops_endpoint(held.stop, announcement)
             for held in self.follower.config.stops.values()
         )
         if leaving != announcement.leaving:
-            log.info("{} takes new work: {}.", announcement.endpoint, not leaving)
+            log.info("{} accepts new work: {}.", announcement.endpoint, not leaving)
             self.host.set_leaving(leaving)
             self.announcer.change(leaving=leaving)
 
 
 def first_announcement(process: Process) -> Announcement:
-    """Return the announcement that the settings describe."""
+    """Return the announcement built from the settings."""
     own = process.settings.sidecar
     return Announcement(
         endpoint=own.endpoint,
@@ -79,8 +79,8 @@
     gauges.start(process, lambda: gauges.sidecar_gauges(sidecar))
     sidecar.host.start()
     sidecar.follower.start()
-    # Not announced before the planned stops are known: an endpoint that is to be
-    # stopped must not come back into the table because its process restarted.
+    # Announce only after the planned stops are known: an endpoint with a planned stop
+    # must not return to the table because its process restarted.
     await sidecar.follower.ready.wait()
     sidecar.announcer.start()
     await process.leaving.wait()
@@ -93,16 +93,16 @@
     """Wait until nothing is in flight, for as long as the settings allow."""
     settings = sidecar.process.settings
     with anyio.move_on_after(settings.process.stop_wait_s) as scope:
-        # Entries that have not yet heard may still send for one lease time.
-        quiet_s = now_s() + settings.sidecar.lease_s
-        while now_s() < quiet_s or sidecar.host.in_flight():
-            await anyio.sleep(DRAIN_CHECK_S)
+        # Entries without the new announcement may still send for one lease time.
+        lease_end_s = now_s() + settings.sidecar.lease_s
+        while now_s() < lease_end_s or sidecar.host.in_flight():
+            await anyio.sleep(DRAIN_POLL_S)
     if scope.cancelled_caught:
         log.error("Stopped with {} in flight.", sidecar.host.in_flight())
 
 
 def dump(sidecar: Sidecar) -> dict:
-    """Return what the sidecar knows."""
+    """Return the sidecar's state for the dump."""
     return {
         "announcement": sidecar.announcer.announcement,
         "revision": sidecar.follower.config.revision,
--- a/libs/daemon/src/cherryrudder/daemon/voter.py
+++ b/libs/daemon/src/cherryrudder/daemon/voter.py
@@ -1,4 +1,4 @@
-"""The control VM's voter: the replicated log over the contracts' state machine."""
+"""The control VM's voter: the replicated log of the contracts' state machine."""
 
 import anyio
 
@@ -13,12 +13,13 @@
 from .clock import wall_s
 from .errors import StartError
 
-# The leader puts the time of day into the log this often; retention needs no better.
-CLOCK_S = 10.0
+# Interval at which the leader appends the wall-clock time to the log, which retention
+# uses. Retention needs no finer resolution.
+CLOCK_INTERVAL_S = 10.0
 
 
 class Voter(voter.Voter):
-    """The control VM's part of the replicated log, and the state that it drives."""
+    """The control VM's member of the replicated log, with its state machine."""
 
     def __init__(self, process):
         settings = process.settings
@@ -28,22 +29,22 @@
         functions = StateMachine(
             machine.new_state, machine.apply, machine.snapshot, machine.restore
         )
-        super().__init__(_seat(process), result.ok, functions, process.group)
+        super().__init__(_voter_config(process), result.ok, functions, process.group)
         self.process = process
 
     def start(self) -> None:
-        """Start the tasks that drive the core, and the log's clock."""
+        """Start the tasks of the core and the log's clock."""
         super().start(self.process.stopping)
-        self.group.start_soon(self._put_time)
+        self.group.start_soon(self._propose_time)
 
-    async def _put_time(self):
+    async def _propose_time(self):
         while True:
-            await anyio.sleep(CLOCK_S)
+            await anyio.sleep(CLOCK_INTERVAL_S)
             payload = machine.encode_command(Clock(wall_s()))
             self.feed(events.Propose("clock", payload))
 
 
-def _seat(process):
+def _voter_config(process):
     quorum = process.settings.quorum
     return VoterConfig(
         vm=process.settings.process.vm,
--- a/libs/daemon/src/cherryrudder/daemon/voterdisk.py
+++ b/libs/daemon/src/cherryrudder/daemon/voterdisk.py
@@ -1,4 +1,4 @@
-"""Explicit creation of a control VM's disk: `cherryrudderd --init` and `--join`."""
+"""Creates a control VM's disk for `cherryrudderd --init` and `--join`."""
 
 from cherryrudder.model.settings import Settings, split_address
 from cherryrudder.quorum.events import Voter
@@ -10,8 +10,8 @@
 def create(settings: Settings, founders=()) -> str:
     """Create the voter's files and return a line for the operator; raises StartError.
 
-    Founders are texts VM=IP:PORT. They name the same voters on every founding VM, so
-    the disk id of a founder is its VM's name; a later disk gets a random id.
+    Founders are strings VM=IP:PORT, the same on every founding VM. The disk id of a
+    founder is derived from its VM's name; a later disk gets a random id.
     """
     folder = settings.quorum.data_folder
     vm = settings.process.vm
--- a/libs/daemon/test/test_callers.py
+++ b/libs/daemon/test/test_callers.py
@@ -1,4 +1,4 @@
-"""By which key a caller is known, and what it is told of calls that failed."""
+"""Callers' keys, and the outcomes of calls that failed."""
 
 import unittest
 from types import SimpleNamespace
@@ -6,30 +6,29 @@
 import anyio
 from builders import a_contract
 
-from cherryrudder.daemon.callers import by_key
-from cherryrudder.daemon.frontdoor import GivenUp, TurnedAway
+from cherryrudder.daemon.callers import contracts_by_key
+from cherryrudder.daemon.requestdispatch import RequestFailed, RequestRefused
 from cherryrudder.daemon.services import Services, work_for
 from cherryrudder.model.endpoints import Announcement, Kind, Place
 from cherryrudder.model.outcomes import Outcome, Refusal
 
 
 class KeyTest(unittest.TestCase):
-    def test_a_contract_in_force_goes_before_a_retired_one_with_its_key(self):
-        """A customer is given the key of a retired contract, and is not refused for it.
+    def test_an_active_contract_overrides_a_retired_one_with_the_same_key(self):
+        """A customer that takes over the key of a retired contract must not be refused.
 
-        The older contract takes the key over, so that the retired one comes after it
-        in the order of their creation.
+        The retired contract may come before or after the active one.
         """
         held = a_contract("old-name")
         retired = a_contract("taken-over")._replace(
             key_sha256=held.key_sha256, retired=True
         )
         for contracts in ((held, retired), (retired, held)):
-            self.assertEqual(by_key(contracts)[held.key_sha256], held)
+            self.assertEqual(contracts_by_key(contracts)[held.key_sha256], held)
 
 
-class Door:
-    """A front door that has one endpoint and notes what it is told of failures."""
+class FakeDispatch:
+    """A request dispatch with one endpoint, which records the retries."""
 
     def __init__(self, error):
         self.error = error
@@ -37,12 +36,12 @@
         place = Place("vm-1", "dc-1", "region-1")
         self.endpoint = Announcement("e-1", Kind.SERVICE, "i", 1, place, "127.0.0.1:1")
 
-    async def enter(self, work):
-        """Send it to the endpoint."""
+    async def submit(self, work):
+        """Place the request at the endpoint."""
         return SimpleNamespace(stages=(self.endpoint,))
 
     async def retry(self, request_id, endpoint, is_certain_not_run):
-        """Note whether the attempt is said not to have run, and give up."""
+        """Record whether the attempt has certainly not run, and raise the error."""
         self.certain.append(is_certain_not_run)
         raise self.error
 
@@ -52,9 +51,9 @@
 
 class ServicesTest(unittest.TestCase):
     def failed(self, is_idempotent, error):
-        """Let an attempt fail without an answer; return what the door was told."""
-        door = Door(error)
-        services = Services(SimpleNamespace(door=door))
+        """Fail an attempt without an answer; return the recorded retries."""
+        dispatch = FakeDispatch(error)
+        services = Services(SimpleNamespace(requests=dispatch))
         work = work_for("petra-tours", "slots", 1e9, is_idempotent)
 
         async def attempt(announcement):
@@ -63,25 +62,27 @@
         try:
             anyio.run(services._send, work, attempt)
         except TimeoutError:
-            return door.certain
-        self.fail("it was neither answered nor given up")
+            return dispatch.certain
+        self.fail("the call was neither answered nor failed")
 
-    def test_a_call_that_may_be_repeated_may_have_run(self):
-        """A service runs a GET and its answer is lost, at each endpoint in turn.
+    def test_an_idempotent_call_without_an_answer_may_have_run(self):
+        """A service runs a GET, and its answer is lost.
 
-        The caller must not be told "not run": the service has run the call.
+        The outcome must not be "not run", since the service has run the call.
         """
         self.assertEqual(self.failed(True, TimeoutError()), [False])
 
     def test_a_refused_retry_of_a_call_that_may_have_run_is_unknown(self):
         """A service runs a GET, its answer is lost, and no other endpoint has room.
 
-        The queue gives the second attempt up as not run. The caller is told
-        "unknown", since the first attempt may have run.
+        The second attempt is refused before it runs. The outcome is "unknown", since
+        the first attempt may have run.
         """
-        for is_idempotent, error in ((True, GivenUp), (False, TurnedAway)):
+        for is_idempotent, error in ((True, RequestFailed), (False, RequestRefused)):
             with self.assertRaises(error) as caught:
-                self.failed(is_idempotent, TurnedAway(Refusal(503, "full", "", 1.0)))
+                self.failed(
+                    is_idempotent, RequestRefused(Refusal(503, "full", "", 1.0))
+                )
             if is_idempotent:
                 self.assertEqual(caught.exception.outcome, Outcome.UNKNOWN)
 
--- a/libs/daemon/test/test_gate.py
+++ b/libs/daemon/test/test_gate.py
@@ -15,20 +15,20 @@
     def setUp(self):
         self.gate = Gate("run-1")
 
-    def test_a_doubled_run_waits_and_is_replayed(self):
+    def test_a_duplicate_run_waits_and_then_gets_the_recorded_answer(self):
         claim = a_claim()
         self.assertEqual(gate.admit(self.gate, claim).action, "run")
         self.assertEqual(gate.admit(self.gate, claim).action, "wait")
-        gate.finish(self.gate, claim, 200, "receipt")
+        gate.record_answer(self.gate, claim, 200, "receipt")
         self.assertEqual(
             gate.admit(self.gate, claim), gate.Verdict("replay", 200, "receipt")
         )
 
-    def test_a_run_that_comes_after_its_burial_does_not_run(self):
-        """A caller resends through a second entry, which asks before the run arrives.
+    def test_a_run_that_arrives_after_its_tombstone_does_not_run(self):
+        """A resend through a second entry queries the gate before the run arrives.
 
-        The gate buries the attempt and the caller hears "not run". Then the first
-        entry's delayed run arrives. Were it run, the answer would have been a lie.
+        The gate records a tombstone and the caller gets "not run". The delayed run of
+        the first entry must then be refused, or that answer would be false.
         """
         claim = a_claim()
         self.assertEqual(gate.query(self.gate, claim).action, "tombstone")
@@ -37,36 +37,36 @@
     def test_a_claim_for_an_earlier_incarnation_neither_runs_nor_is_judged(self):
         """The sidecar restarts between a claim and the arrival of its run.
 
-        The new process has forgotten what the old one ran: running the claim could
-        double it, and calling it "not run" could be false.
+        The new process has no record of earlier runs. Running the claim could run it
+        twice, and "not run" could be false.
         """
         claim = a_claim(incarnation="run-0")
         self.assertEqual(gate.admit(self.gate, claim).action, "forgotten")
         self.assertEqual(gate.query(self.gate, claim).action, "forgotten")
 
-    def test_what_is_below_the_floor_never_runs(self):
-        """Thousands of filings later a packet of the first one comes again.
+    def test_an_attempt_below_the_floor_never_runs(self):
+        """A packet of the first call arrives again after thousands of later calls.
 
         The gate has dropped that attempt to bound its memory. Without the floor it
-        would take the packet for a new attempt and file a second time.
+        would treat the packet as a new attempt and run the call twice.
         """
         first = a_claim("first", 1)
         gate.admit(self.gate, first)
-        gate.finish(self.gate, first, 200, "")
-        for number in range(gate.KEPT_ATTEMPTS):
+        gate.record_answer(self.gate, first, 200, "")
+        for number in range(gate.MAX_RECORDED_ATTEMPTS):
             claim = a_claim(f"later-{number}", 2 + number)
             gate.admit(self.gate, claim)
-            gate.finish(self.gate, claim, 200, "")
+            gate.record_answer(self.gate, claim, 200, "")
         self.assertNotIn("first", self.gate.verdicts)
         self.assertEqual(gate.admit(self.gate, first).action, "forgotten")
 
 
 class GateMachine(RuleBasedStateMachine):
-    """Copies of runs and queries in any order, against what was run and buried."""
+    """Runs and queries in any order, checked against the runs and tombstones."""
 
     def __init__(self):
         super().__init__()
-        patch = mock.patch.object(gate, "KEPT_ATTEMPTS", 3)
+        patch = mock.patch.object(gate, "MAX_RECORDED_ATTEMPTS", 3)
         patch.start()
         self.addCleanup = patch.stop
         self.gate = Gate("run-1")
@@ -81,19 +81,21 @@
         claim = a_claim(f"attempt-{number}", number)
         if gate.admit(self.gate, claim).action == "run":
             assert number not in self.ran, "ran twice"
-            assert number not in self.buried, "ran after not-run was said"
+            assert number not in self.buried, "ran after it was declared not run"
             self.ran.add(number)
 
     @rule(number=st.integers(1, 12))
     def call_ends(self, number):
         if f"attempt-{number}" in self.gate.running:
-            gate.finish(self.gate, a_claim(f"attempt-{number}", number), 200, "x")
+            gate.record_answer(
+                self.gate, a_claim(f"attempt-{number}", number), 200, "x"
+            )
 
     @rule(number=st.integers(1, 12))
     def query_arrives(self, number):
         verdict = gate.query(self.gate, a_claim(f"attempt-{number}", number))
         if verdict.action == "tombstone":
-            assert number not in self.ran, "not-run was said of a call that ran"
+            assert number not in self.ran, "declared not run after it ran"
             self.buried.add(number)
         if verdict.action in ("replay", "wait"):
             assert number in self.ran
--- a/libs/daemon/test/test_gauges.py
+++ b/libs/daemon/test/test_gauges.py
@@ -1,4 +1,4 @@
-"""What statsd gets, on a UDP socket on loopback."""
+"""Tests of the statsd metrics, received on a UDP socket on loopback."""
 
 import socket
 import unittest
@@ -7,7 +7,7 @@
 import anyio
 
 from cherryrudder.daemon import gauges
-from cherryrudder.daemon.callers import fail, refuse
+from cherryrudder.daemon.callers import failure_reply, refusal_reply
 from cherryrudder.model.errors import RequestError
 from cherryrudder.model.outcomes import Outcome, Refusal
 from cherryrudder.model.settings import StatsdSettings
@@ -26,11 +26,11 @@
         self.addCleanup(self.metrics.close)
 
     def received(self, count):
-        """Return the next datagrams, which loopback keeps in order."""
+        """Return the next datagrams; loopback preserves their order."""
         return [self.server.recv(1000).decode() for _ in range(count)]
 
     def answer(self, reply):
-        """Let a counted handler give an answer, or raise one."""
+        """Let a counted handler return a reply, or raise an error."""
 
         async def handle(request):
             if isinstance(reply, Exception):
@@ -40,10 +40,10 @@
         return anyio.run(gauges.counted(self.metrics, handle), None)
 
     def test_answers_are_counted_by_outcome_and_code(self):
-        self.answer(refuse(Refusal(429, "own-limit", "", 1.0)))
-        self.answer(fail(502, "unknown", "", Outcome.UNKNOWN))
-        # A service's own 404 ran: it is an answer and no failure of the platform.
-        self.answer(fail(404, "", "", Outcome.DONE))
+        self.answer(refusal_reply(Refusal(429, "own-limit", "", 1.0)))
+        self.answer(failure_reply(502, "unknown", "", Outcome.UNKNOWN))
+        # A service's own 404 is an answer, not a failure of the platform.
+        self.answer(failure_reply(404, "", "", Outcome.DONE))
         self.assertEqual(
             self.received(5),
             [
@@ -60,7 +60,7 @@
             self.answer(RequestError(401, "wrong-key", ""))
         self.assertEqual(self.received(1), ["cr.entry.refused.wrong-key:1|c"])
 
-    def test_a_fault_of_ours_is_counted_and_still_raised(self):
+    def test_an_internal_error_is_counted_and_still_raised(self):
         with self.assertRaises(ZeroDivisionError):
             self.answer(ZeroDivisionError())
         self.assertEqual(self.received(1), ["cr.entry.failed.internal:1|c"])
@@ -70,7 +70,7 @@
         self.metrics.incr("next")
         self.assertEqual(self.received(1), ["cr.entry.next:1|c"])
 
-    def test_a_control_vm_counts_what_its_log_took_in_since_the_last_reading(self):
+    def test_a_control_vm_counts_the_commits_since_the_last_reading(self):
         status = {"term": 3, "commit": 90, "role": "leader"}
         control = SimpleNamespace(
             voter=SimpleNamespace(
--- a/libs/daemon/test/test_sharing.py
+++ b/libs/daemon/test/test_sharing.py
@@ -19,14 +19,14 @@
 
 
 class LostPeerTest(unittest.TestCase):
-    """Two control VMs die; some entry's lease runs out in that moment.
+    """The allocator leaves the table before a request for shares to it starts.
 
-    An entry is about to ask the lost one for shares: the task is there and has not
-    begun. It finds the address gone, the error ends the whole entry, and callers have
-    their connections refused, though nothing of theirs needs a control VM.
+    Two control VMs die and an entry's lease expires. Another entry has scheduled a
+    share request to it. If the task looked up the address when it starts, the error
+    would end the entry, and callers would have their connections refused.
     """
 
-    def test_an_ask_outlives_the_entry_that_it_is_for(self):
+    def test_a_share_request_survives_the_loss_of_its_allocator(self):
         asked = []
 
         async def call(method, url, *_):
@@ -37,27 +37,29 @@
             client=SimpleNamespace(call=call),
             settings=SimpleNamespace(listen=SimpleNamespace(internal="10.0.0.1:1")),
         )
-        door = SimpleNamespace(admission=None)
-        own = Sharing(SimpleNamespace(process=process, door=door), "entry/10.0.0.1:1")
-        own.put_in_force = lambda _: None
+        dispatch = SimpleNamespace(admission=None)
+        own = Sharing(
+            SimpleNamespace(process=process, requests=dispatch), "entry/10.0.0.1:1"
+        )
+        own.apply_shares = lambda _: None
         own._allocator_of = lambda _: OTHER
-        own.see_entries([an_entry(OTHER)], 0.0)
+        own.set_entries([an_entry(OTHER)], 0.0)
         asks = [SimpleNamespace(customer="petra-tours")]
 
-        async def lose_it():
-            own.see_entries([], 1.0)
+        async def lose_allocator():
+            own.set_entries([], 1.0)
 
-        async def play():
+        async def run():
             async with anyio.create_task_group() as group:
                 group.start_soon(own._loop)
-                group.start_soon(lose_it)
+                group.start_soon(lose_allocator)
                 with anyio.fail_after(10):
                     while not asked:
                         await anyio.sleep(0.01)
                 group.cancel_scope.cancel()
 
         with mock.patch.object(sharing.sharebook, "due_requests", lambda *_: asks):
-            anyio.run(play)
+            anyio.run(run)
         self.assertEqual(asked[0], "http://10.0.0.2:1/v1/shares")
 
 
