--- a/libs/node/src/cherryrudder/node/attempts.py
+++ b/libs/node/src/cherryrudder/node/attempts.py
@@ -80,7 +80,7 @@
             if head.status != WRONG_INCARNATION_STATUS:
                 backpressure.record_answer(job, engine_id, head.status, facts, now_s())
             return head, facts
-        job.note("foreign-answer", address=connection.address)
+        job.log_event("foreign-answer", address=connection.address)
         while await connection.read() is not None:
             pass
         connection.skip_answer()
@@ -117,7 +117,7 @@
     while verdict is Verdict.NO_BUDGET and now_s() < until_s:
         await anyio.sleep(BUDGET_POLL_S)
         verdict = sharedbudget.may_retry(budget, service, attempt, now_s(), has_begun)
-    job.note("retry", verdict=str(verdict), reason=failed.reason)
+    job.log_event("retry", verdict=str(verdict), reason=failed.reason)
     return verdict is Verdict.RETRY
 
 
--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -27,14 +27,14 @@
     job: "Job", engine_id: str, status: int, facts: AnswerFacts, now_s: float
 ) -> None:
     """Record the limit, backoff or notice to leave in an engine's answer."""
-    ratelimiter.note_answer(job, engine_id, facts, now_s)
+    ratelimiter.record_answer(job, engine_id, facts, now_s)
     state = job.state
     if facts.is_leaving:
         _record_leaving(job, engine_id, now_s)
     if asks_for_backoff(status, facts):
         _record_backoff(job, engine_id, facts, now_s)
     elif backoffs.record_answer(state.backoffs, engine_id, job.sent_s):
-        job.note("engine-backoff-over", engine_id=engine_id)
+        job.log_event("engine-backoff-over", engine_id=engine_id)
 
 
 def asks_for_backoff(status: int, facts: AnswerFacts) -> bool:
@@ -48,7 +48,7 @@
     if tablesync.record_leaving(state.endpoints, engine_id, now_s):
         state.leaving_since_s.setdefault(engine_id, now_s)
         state.metrics.beliefs.labels("engine-leaving").inc()
-        job.note("engine-leaving", True, engine_id=engine_id)
+        job.log_event("engine-leaving", True, engine_id=engine_id)
         state.spread_endpoints([engine_id])
 
 
@@ -60,7 +60,7 @@
     if named is not None:
         backoffs.start(state.backoffs, named.engine_id, backoff_s, now_s)
     state.metrics.beliefs.labels("engine-backoff").inc()
-    job.note(
+    job.log_event(
         "engine-backoff",
         True,
         engine_id=engine_id,
--- a/libs/node/src/cherryrudder/node/chainscheduler.py
+++ b/libs/node/src/cherryrudder/node/chainscheduler.py
@@ -25,9 +25,9 @@
 class _Waiter:
     """A stream that waits for a chain with room."""
 
-    def __init__(self, find_chain: FindChain, is_picky: bool):
+    def __init__(self, find_chain: FindChain, is_restricted: bool):
         self.find_chain = find_chain
-        self.is_picky = is_picky
+        self.is_restricted = is_restricted
         self.chain: Chain | None = None
         self.is_over = anyio.Event()
 
@@ -51,8 +51,8 @@
         """Return a chain once there is one with room; None if it takes too long.
 
         `find_chain` reserves the chain that it returns, so that the next stream sees
-        the room as taken. `is_picky`: the stream can't use all engines, so others may
-        find room where it doesn't.
+        the room as taken. `is_restricted`: the stream can't use all engines, so others
+        may find room where it doesn't.
         """
         if not capacityqueue.ahead_tokens(self.queue, request, now_s()):
             chain = find_chain()
@@ -93,7 +93,7 @@
             if waiter.chain is not None:
                 capacityqueue.record_start(self.queue, request.request_id, now)
                 waiter.is_over.set()
-            elif waiter.is_picky:
+            elif waiter.is_restricted:
                 skipped.add(request.request_id)
             else:
                 return
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -45,7 +45,7 @@
     state = job.state
     block = state.crashes.block_of(job.fingerprint, now_s)
     state.metrics.crashes.labels("refused").inc()
-    job.note(
+    job.log_event(
         "blocked",
         fingerprint=job.fingerprint,
         engine_ids=block.engine_ids if block else (),
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -223,8 +223,8 @@
 def is_suspect(state: EntryState, engine_id: str, now_s: float) -> bool:
     """Return whether this entry suspects an endpoint to be dead or failing."""
     entry = state.endpoints.table.entries.get(engine_id)
-    heard_s = entry.last_seen_s if entry else now_s
-    return suspicion.is_ejected(state.suspicions, engine_id, heard_s, now_s)
+    last_seen_s = entry.last_seen_s if entry else now_s
+    return suspicion.is_ejected(state.suspicions, engine_id, last_seen_s, now_s)
 
 
 def is_confirmed_dead(state: EntryState, engine_id: str) -> bool:
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -137,7 +137,7 @@
         """Return the time left until the time limit of the client or the route."""
         return self.end_s - now_s() - ANSWER_MARGIN_S
 
-    def note(self, event: str, is_kept: bool = False, **fields) -> None:
+    def log_event(self, event: str, is_kept: bool = False, **fields) -> None:
         """Write a log line about this request."""
         self.state.sink.write(
             "request", event, is_kept, request_id=self.facts.request_id, **fields
--- a/libs/node/src/cherryrudder/node/layercontroller.py
+++ b/libs/node/src/cherryrudder/node/layercontroller.py
@@ -92,8 +92,8 @@
         self._update_known(live, now)
         if not self._is_settled(live, now):
             return
-        holders = [self._holder(a, now) for a in live]
-        placements = planner.plan(service.model, holders)
+        states = [self._engine_state(a, now) for a in live]
+        placements = planner.plan(service.model, states)
         async with anyio.create_task_group() as group:
             for placement in placements:
                 not_before_s = self._not_before_s.get(placement.state.engine_id, 0.0)
@@ -130,7 +130,7 @@
             return bool(live) and now - self._changed_s > FIRST_PLAN_QUIET_S
         return now - self._started_s > STARTUP_WAIT_S
 
-    def _holder(self, announcement: Announcement, now):
+    def _engine_state(self, announcement: Announcement, now):
         ordered = self._pending.get(announcement.engine_id)
         holding = ordered.holding if ordered else announcement.holding
         return EngineState(
@@ -145,8 +145,8 @@
         )
 
     async def _order(self, profile: ModelProfile, placement: Placement):
-        holder, holding = placement
-        self._not_before_s[holder.engine_id] = now_s() + RETRY_DELAY_S
+        engine, holding = placement
+        self._not_before_s[engine.engine_id] = now_s() + RETRY_DELAY_S
         if not self.state.is_leader():
             return
         fence = self.state.voter.node.term
@@ -159,10 +159,10 @@
             "layers",
             "order",
             True,
-            engine_id=holder.engine_id,
-            address=holder.address,
-            kind=holder.kind,
-            had=list(holder.holding),
+            engine_id=engine.engine_id,
+            address=engine.address,
+            kind=engine.kind,
+            had=list(engine.holding),
             layers=list(holding),
             fence=fence,
             outcome=outcome,
@@ -173,10 +173,10 @@
                 LOAD_TIMEOUT_FACTOR * profile.load_s * share + LOAD_TIMEOUT_EXTRA_S
             )
             ordered = PendingOrder(holding, now_s() + timeout_s)
-            self._pending[holder.engine_id] = ordered
-            self.group.start_soon(self._watch_load, holder, ordered)
+            self._pending[engine.engine_id] = ordered
+            self.group.start_soon(self._watch_load, engine, ordered)
 
-    async def _watch_load(self, holder: EngineState, ordered: PendingOrder):
+    async def _watch_load(self, engine: EngineState, ordered: PendingOrder):
         """Publish an engine's layers as soon as a load has changed them.
 
         The engine itself reports them with its next heartbeat, up to 1.2 s later. Until
@@ -184,17 +184,17 @@
         ones.
         """
         self._record_holding(
-            holder.engine_id, _served_while_loading(holder.holding, ordered.holding)
+            engine.engine_id, _served_while_loading(engine.holding, ordered.holding)
         )
         while now_s() < ordered.until_s:
             try:
-                report = await enginecalls.get_report(holder.address)
+                report = await enginecalls.get_report(engine.address)
             except EngineCallFailed as error:
                 log.info("Can't poll an engine that loads layers: {}.", error)
                 return
             # Any other report may be older than the engine's last heartbeat.
             if report.holding == ordered.holding:
-                self._record_holding(holder.engine_id, report.holding)
+                self._record_holding(engine.engine_id, report.holding)
                 return
             await anyio.sleep(LOAD_POLL_S)
 
@@ -217,14 +217,14 @@
 
     Raises EngineCallFailed.
     """
-    holder, holding = placement
-    report = await enginecalls.get_report(holder.address)
+    engine, holding = placement
+    report = await enginecalls.get_report(engine.address)
     if report.is_loading:
         return "busy"
-    if report.holding != holder.holding:
+    if report.holding != engine.holding:
         return "changed"
     order = engines.Order(holding, fence, report.orders_begun)
-    status = await enginecalls.send_order(holder.address, order)
+    status = await enginecalls.send_order(engine.address, order)
     return {202: "begun", 200: "held", 409: "refused", 412: "old fence"}.get(
         status, f"refused: status {status}"
     )
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -165,7 +165,7 @@
     job.attempts += 1
     is_kept = False
     try:
-        job.note("sent", address=endpoint.address, engine_id=endpoint.engine_id)
+        job.log_event("sent", address=endpoint.address, engine_id=endpoint.engine_id)
         await attempts.send(job, connection, job.sending(endpoint.engine_id))
         result = await _read(job, connection, endpoint)
         is_kept = True
--- a/libs/node/src/cherryrudder/node/ratelimiter.py
+++ b/libs/node/src/cherryrudder/node/ratelimiter.py
@@ -52,11 +52,11 @@
         self.answered = anyio.Event()
 
 
-def note_answer(job: "Job", engine_id: str, facts: AnswerFacts, now_s: float) -> None:
+def record_answer(job: "Job", engine_id: str, facts: AnswerFacts, now_s: float) -> None:
     """Record the limit stated in an engine's answer, and publish a change."""
     rates = job.state.rates
     if facts.has_bad_limit:
-        job.note("engine-limit-unreadable", engine_id=engine_id)
+        job.log_event("engine-limit-unreadable", engine_id=engine_id)
     if facts.has_bad_limit and facts.limit_per_s is None:
         return
     known = rates.book.limits.get(engine_id)
@@ -64,7 +64,7 @@
         # The engine may have sent this answer before it set the limit.
         return
     if ratelimits.record_limit(rates.book, engine_id, Limit(facts.limit_per_s, now_s)):
-        job.note("engine-limit-named", True, engine_id=engine_id)
+        job.log_event("engine-limit-named", True, engine_id=engine_id)
         _log_change(job.state, engine_id, known)
         rates.publish(LimitUpdate((ReportedLimit(engine_id, facts.limit_per_s, 0.0),)))
 
--- a/libs/node/src/cherryrudder/node/request_handler.py
+++ b/libs/node/src/cherryrudder/node/request_handler.py
@@ -107,7 +107,7 @@
             await job.refuse(LEAVING)
             return
         sharedbudget.record_request(state.retry_budget, name, now_s())
-        job.note(
+        job.log_event(
             "admitted",
             route=admitted.route.name,
             version=state.version,
@@ -160,7 +160,7 @@
     if first_s is not None:
         state.metrics.first_byte_s.labels(kind).observe(first_s)
     is_failure = not job.outcome.startswith(("status 2", "client left"))
-    job.note(
+    job.log_event(
         "ended",
         is_failure,
         outcome=job.outcome,
--- a/libs/node/src/cherryrudder/node/reroute.py
+++ b/libs/node/src/cherryrudder/node/reroute.py
@@ -96,9 +96,9 @@
             chain[0].address, job.facts.request_id, chain
         )
     except EngineCallFailed as error:
-        job.note("reroute-failed", error=str(error))
+        job.log_event("reroute-failed", error=str(error))
         return 0, ""
-    job.note(
+    job.log_event(
         "reroute",
         status=status,
         is_move=is_move,
--- a/libs/node/src/cherryrudder/node/roster.py
+++ b/libs/node/src/cherryrudder/node/roster.py
@@ -14,7 +14,7 @@
 # back, and one that does come back sends heartbeats itself.
 FORGET_S = 10.0
 
-Message = TypeVar("Beat")
+Message = TypeVar("Message")
 
 
 class Peer(NamedTuple):
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -271,7 +271,7 @@
     if not chains.covers(chain, job.service.model.layers):
         # Check again: a layer left out or run twice makes every token wrong, and no
         # later step would detect it.
-        job.note("bad-chain", True, chain=[list(part) for part in chain])
+        job.log_event("bad-chain", True, chain=[list(part) for part in chain])
         return None
     stream.expected_pause_s = pace.expected_pause_s(job.service.model, chain, engines)
     return chain
@@ -300,8 +300,8 @@
     if now - state.started_s < ANNOUNCED_SHARE * state.settings.heartbeat_s:
         return None
     tokens = stream.job.facts.prompt_tokens
-    least_s = pipes.crossing_s(model, tokens, 1)
-    if not pipes.has_budget(state.pipes, least_s, state.entries, now):
+    min_s = pipes.crossing_s(model, tokens, 1)
+    if not pipes.has_budget(state.pipes, min_s, state.entries, now):
         # The search over all data centres is the most expensive part of a choice, and
         # streams that wait for room would repeat it.
         return None
@@ -312,7 +312,9 @@
     cost_s = pipes.crossing_s(model, tokens, count)
     if not pipes.try_cross(state.pipes, cost_s, state.entries, now):
         return None
-    stream.job.note("crossing", crossings=count, debt_s=round(state.pipes.debt_s, 3))
+    stream.job.log_event(
+        "crossing", crossings=count, debt_s=round(state.pipes.debt_s, 3)
+    )
     return chain
 
 
@@ -321,7 +323,7 @@
     job = stream.job
     engines = entrystate.candidates(job.state, job.service.name, now_s())
     layer, free = chains.tightest_layer(job.service.model, engines)
-    job.note(
+    job.log_event(
         "no-chain",
         reason=stream.refusal,
         tokens=stream.tokens,
--- a/libs/node/src/cherryrudder/node/streamrelay.py
+++ b/libs/node/src/cherryrudder/node/streamrelay.py
@@ -142,7 +142,7 @@
         sending = job.sending(
             first.engine_id, last_event=_last_event(stream), chain=stream.chain
         )
-        job.note(
+        job.log_event(
             "sent",
             chain=engines.write_chain(stream.chain),
             engine_id=first.engine_id,
@@ -193,7 +193,7 @@
     )
 
 
-def _note_head(stream):
+def _record_head(stream):
     """Record that the first engine has begun the request, or refused it."""
     job, now = stream.job, now_s()
     engine_id, request_id = stream.chain[0].engine_id, job.facts.request_id
@@ -209,7 +209,7 @@
     if is_broken and head_s is not None:
         update = crashes.record_broken_run(job, engine_id, stream.position(), now_s())
         stream.stalls.uplink.publish_crashes(update)
-    job.note(
+    job.log_event(
         "run-broken",
         True,
         fingerprint=job.fingerprint,
@@ -242,7 +242,7 @@
     head, facts = await attempts.read_matching_head(
         job, connection, stream.chain[0].engine_id, job.left_s()
     )
-    _note_head(stream)
+    _record_head(stream)
     if facts.is_not_run:
         await _read_rest(connection)
         _exclude_refusing(stream, head.status, facts)
@@ -333,7 +333,7 @@
 
 
 def _log_refusal(stream, head, facts):
-    stream.job.note(
+    stream.job.log_event(
         "engine-refused",
         status=head.status,
         fault_address=facts.fault_address,
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -225,9 +225,9 @@
         return own or min(aggregators.values(), default="")
 
     def _on_frames(self, peer, messages):
-        gossip.deliver(peer, messages, self._take)
+        gossip.deliver(peer, messages, self._handle)
 
-    def _take(self, message):
+    def _handle(self, message):
         match message:
             case ControlAnswer():
                 self._on_answer(message)
--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -232,8 +232,8 @@
         present = roster.live_messages(self.state.roster, now_s())
         entry = self.state.endpoints.table.entries.get(engine_id)
         vm_zone = entry.announcement.vm_zone if entry else ""
-        present.sort(key=lambda beat: (beat.vm_zone != vm_zone, beat.address))
-        asked = tuple(beat.address for beat in present[:MAX_PEERS_ASKED])
+        present.sort(key=lambda peer: (peer.vm_zone != vm_zone, peer.address))
+        asked = tuple(peer.address for peer in present[:MAX_PEERS_ASKED])
         peers = _PeerProbes(asked, {}, anyio.Event())
         self._peer_probes[engine_id] = peers
         for address in asked:
--- a/libs/node/src/cherryrudder/node/voterplanner.py
+++ b/libs/node/src/cherryrudder/node/voterplanner.py
@@ -69,8 +69,8 @@
             return Change(voters.REMOVE, learner)
     present = {member.disk_id for member in voters.members(voter_set)}
     for member in known.values():
-        is_heard = now_s - member.last_seen_s < DEAD_AFTER_S
-        if member.voter.disk_id not in present and is_heard:
+        is_live = now_s - member.last_seen_s < DEAD_AFTER_S
+        if member.voter.disk_id not in present and is_live:
             return Change(voters.ADD_LEARNER, member.voter)
     return None
 
--- a/libs/node/test/entrycase.py
+++ b/libs/node/test/entrycase.py
@@ -51,8 +51,8 @@
             (address, message)
         )
         for zone in (HOME, FAR):
-            beat = ControlStub(address=f"{zone}:1", vm_zone=zone, version=7)
-            roster.record(self.state.controls, beat.address, beat, now_s())
+            heartbeat = ControlStub(address=f"{zone}:1", vm_zone=zone, version=7)
+            roster.record(self.state.controls, heartbeat.address, heartbeat, now_s())
         for engine_id in (ENGINE, OTHER):
             announcement = an_announcement(engine_id, layers=(0, 8))
             tablesync.record_heartbeat(self.state.endpoints, announcement, now_s())
@@ -67,18 +67,20 @@
             "arrived_s": now_s(),
             "service": SimpleNamespace(name="llm"),
             "route": SimpleNamespace(objective_s=0.5),
-            "note": lambda *_, **__: None,
+            "log_event": lambda *_, **__: None,
         }
         return SimpleNamespace(**fields | changes)
 
-    def hear(self, limit_per_s=None, engine_id=ENGINE, status=200, sent_s=None, **says):
+    def record_answer(
+        self, limit_per_s=None, engine_id=ENGINE, status=200, sent_s=None, **fields
+    ):
         """Record an engine's answer with a rate limit or a backoff."""
         job = self.a_job() if sent_s is None else self.a_job(sent_s=sent_s)
-        facts = an_answer(limit_per_s, **says)
+        facts = an_answer(limit_per_s, **fields)
         backpressure.record_answer(job, engine_id, status, facts, now_s())
 
     def grant(self, permits=1, next_s=0.0, wait_s=0.0, engine_id=ENGINE):
-        self.uplink._take(PermitGrant(engine_id, Grant(permits, next_s, wait_s)))
+        self.uplink._handle(PermitGrant(engine_id, Grant(permits, next_s, wait_s)))
 
     def may_begin(self, engine_id=ENGINE):
         return backpressure.may_begin(self.state, engine_id, now_s())
--- a/libs/node/test/test_adminapi.py
+++ b/libs/node/test/test_adminapi.py
@@ -13,7 +13,7 @@
 ENDED = tuple(Crash(f"e{n}", "a", "v1", 2, 10.0) for n in range(3))
 
 
-class SurfaceTest(unittest.TestCase):
+class AdminApiTest(unittest.TestCase):
     def setUp(self):
         piped = PipedSink()
         self.addCleanup(piped.close)
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -18,7 +18,7 @@
 
     def back_off(self, *engine_ids, backoff_s=3):
         for engine_id in engine_ids:
-            self.hear(engine_id=engine_id, status=503, backoff_s=backoff_s)
+            self.record_answer(engine_id=engine_id, status=503, backoff_s=backoff_s)
 
     def test_an_engine_in_backoff_gets_no_stream(self):
         self.back_off(ENGINE)
@@ -30,12 +30,12 @@
         self.assertLess(found[OTHER], float("inf"))
 
     def test_the_engine_named_as_at_fault_is_in_backoff_too(self):
-        self.hear(status=503, backoff_s=3.0, fault_address=f"{OTHER}:80")
+        self.record_answer(status=503, backoff_s=3.0, fault_address=f"{OTHER}:80")
         self.assertFalse(self.may_begin(ENGINE))
         self.assertFalse(self.may_begin(OTHER))
 
     def test_retry_after_in_a_success_starts_no_backoff(self):
-        self.hear(backoff_s=3)
+        self.record_answer(backoff_s=3)
         self.assertTrue(self.may_begin())
 
     def test_a_missing_or_zero_retry_after_starts_no_backoff(self):
@@ -49,7 +49,7 @@
         self.assertTrue(self.may_begin())
         backpressure.record_request(self.state, ENGINE, now_s())
         self.assertFalse(self.may_begin())
-        self.hear(status=200)
+        self.record_answer(status=200)
         self.assertTrue(self.may_begin())
 
     def test_a_request_goes_to_an_endpoint_without_backoff(self):
@@ -105,7 +105,7 @@
 
     def is_too_long(self, backoff_s, **changes):
         for engine_id in (ENGINE, OTHER):
-            self.hear(engine_id=engine_id, status=503, backoff_s=backoff_s)
+            self.record_answer(engine_id=engine_id, status=503, backoff_s=backoff_s)
         return streamchains._is_backoff_too_long(self.a_stream(**changes), now_s())
 
     def test_a_stream_does_not_wait_for_a_long_backoff(self):
@@ -122,14 +122,14 @@
         return streamchains._refusal(stream, engines, now_s())
 
     def test_the_reason_is_a_limit_only_if_no_engine_is_without_limit(self):
-        self.hear(2.5, engine_id=ENGINE)
+        self.record_answer(2.5, engine_id=ENGINE)
         self.assertEqual(self.refusal(), streamchains.NO_ROOM)
-        self.hear(engine_id=OTHER, status=503, backoff_s=3)
+        self.record_answer(engine_id=OTHER, status=503, backoff_s=3)
         self.assertEqual(self.refusal(), streamchains.LIMITED)
 
     def test_the_reason_is_backoff_if_all_engines_back_off(self):
         for engine_id in (ENGINE, OTHER):
-            self.hear(engine_id=engine_id, status=503, backoff_s=3)
+            self.record_answer(engine_id=engine_id, status=503, backoff_s=3)
         self.assertEqual(self.refusal(), streamchains.BACKING_OFF)
 
     def test_an_answer_that_has_begun_waits_in_any_case(self):
--- a/libs/node/test/test_crashes.py
+++ b/libs/node/test/test_crashes.py
@@ -184,13 +184,13 @@
         job.attempts = 0
         job.left_s = lambda: 10.0
         job.sending = lambda *_, **fields: SimpleNamespace(**fields)
-        job.note = lambda *_, **__: None
+        job.log_event = lambda *_, **__: None
         stalls = SimpleNamespace(uplink=self.uplink)
         stream = Stream(job, SimpleNamespace(stalls=stalls, streams=set()))
         stream.chain = chain
 
         async def relay(stream, connection):
-            streamrelay._note_head(stream)
+            streamrelay._record_head(stream)
             await reroute.replace_lost(stream, connection, {lost})
             raise AnswerBroken("the connection was closed")
 
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -29,7 +29,7 @@
 REPORT = Report(0, False, 0, 0, 0.0, 0.0, 1.0, (0, 8), ())
 ENGINE = "boot-1"
 # The time after which an ended engine has missed enough heartbeats.
-UNHEARD_S = verification.MISSED_HEARTBEATS * some_settings().heartbeat_s
+MAX_SILENCE_S = verification.MISSED_HEARTBEATS * some_settings().heartbeat_s
 # Control VMs by the last number of their address, and their data centres.
 NEAR, ALSO_NEAR, FAR = "10.0.0.1", "10.0.0.2", "10.0.1.1"
 ZONES = {NEAR: "a", ALSO_NEAR: "a", FAR: "b"}
@@ -173,34 +173,34 @@
     over the same full links.
     """
 
-    def run_scenario(self, unheard_s, is_leading=True, sees_later=False):
+    def run_scenario(self, silence_s, is_leading=True, sees_later=False):
         scenario = Scenario(self, {NEAR: False, ALSO_NEAR: False})
 
         def after():
             scenario.sees[NEAR] = sees_later
             scenario.controls[NEAR].is_leader = lambda: is_leading
             for verifier in scenario.verifiers.values():
-                verifier.review(now_s() + unheard_s)
+                verifier.review(now_s() + silence_s)
 
         return scenario, scenario.run(after=after)
 
     def test_it_is_avoided_at_once_and_counts_until_heartbeats_are_missed(self):
-        scenario, messages = self.run_scenario(unheard_s=0.0)
+        scenario, messages = self.run_scenario(silence_s=0.0)
         self.assertEqual(messages, [DeathNotice(ENGINE)])
         self.assertTrue(scenario.counts())
 
     def test_it_has_ended_after_missed_heartbeats(self):
-        scenario, messages = self.run_scenario(UNHEARD_S + 0.1)
+        scenario, messages = self.run_scenario(MAX_SILENCE_S + 0.1)
         self.assertEqual(messages, [DeathNotice(ENGINE), DeathConfirmation(ENGINE)])
         self.assertFalse(scenario.counts())
 
     def test_only_the_leader_confirms_a_death(self):
-        scenario, messages = self.run_scenario(UNHEARD_S + 0.1, is_leading=False)
+        scenario, messages = self.run_scenario(MAX_SILENCE_S + 0.1, is_leading=False)
         self.assertEqual(messages, [DeathNotice(ENGINE)])
         self.assertTrue(scenario.counts())
 
     def test_an_engine_that_answers_later_has_not_ended(self):
-        scenario, messages = self.run_scenario(UNHEARD_S + 0.1, sees_later=True)
+        scenario, messages = self.run_scenario(MAX_SILENCE_S + 0.1, sees_later=True)
         self.assertEqual(messages, [DeathNotice(ENGINE), Refutation(ENGINE)])
         self.assertTrue(scenario.counts())
         self.assertEqual(scenario.controls[NEAR].suspected_s, {})
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -34,36 +34,36 @@
         return ratelimits.limit_of(self.state.rates.book, ENGINE)
 
     def test_one_control_vm_of_each_data_centre_gets_the_limit(self):
-        self.hear(2.5)
+        self.record_answer(2.5)
         sent = [(address, type(message)) for address, message in self.sent]
         self.assertEqual(sent, [("a:1", LimitUpdate), ("b:1", LimitUpdate)])
-        self.hear(2.5)
+        self.record_answer(2.5)
         self.assertEqual(len(self.sent), 2)
 
     def test_an_entry_keeps_a_reported_limit(self):
-        self.uplink._take(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.1),)))
+        self.uplink._handle(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.1),)))
         self.assertFalse(self.may_begin())
         self.assertTrue(self.may_begin(OTHER))
 
     def test_a_later_answer_without_a_limit_removes_it(self):
-        self.hear(2.5)
-        self.hear()
+        self.record_answer(2.5)
+        self.record_answer()
         self.assertTrue(self.may_begin())
         self.assertIsNone(self.sent[-1][1].limits[0].per_s)
 
     def test_an_answer_to_an_older_request_removes_nothing(self):
         sent_s = now_s()
-        self.hear(2.5)
-        self.hear(sent_s=sent_s)
+        self.record_answer(2.5)
+        self.record_answer(sent_s=sent_s)
         self.assertEqual(self.limit(), 2.5)
 
     def test_an_unreadable_limit_changes_nothing(self):
-        self.hear(2.5)
-        self.hear(has_bad_limit=True)
+        self.record_answer(2.5)
+        self.record_answer(has_bad_limit=True)
         self.assertEqual(self.limit(), 2.5)
 
     def test_it_ends_with_the_incarnation(self):
-        self.hear(2.5)
+        self.record_answer(2.5)
         ratelimiter.sweep(self.state.rates, {OTHER}, now_s())
         self.assertTrue(self.may_begin())
 
@@ -71,7 +71,7 @@
 class PermitTest(EntryCase):
     def setUp(self):
         super().setUp()
-        self.hear(2.5)
+        self.record_answer(2.5)
         self.sent.clear()
 
     def firsts(self):
@@ -126,12 +126,12 @@
         return anyio.run(plainrelay._choose, self.a_job(**changes), set())
 
     def test_the_other_endpoint_is_chosen(self):
-        self.hear(2.5)
+        self.record_answer(2.5)
         self.assertEqual(self.choose().engine_id, OTHER)
 
     def test_without_a_permit_the_refusal_has_the_time_until_the_next(self):
         for engine_id in (ENGINE, OTHER):
-            self.hear(0.1, engine_id=engine_id)
+            self.record_answer(0.1, engine_id=engine_id)
             self.grant(permits=0, next_s=9.0, wait_s=9.0, engine_id=engine_id)
         failed = self.choose()
         self.assertTrue(failed.is_not_run)
@@ -139,7 +139,7 @@
 
     def test_it_waits_for_a_permit_that_comes_in_time(self):
         for engine_id in (ENGINE, OTHER):
-            self.hear(5, engine_id=engine_id)
+            self.record_answer(5, engine_id=engine_id)
             self.grant(permits=0, next_s=0.1, wait_s=0.1, engine_id=engine_id)
 
         async def scenario():
--- a/libs/node/test/test_streamchains.py
+++ b/libs/node/test/test_streamchains.py
@@ -236,7 +236,7 @@
         stream = a_stream(state, None)
         stream.job.service.model = a_model(16)
         stream.job.facts.prompt_tokens = 800
-        stream.job.note = lambda *_, **__: None
+        stream.job.log_event = lambda *_, **__: None
         return streamchains._choose(stream), stream.refusal
 
     def test_no_chain_crosses_before_all_engines_could_announce_themselves(self):
--- a/libs/node/test/test_streamrelay.py
+++ b/libs/node/test/test_streamrelay.py
@@ -87,7 +87,7 @@
             end_s=now_s() + 60.0,
             client_leaves_s=lambda: now_s() + 30.0,
             left_s=lambda: 60.0,
-            note=lambda *_, **__: None,
+            log_event=lambda *_, **__: None,
             fail=mock.AsyncMock(),
             outcome="cut",
         )
--- a/libs/node/test/test_verification.py
+++ b/libs/node/test/test_verification.py
@@ -57,13 +57,13 @@
 
         async def scenario():
             async with anyio.create_task_group() as group:
-                beats = ControlGossip(state, group)
-                beats.links.send = lambda address, message: sent.append(
+                gossip = ControlGossip(state, group)
+                gossip.links.send = lambda address, message: sent.append(
                     (address, message)
                 )
                 for _ in range(times):
                     for reporter in reporters:
-                        beats._on_frames("", [SuspicionReport("boot-1", reporter)])
+                        gossip._on_frames("", [SuspicionReport("boot-1", reporter)])
 
         kept = enginecalls.get_report
         enginecalls.get_report = get_report
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -100,9 +100,9 @@
     table.entries[received.engine_id] = TableEntry(
         received, now_s, _has_ended(received)
     )
-    is_news = received._replace(number=0) != known.announcement._replace(number=0)
-    table.version += is_news
-    return is_news
+    is_changed = received._replace(number=0) != known.announcement._replace(number=0)
+    table.version += is_changed
+    return is_changed
 
 
 def has_leaving_notice(announcement: Announcement) -> bool:
@@ -236,8 +236,8 @@
     if known is not None and known.is_gone:
         return False
     # Heartbeats of an endpoint that is not known yet may still be in flight.
-    unheard = Announcement(engine_id, "", "", "", "", 0, 0)
-    announcement = known.announcement if known else unheard
+    unknown = Announcement(engine_id, "", "", "", "", 0, 0)
+    announcement = known.announcement if known else unknown
     table.entries[engine_id] = _gone_entry(announcement, now_s)
     table.version += 1
     return True
@@ -257,12 +257,12 @@
     if received.is_gone:
         return record_departure(table, engine_id, now_s)
     known = table.entries.get(engine_id)
-    is_news = record_heartbeat(table, received.announcement, now_s - age_s)
+    is_changed = record_heartbeat(table, received.announcement, now_s - age_s)
     known_later = known is not None and known.last_seen_s > now_s - age_s
     if known_later and not table.entries[engine_id].is_gone:
         entry = table.entries[engine_id]
         table.entries[engine_id] = entry._replace(last_seen_s=known.last_seen_s)
-    return is_news
+    return is_changed
 
 
 def sweep(table: EndpointTable, now_s: float) -> list[str]:
--- a/libs/routing/src/cherryrudder/routing/slowness.py
+++ b/libs/routing/src/cherryrudder/routing/slowness.py
@@ -51,5 +51,5 @@
 def sweep(book: SlownessBook, now_s: float) -> None:
     """Drop expired reports."""
     book.reports = {
-        name: told for name, told in book.reports.items() if now_s < told.until_s
+        name: report for name, report in book.reports.items() if now_s < report.until_s
     }
--- a/libs/routing/src/cherryrudder/routing/suspicion.py
+++ b/libs/routing/src/cherryrudder/routing/suspicion.py
@@ -81,20 +81,20 @@
 def record_report(suspicions: Suspicions, engine_id: str, now_s: float) -> bool:
     """Record that other processes had no answer; return whether this ejects it."""
     record = suspicions.records.get(engine_id)
-    is_news = record is None or now_s >= record.ejected_until_s
-    if is_news:
+    is_newly_ejected = record is None or now_s >= record.ejected_until_s
+    if is_newly_ejected:
         record_failure(suspicions, engine_id, now_s)
-    return is_news
+    return is_newly_ejected
 
 
 def record_confirmed_death(
     suspicions: Suspicions, engine_id: str, now_s: float
 ) -> bool:
     """Record that an endpoint has certainly ended; return whether this ejects it."""
-    is_news = record_report(suspicions, engine_id, now_s)
+    is_newly_ejected = record_report(suspicions, engine_id, now_s)
     record = suspicions.records[engine_id]
     suspicions.records[engine_id] = record._replace(is_confirmed=True)
-    return is_news
+    return is_newly_ejected
 
 
 def is_certainly_dead(
--- a/libs/routing/test/test_crashbook.py
+++ b/libs/routing/test/test_crashbook.py
@@ -19,16 +19,16 @@
     def test_any_order_gives_the_same_blocks(self, seed):
         """Guards against entries that disagree on which requests are blocked."""
         rng = random.Random(seed)
-        heard = []
+        received = []
         for fingerprint in "fgh":
             for number in rng.sample(range(6), rng.randrange(6)):
                 record = a_record(f"e{number}", rng.randrange(12))
-                heard.append((fingerprint, record))
+                received.append((fingerprint, record))
         blocks = []
         for _ in range(3):
-            rng.shuffle(heard)
+            rng.shuffle(received)
             book = CrashBook("boot-1")
-            for fingerprint, record in [*heard, *heard[:4]]:
+            for fingerprint, record in [*received, *received[:4]]:
                 crashbook.merge(book, fingerprint, record)
             blame.update_blocks(book, 5.0)
             blocks.append(set(book.blocks))
--- a/libs/routing/test/test_endpoints.py
+++ b/libs/routing/test/test_endpoints.py
@@ -123,14 +123,14 @@
     def setUp(self):
         self.table = EndpointTable()
         endpoints.record_heartbeat(self.table, an_announcement(number=2), 0.0)
-        self.is_news = endpoints.record_leaving(self.table, "boot-1", 0.5)
+        self.is_new = endpoints.record_leaving(self.table, "boot-1", 0.5)
 
     def takes_work(self):
         announcement = self.table.entries["boot-1"].announcement
         return endpoints.accepts_requests(announcement)
 
     def test_it_is_there_without_new_work(self):
-        self.assertTrue(self.is_news)
+        self.assertTrue(self.is_new)
         self.assertFalse(endpoints.record_leaving(self.table, "boot-1", 0.6))
         self.assertEqual(known(self.table, 1.0), {"boot-1"})
         self.assertFalse(self.takes_work())
@@ -217,17 +217,17 @@
             max_size=10,
         )
     )
-    def test_any_history_ends_like_a_table_that_is_told_the_truth(self, events):
-        """The truth: the newest boot that was heard, unless its departure was."""
+    def test_any_history_ends_like_a_table_that_merged_the_true_state(self, events):
+        """True state: the newest boot with a heartbeat, unless it has departed."""
         table = EndpointTable()
         for started_ms, number, kind in events:
             if kind == "d":
                 endpoints.record_departure(table, f"e@{started_ms}", 0.0)
             else:
                 endpoints.record_heartbeat(table, self.boot(started_ms, number), 0.0)
-        heard = [e[0] for e in events if e[2] != "d"]
+        announced = [e[0] for e in events if e[2] != "d"]
         departed = {e[0] for e in events if e[2] == "d"}
-        newest = max(heard, default=None)
+        newest = max(announced, default=None)
         is_there = newest is not None and newest not in departed
         self.assertEqual(known(table), {f"e@{newest}"} if is_there else set())
 
@@ -265,7 +265,7 @@
     st.tuples(
         st.sampled_from(["boot-1", "boot-2"]),
         st.integers(1, 5),
-        st.sampled_from(["hear", "leave", "depart"]),
+        st.sampled_from(["heartbeat", "leave", "depart"]),
     ),
     max_size=8,
 )
@@ -279,14 +279,14 @@
             endpoints.record_departure(table, engine_id, 0.0)
         else:
             layers = (0, number)
-            heard = an_announcement(
+            announcement = an_announcement(
                 engine_id,
                 2 * number,
                 layers,
                 address=engine_id,
                 is_leaving=kind == "leave",
             )
-            endpoints.record_heartbeat(table, heard, 0.0)
+            endpoints.record_heartbeat(table, announcement, 0.0)
     return table
 
 
--- a/libs/routing/test/test_ratelimits.py
+++ b/libs/routing/test/test_ratelimits.py
@@ -9,9 +9,11 @@
         self.book = LimitBook()
 
     def test_only_a_changed_limit_is_reported(self):
-        said = [(2.5, 1.0), (2.5, 2.0), (3.0, 3.0), (None, 4.0), (None, 5.0)]
-        news = [ratelimits.record_limit(self.book, "e", Limit(*one)) for one in said]
-        self.assertEqual(news, [True, False, True, True, False])
+        statements = [(2.5, 1.0), (2.5, 2.0), (3.0, 3.0), (None, 4.0), (None, 5.0)]
+        changes = [
+            ratelimits.record_limit(self.book, "e", Limit(*one)) for one in statements
+        ]
+        self.assertEqual(changes, [True, False, True, True, False])
         self.assertIsNone(ratelimits.limit_of(self.book, "e"))
 
     def test_the_newest_statement_counts_in_any_order(self):
--- a/libs/routing/test/test_suspicion.py
+++ b/libs/routing/test/test_suspicion.py
@@ -14,8 +14,8 @@
         self.suspicions = Suspicions()
         suspicion.record_failure(self.suspicions, "boot", 10.0)
 
-    def is_ejected(self, heard_s, now_s):
-        return suspicion.is_ejected(self.suspicions, "boot", heard_s, now_s)
+    def is_ejected(self, last_seen_s, now_s):
+        return suspicion.is_ejected(self.suspicions, "boot", last_seen_s, now_s)
 
     def test_ejection_lasts_until_the_next_heartbeat(self):
         self.assertTrue(self.is_ejected(9.0, 10.0))
