--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -56,9 +56,9 @@
     """Back off from the engine that answered, and from the one named as at fault."""
     state, backoff_s = job.state, facts.retry_after_s
     backoffs.start(state.backoffs, engine_id, backoff_s, now_s)
-    named = entrystate.engine_at(state, facts.fault_address, now_s)
-    if named is not None:
-        backoffs.start(state.backoffs, named.engine_id, backoff_s, now_s)
+    at_fault = entrystate.engine_at(state, facts.fault_address, now_s)
+    if at_fault is not None:
+        backoffs.start(state.backoffs, at_fault.engine_id, backoff_s, now_s)
     state.metrics.beliefs.labels("engine-backoff").inc()
     job.log_event(
         "engine-backoff",
@@ -69,7 +69,7 @@
     )
 
 
-def may_begin(state: "EntryState", engine_id: str, now_s: float) -> bool:
+def may_send(state: "EntryState", engine_id: str, now_s: float) -> bool:
     """Return whether a request may be sent to an engine now.
 
     This runs for each engine at each choice, so engines without a limit or backoff are
@@ -79,7 +79,7 @@
         if not backoffs.may_send(state.backoffs, engine_id, now_s):
             return False
     if engine_id in state.rates.book.limits:
-        return ratelimiter.may_begin(state, engine_id, now_s)
+        return ratelimiter.may_send(state, engine_id, now_s)
     return True
 
 
--- a/libs/node/src/cherryrudder/node/control.py
+++ b/libs/node/src/cherryrudder/node/control.py
@@ -16,7 +16,7 @@
 
 # How long a stopping process waits for its leadership to be transferred, and for calls
 # in flight to end. The platform allows eight seconds.
-HANDOVER_WAIT_S = 0.3
+TRANSFER_WAIT_S = 0.3
 DRAIN_TIMEOUT_S = 2.0
 
 
@@ -50,7 +50,7 @@
 async def _stop(state, server):
     server.is_closing = True
     voterrunner.transfer_leadership(state)
-    await anyio.sleep(HANDOVER_WAIT_S)
+    await anyio.sleep(TRANSFER_WAIT_S)
     with anyio.move_on_after(DRAIN_TIMEOUT_S):
         while server.busy():
             await anyio.sleep(0.02)
--- a/libs/node/src/cherryrudder/node/crashsync.py
+++ b/libs/node/src/cherryrudder/node/crashsync.py
@@ -80,7 +80,7 @@
     return tuple(_write(one, book.records[one], now_s) for one in known)
 
 
-def forget(positions: PeerPositions, present: set[str]) -> None:
+def prune(positions: PeerPositions, present: set[str]) -> None:
     """Drop the positions of processes that are gone."""
     for kept in (positions.followed, positions.acked):
         for address in set(kept) - present:
--- a/libs/node/src/cherryrudder/node/crashtracker.py
+++ b/libs/node/src/cherryrudder/node/crashtracker.py
@@ -93,7 +93,7 @@
         if self.book.records:
             crashbook.prune(self.book, now_s)
             self._refresh(now_s)
-        crashsync.forget(self.positions, present)
+        crashsync.prune(self.positions, present)
 
     def _refresh_if_relevant(self, changed, now_s):
         """Update the blocks if a changed request is suspect or has several crashes."""
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -99,7 +99,7 @@
         self.firsts: dict[str, int] = {}
         # Tokens of this entry's prompts without any event yet, by engine address.
         self.unread: dict[str, int] = {}
-        self.other_load = PeerLoad()
+        self.peer_load = PeerLoad()
         # Number of other entries that serve the same data centre.
         self.peers = INITIAL_PEERS
         self.started_s = now_s()
@@ -169,7 +169,7 @@
 def record_report_sent(state: EntryState) -> None:
     """Record this entry's load at the time when it is sent to the others."""
     own = {address: _own(state, address) for address in state.running}
-    peerload.record_report_sent(state.other_load, own)
+    peerload.record_report_sent(state.peer_load, own)
 
 
 def update_peer_load(
@@ -177,7 +177,7 @@
 ) -> None:
     """Update the other entries' load and the number of entries nearby."""
     reported = {one.address: Load(*one[1:]) for one in usages}
-    peerload.update_reported(state.other_load, reported)
+    peerload.update_reported(state.peer_load, reported)
     is_new = now_s - state.started_s < STARTUP_S
     min_peers = INITIAL_PEERS if is_new else 0.0
     state.peers = max(min_peers, state.entries / max(1, data_centres) - 1)
@@ -232,7 +232,7 @@
     entry = state.endpoints.table.entries.get(engine_id)
     if entry is None or entry.is_gone:
         return True
-    return suspicion.is_certainly_dead(state.suspicions, engine_id, entry.last_seen_s)
+    return suspicion.is_confirmed_dead(state.suspicions, engine_id, entry.last_seen_s)
 
 
 def engine_name(state: EntryState, engine_id: str) -> str:
@@ -249,10 +249,10 @@
 def _candidate(state, announcement, now):
     address = announcement.address
     own = _own(state, address)
-    others = peerload.estimate(state.other_load, address, own, state.peers)
+    others = peerload.estimate(state.peer_load, address, own, state.peers)
     is_barred = hangs.is_ejected(
         state.hangs, announcement.engine_id, now
-    ) or not backpressure.may_begin(state, announcement.engine_id, now)
+    ) or not backpressure.may_send(state, announcement.engine_id, now)
     is_full = now < state.full_until_s.get(address, 0.0) or backoffs.is_active(
         state.backoffs, announcement.engine_id, now
     )
--- a/libs/node/src/cherryrudder/node/permitissuer.py
+++ b/libs/node/src/cherryrudder/node/permitissuer.py
@@ -68,8 +68,8 @@
         self._issuers = {e: one for e, one in self._issuers.items() if e in limited}
 
     def _record_limit(self, one, now_s):
-        said = Limit(one.per_s, now_s - one.age_s)
-        if not ratelimits.record_limit(self.book, one.engine_id, said):
+        stated = Limit(one.per_s, now_s - one.age_s)
+        if not ratelimits.record_limit(self.book, one.engine_id, stated):
             return False
         self.state.sink.write(
             "rates",
--- a/libs/node/src/cherryrudder/node/plainrelay.py
+++ b/libs/node/src/cherryrudder/node/plainrelay.py
@@ -103,7 +103,7 @@
     if not backoffs.may_send(state.backoffs, engine_id, now_s()):
         return False
     await ratelimiter.acquire(state, [engine_id])
-    return backpressure.may_begin(state, engine_id, now_s())
+    return backpressure.may_send(state, engine_id, now_s())
 
 
 def _pick(job, excluded):
@@ -114,7 +114,7 @@
         endpoint.engine_id
         for endpoint in endpoints
         if endpoint.vm_zone != home_zone
-        and not backpressure.may_begin(state, endpoint.engine_id, now)
+        and not backpressure.may_send(state, endpoint.engine_id, now)
     }
     endpoint = picking.pick(endpoints, home_zone, excluded | far, state.rng)
     return endpoint or picking.pick(endpoints, home_zone, excluded, state.rng)
--- a/libs/node/src/cherryrudder/node/ratelimiter.py
+++ b/libs/node/src/cherryrudder/node/ratelimiter.py
@@ -76,8 +76,8 @@
     book = state.rates.book
     for one in reported:
         known = book.limits.get(one.engine_id)
-        said = Limit(one.per_s, now_s - one.age_s)
-        if ratelimits.record_limit(book, one.engine_id, said):
+        stated = Limit(one.per_s, now_s - one.age_s)
+        if ratelimits.record_limit(book, one.engine_id, stated):
             _log_change(state, one.engine_id, known)
 
 
@@ -107,8 +107,8 @@
     rates.holders = {e: h for e, h in rates.holders.items() if e in rates.book.limits}
 
 
-def may_begin(state: "EntryState", engine_id: str, now_s: float) -> bool:
-    """Return whether a request may begin at an engine now."""
+def may_send(state: "EntryState", engine_id: str, now_s: float) -> bool:
+    """Return whether a request may be sent to an engine now."""
     limit_per_s = ratelimits.limit_of(state.rates.book, engine_id)
     if limit_per_s is None:
         return True
@@ -133,20 +133,20 @@
             continue
         permits.record_request(holder, now_s)
         limit = rates.book.limits[engine_id]
-        named = ReportedLimit(engine_id, limit.per_s, now_s - limit.stated_s)
-        rates.send_request(PermitRequest(state.address, named, 1))
+        reported = ReportedLimit(engine_id, limit.per_s, now_s - limit.stated_s)
+        rates.send_request(PermitRequest(state.address, reported, 1))
 
 
 async def acquire(state: "EntryState", engine_ids: Collection[str]) -> None:
     """Request a permit for each engine, and wait up to PERMIT_TIMEOUT_S for answers."""
     rates, asked_s = state.rates, now_s()
-    needed = [e for e in engine_ids if not may_begin(state, e, asked_s)]
+    needed = [e for e in engine_ids if not may_send(state, e, asked_s)]
     if not needed:
         return
     request_permits(state, needed, asked_s)
 
     def is_pending(engine_id):
-        if may_begin(state, engine_id, now_s()):
+        if may_send(state, engine_id, now_s()):
             return False
         return permits.is_pending(_holder(rates, engine_id), now_s())
 
--- a/libs/node/src/cherryrudder/node/roster.py
+++ b/libs/node/src/cherryrudder/node/roster.py
@@ -12,7 +12,7 @@
 LIVE_S = 3.0
 # After this time it isn't sent heartbeats any more: a replaced machine never comes
 # back, and one that does come back sends heartbeats itself.
-FORGET_S = 10.0
+DROP_AFTER_S = 10.0
 
 Message = TypeVar("Message")
 
@@ -60,7 +60,7 @@
 
 def heartbeat_targets(roster: Roster, now_s: float) -> list[str]:
     """Return the addresses to send heartbeats to: peers, reported ones and seeds."""
-    known = [a for a, k in roster.peers.items() if now_s - k.last_seen_s < FORGET_S]
+    known = [a for a, k in roster.peers.items() if now_s - k.last_seen_s < DROP_AFTER_S]
     reported = [
         a for a, reported_s in roster.reported_s.items() if now_s - reported_s < LIVE_S
     ]
@@ -88,7 +88,7 @@
 
 def sweep(roster: Roster, now_s: float) -> list[str]:
     """Drop peers and reported addresses that timed out; return the lost peers."""
-    gone = [a for a, k in roster.peers.items() if now_s - k.last_seen_s > FORGET_S]
+    gone = [a for a, k in roster.peers.items() if now_s - k.last_seen_s > DROP_AFTER_S]
     for address in gone:
         del roster.peers[address]
     for address, reported_s in list(roster.reported_s.items()):
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -90,7 +90,7 @@
         one.engine_id
         for one in _first_engines(stream, now)
         if vm_zone in ("", one.vm_zone)
-        and not ratelimiter.may_begin(state, one.engine_id, now)
+        and not ratelimiter.may_send(state, one.engine_id, now)
         and not backoffs.is_active(state.backoffs, one.engine_id, now)
     ]
 
@@ -115,8 +115,8 @@
     if not state.backoffs.backoffs and not state.rates.book.limits:
         return False
     firsts = _first_engines(stream, now)
-    may_begin = (backpressure.may_begin(state, one.engine_id, now) for one in firsts)
-    return bool(firsts) and not any(may_begin)
+    may_send = (backpressure.may_send(state, one.engine_id, now) for one in firsts)
+    return bool(firsts) and not any(may_send)
 
 
 def _is_backoff_too_long(stream, now):
@@ -244,7 +244,7 @@
         for part in kept.chain
     ):
         return None
-    if not backpressure.may_begin(stream.job.state, kept.chain[0].engine_id, now):
+    if not backpressure.may_send(stream.job.state, kept.chain[0].engine_id, now):
         return None
     stream.expected_pause_s = kept.expected_pause_s
     return kept.chain
--- a/libs/node/test/entrycase.py
+++ b/libs/node/test/entrycase.py
@@ -82,5 +82,5 @@
     def grant(self, permits=1, next_s=0.0, wait_s=0.0, engine_id=ENGINE):
         self.uplink._handle(PermitGrant(engine_id, Grant(permits, next_s, wait_s)))
 
-    def may_begin(self, engine_id=ENGINE):
-        return backpressure.may_begin(self.state, engine_id, now_s())
+    def may_send(self, engine_id=ENGINE):
+        return backpressure.may_send(self.state, engine_id, now_s())
--- a/libs/node/test/test_backpressure.py
+++ b/libs/node/test/test_backpressure.py
@@ -31,26 +31,26 @@
 
     def test_the_engine_named_as_at_fault_is_in_backoff_too(self):
         self.record_answer(status=503, backoff_s=3.0, fault_address=f"{OTHER}:80")
-        self.assertFalse(self.may_begin(ENGINE))
-        self.assertFalse(self.may_begin(OTHER))
+        self.assertFalse(self.may_send(ENGINE))
+        self.assertFalse(self.may_send(OTHER))
 
     def test_retry_after_in_a_success_starts_no_backoff(self):
         self.record_answer(backoff_s=3)
-        self.assertTrue(self.may_begin())
+        self.assertTrue(self.may_send())
 
     def test_a_missing_or_zero_retry_after_starts_no_backoff(self):
         for backoff_s in (None, 0.0):
             self.back_off(ENGINE, backoff_s=backoff_s)
-        self.assertTrue(self.may_begin())
+        self.assertTrue(self.may_send())
 
     def test_after_a_backoff_one_probe_request_must_succeed_first(self):
         self.back_off(ENGINE, backoff_s=0.01)
         anyio.run(anyio.sleep, 0.02)
-        self.assertTrue(self.may_begin())
+        self.assertTrue(self.may_send())
         backpressure.record_request(self.state, ENGINE, now_s())
-        self.assertFalse(self.may_begin())
+        self.assertFalse(self.may_send())
         self.record_answer(status=200)
-        self.assertTrue(self.may_begin())
+        self.assertTrue(self.may_send())
 
     def test_a_request_goes_to_an_endpoint_without_backoff(self):
         self.back_off(ENGINE)
--- a/libs/node/test/test_disagreement.py
+++ b/libs/node/test/test_disagreement.py
@@ -246,7 +246,7 @@
         self.assertEqual((report, len(calls)), (REPORT, 2))
 
 
-class JudgeTest(unittest.TestCase):
+class DecideVerdictTest(unittest.TestCase):
     def test_every_combination_of_probe_results(self):
         dead, lives, unclear = Verdict.DEAD, Verdict.LIVES, Verdict.UNCLEAR
         cases = {
--- a/libs/node/test/test_entrystate.py
+++ b/libs/node/test/test_entrystate.py
@@ -24,7 +24,7 @@
     def others_seen(self):
         """Return the estimated load of the others once this entry has sent ten."""
         own = Load(10.0, 9000.0, 10.0)
-        others = self.state.other_load
+        others = self.state.peer_load
         return peerload.estimate(others, "e:1", own, self.state.peers)
 
     def test_before_any_report_the_others_are_assumed_to_send_as_much(self):
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -42,13 +42,13 @@
 
     def test_an_entry_keeps_a_reported_limit(self):
         self.uplink._handle(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.1),)))
-        self.assertFalse(self.may_begin())
-        self.assertTrue(self.may_begin(OTHER))
+        self.assertFalse(self.may_send())
+        self.assertTrue(self.may_send(OTHER))
 
     def test_a_later_answer_without_a_limit_removes_it(self):
         self.record_answer(2.5)
         self.record_answer()
-        self.assertTrue(self.may_begin())
+        self.assertTrue(self.may_send())
         self.assertIsNone(self.sent[-1][1].limits[0].per_s)
 
     def test_an_answer_to_an_older_request_removes_nothing(self):
@@ -65,7 +65,7 @@
     def test_it_ends_with_the_incarnation(self):
         self.record_answer(2.5)
         ratelimiter.sweep(self.state.rates, {OTHER}, now_s())
-        self.assertTrue(self.may_begin())
+        self.assertTrue(self.may_send())
 
 
 class PermitTest(EntryCase):
@@ -87,7 +87,7 @@
     def test_a_permit_is_for_one_request(self):
         self.grant()
         backpressure.record_request(self.state, ENGINE, now_s())
-        self.assertFalse(self.may_begin())
+        self.assertFalse(self.may_send())
 
     def test_the_control_vm_of_its_data_centre_is_asked(self):
         ratelimiter.request_permits(self.state, [ENGINE], now_s())
@@ -105,7 +105,7 @@
                 group.start_soon(ratelimiter.acquire, self.state, [ENGINE])
                 await anyio.sleep(0.005)
                 self.grant()
-            return self.may_begin()
+            return self.may_send()
 
         self.assertTrue(anyio.run(scenario))
 
@@ -115,7 +115,7 @@
                 await ratelimiter.acquire(self.state, [ENGINE])
 
         anyio.run(scenario)
-        self.assertFalse(self.may_begin())
+        self.assertFalse(self.may_send())
         self.assertIn('"event":"permit-unanswered"', self.piped.text())
 
 
--- a/libs/node/test/test_roster.py
+++ b/libs/node/test/test_roster.py
@@ -30,7 +30,7 @@
         known = Roster("own")
         roster.record(known, "a", "message", 0.0)
         self.assertEqual(roster.sweep(known, 1.0), [])
-        self.assertEqual(roster.sweep(known, roster.FORGET_S + 1), ["a"])
+        self.assertEqual(roster.sweep(known, roster.DROP_AFTER_S + 1), ["a"])
 
     def test_the_mean_age_is_of_the_other_live_peers(self):
         known = Roster("own")
--- a/libs/policy/src/cherryrudder/policy/permits.py
+++ b/libs/policy/src/cherryrudder/policy/permits.py
@@ -58,8 +58,8 @@
 def issue(issuer: Issuer, sender: str, count: int, per_s: float, now_s: float) -> Grant:
     """Issue as many of the requested permits as the limit allows."""
     rate = max(SAFE_SHARE * per_s, MIN_PER_S)
-    most = 1.0 + rate * BURST_S
-    issuer.saved = min(most, issuer.saved + rate * (now_s - issuer.filled_s))
+    max_saved = 1.0 + rate * BURST_S
+    issuer.saved = min(max_saved, issuer.saved + rate * (now_s - issuer.filled_s))
     issuer.filled_s = now_s
     permits = min(count, int(issuer.saved))
     issuer.saved -= permits
--- a/libs/policy/src/cherryrudder/policy/shares.py
+++ b/libs/policy/src/cherryrudder/policy/shares.py
@@ -233,9 +233,9 @@
             if _exceeds(floor, using):
                 loans_end_s = min(loans_end_s, other.reverts_s)
             continue
-        most = Share(*map(max, using, floor))
-        _add(held, most)
-        _add(reserved, most)
+        max_use = Share(*map(max, using, floor))
+        _add(held, max_use)
+        _add(reserved, max_use)
     return OtherEntries(held, reserved, lenders, loans_end_s)
 
 
@@ -244,11 +244,13 @@
         total[field] += share[field]
 
 
-def _fair_share(bound, reserved, askers):
+def _fair_share(bound, reserved, requesters):
     fair = []
     for field in FIELD_INDEXES:
         idle = 0.0 if field == CONCURRENCY_INDEX else IDLE_FRACTION
-        demands = [max(idle * one.floor[field], one.demand[field]) for one in askers]
+        demands = [
+            max(idle * one.floor[field], one.demand[field]) for one in requesters
+        ]
         fair.append(max_min(demands, bound[field] - reserved[field])[0])
     return fair[0], fair[1], int(fair[2] + ROUNDING)
 
--- a/libs/policy/test/builders.py
+++ b/libs/policy/test/builders.py
@@ -91,10 +91,10 @@
             for name in self.names:
                 holder, wanted = self.holders[name], self.demand[name]
                 if shareholder.is_due(holder, wanted, self.now_s):
-                    self.ask(name)
+                    self.request_lease(name)
             self.now_s = round(self.now_s + 0.05, 6)
 
-    def ask(self, name):
+    def request_lease(self, name):
         holder, allocator = self.holders[name], self.allocators[self.uses[name]]
         received = shareholder.received_from(holder, allocator.name)
         if self.rng.random() < self.lost[name]:
--- a/libs/policy/test/permitsim.py
+++ b/libs/policy/test/permitsim.py
@@ -128,9 +128,11 @@
         grant = permits.issue(self.issuer, str(entry), 1, self.plan.per_s, now_s)
         self.messages += 1
         if self.rng.random() >= self.plan.lost_share:
-            self.at(now_s + self.rng.uniform(*LATENCY_S), self.take, entry, grant)
+            self.at(
+                now_s + self.rng.uniform(*LATENCY_S), self.record_grant, entry, grant
+            )
 
-    def take(self, now_s, entry, grant):
+    def record_grant(self, now_s, entry, grant):
         permits.record_grant(self.holder[entry], grant, now_s)
         # The request that asked for the permit still waits.
         self.try_send(now_s, entry)
--- a/libs/policy/test/test_permits.py
+++ b/libs/policy/test/test_permits.py
@@ -100,7 +100,7 @@
     def setUp(self):
         self.holder = Holder()
 
-    def take(self, count, now_s):
+    def record_grant(self, count, now_s):
         permits.record_grant(
             self.holder, Grant(count, 0.0 if count else 0.4, 0.9), now_s
         )
@@ -109,22 +109,22 @@
         return permits.has_permit(self.holder, LIMIT_PER_S, 7, now_s)
 
     def test_an_unused_permit_expires(self):
-        self.take(1, 0.0)
+        self.record_grant(1, 0.0)
         self.assertTrue(self.has_permit(permits.PERMIT_LIFETIME_S / 2))
         self.assertFalse(self.has_permit(permits.PERMIT_LIFETIME_S))
 
     def test_a_permit_is_used_once(self):
-        self.take(1, 0.0)
+        self.record_grant(1, 0.0)
         permits.use_permit(self.holder, 0.0)
         self.assertFalse(self.has_permit(0.0))
 
     def test_no_request_is_sent_before_the_next_permit(self):
-        self.take(0, 0.0)
+        self.record_grant(0, 0.0)
         self.assertFalse(permits.may_request(self.holder, 0.3))
         self.assertTrue(permits.may_request(self.holder, 0.4))
 
     def test_the_wait_behind_other_entries_decreases_with_time(self):
-        self.take(0, 0.0)
+        self.record_grant(0, 0.0)
         self.assertAlmostEqual(permits.wait_s(self.holder, 0.5), 0.4)
 
     def test_a_lost_answer_is_not_waited_for_long(self):
--- a/libs/policy/test/test_sharedbudget.py
+++ b/libs/policy/test/test_sharedbudget.py
@@ -122,12 +122,12 @@
                 )
         self.assertLessEqual(sent, RATIO * ENTRIES + SLACK)
 
-    def play_burst(self, beat_steps, age_s, demand):
+    def play_burst(self, report_steps, age_s, demand):
         """Simulate a burst; return the most sent in a window, and what is still needed.
 
-        Each of 70 entries reports its usage at its own moment within `beat_steps` steps
-        of 0.1 s, and receives the sum of the others every five steps. `demand` returns
-        how many retries an entry needs in the step of the burst.
+        Each of 70 entries reports its usage at its own moment within `report_steps`
+        steps of 0.1 s, and receives the sum of the others every five steps. `demand`
+        returns how many retries an entry needs in the step of the burst.
         """
         entries, burst_step = budgets(70), 150
         sent, reported, needed = [], [()] * 70, [0] * 70
@@ -136,7 +136,7 @@
             for own, entry in enumerate(entries):
                 if step % 3 == 0:
                     sharedbudget.record_request(entry, "llm", now_s)
-                if (step + 7 * own) % beat_steps == 0:
+                if (step + 7 * own) % report_steps == 0:
                     reported[own] = sharedbudget.count_usage(entry, now_s)
             requests = sum(one.requests for spent in reported for one in spent)
             repeats = sum(one.retries for spent in reported for one in spent)
@@ -164,10 +164,10 @@
         report the entries spent the same retries two and three times over.
         """
         allowed = RATIO * 70 * WINDOW_S / 0.3 + SLACK
-        for beat_steps in (5, 10, 15, 20):
-            with self.subTest(beat_steps=beat_steps):
-                age_s = (beat_steps - 1) / 2 * 0.1
-                most, _ = self.play_burst(beat_steps, age_s, lambda own: 1000)
+        for report_steps in (5, 10, 15, 20):
+            with self.subTest(report_steps=report_steps):
+                age_s = (report_steps - 1) / 2 * 0.1
+                most, _ = self.play_burst(report_steps, age_s, lambda own: 1000)
                 self.assertLessEqual(most, allowed)
                 self.assertGreater(most, 0.7 * SAFE_SHARE * allowed)
 
--- a/libs/routing/src/cherryrudder/routing/slowness.py
+++ b/libs/routing/src/cherryrudder/routing/slowness.py
@@ -13,7 +13,7 @@
 MIN_SLOWNESS = 1.3
 
 
-class SlownessReport(NamedTuple):
+class RecordedSlowness(NamedTuple):
     """An endpoint's reported slowness, and until when it is valid."""
 
     slowness: float
@@ -24,7 +24,7 @@
     """The reports by the endpoint's incarnation."""
 
     def __init__(self):
-        self.reports: dict[str, SlownessReport] = {}
+        self.reports: dict[str, RecordedSlowness] = {}
 
 
 def record_slowness(
@@ -38,7 +38,7 @@
     if slowness < MIN_SLOWNESS:
         book.reports.pop(engine_id, None)
         return known > 1.0
-    book.reports[engine_id] = SlownessReport(slowness, now_s + REPORT_TTL_S)
+    book.reports[engine_id] = RecordedSlowness(slowness, now_s + REPORT_TTL_S)
     return known == 1.0
 
 
--- a/libs/routing/src/cherryrudder/routing/suspicion.py
+++ b/libs/routing/src/cherryrudder/routing/suspicion.py
@@ -97,7 +97,7 @@
     return is_newly_ejected
 
 
-def is_certainly_dead(
+def is_confirmed_dead(
     suspicions: Suspicions, engine_id: str, last_seen_s: float
 ) -> bool:
     """Return whether its end was confirmed and no heartbeat has come since."""
--- a/libs/routing/test/test_backoffs.py
+++ b/libs/routing/test/test_backoffs.py
@@ -11,28 +11,28 @@
         self.book = BackoffBook()
         backoffs.start(self.book, "e", 3.0, 10.0)
 
-    def may_begin(self, now_s):
+    def may_send(self, now_s):
         return backoffs.may_send(self.book, "e", now_s)
 
     def test_no_request_is_sent_until_the_backoff_is_over(self):
-        self.assertFalse(self.may_begin(12.9))
-        self.assertTrue(self.may_begin(13.0))
+        self.assertFalse(self.may_send(12.9))
+        self.assertTrue(self.may_send(13.0))
         self.assertTrue(backoffs.may_send(self.book, "other", 12.9))
 
     def test_the_first_request_after_it_is_sent_alone(self):
         backoffs.record_sent(self.book, "e", 13.0)
-        self.assertFalse(self.may_begin(13.5))
+        self.assertFalse(self.may_send(13.5))
         self.assertFalse(backoffs.is_active(self.book, "e", 13.5))
         self.assertTrue(backoffs.record_answer(self.book, "e", sent_s=13.0))
-        self.assertTrue(self.may_begin(13.5))
+        self.assertTrue(self.may_send(13.5))
 
     def test_others_are_sent_if_the_first_request_has_no_answer(self):
         backoffs.record_sent(self.book, "e", 13.0)
-        self.assertTrue(self.may_begin(13.0 + PROBE_TIMEOUT_S))
+        self.assertTrue(self.may_send(13.0 + PROBE_TIMEOUT_S))
 
     def test_answers_to_older_requests_dont_end_it(self):
         self.assertFalse(backoffs.record_answer(self.book, "e", sent_s=9.9))
-        self.assertFalse(self.may_begin(11.0))
+        self.assertFalse(self.may_send(11.0))
 
     def test_a_further_backoff_extends_but_never_shortens_it(self):
         backoffs.start(self.book, "e", 1.0, 11.0)
@@ -47,7 +47,7 @@
 
     def test_backoffs_of_unknown_incarnations_are_dropped(self):
         backoffs.prune(self.book, {"f"})
-        self.assertTrue(self.may_begin(10.0))
+        self.assertTrue(self.may_send(10.0))
 
 
 if __name__ == "__main__":
--- a/libs/routing/test/test_endpoints.py
+++ b/libs/routing/test/test_endpoints.py
@@ -125,7 +125,7 @@
         endpoints.record_heartbeat(self.table, an_announcement(number=2), 0.0)
         self.is_new = endpoints.record_leaving(self.table, "boot-1", 0.5)
 
-    def takes_work(self):
+    def accepts_requests(self):
         announcement = self.table.entries["boot-1"].announcement
         return endpoints.accepts_requests(announcement)
 
@@ -133,11 +133,11 @@
         self.assertTrue(self.is_new)
         self.assertFalse(endpoints.record_leaving(self.table, "boot-1", 0.6))
         self.assertEqual(known(self.table, 1.0), {"boot-1"})
-        self.assertFalse(self.takes_work())
+        self.assertFalse(self.accepts_requests())
 
     def test_a_heartbeat_that_reports_it_ready_changes_nothing(self):
         endpoints.record_heartbeat(self.table, an_announcement(number=4), 1.0)
-        self.assertFalse(self.takes_work())
+        self.assertFalse(self.accepts_requests())
 
     def test_the_first_notice_after_that_does_not_end_it(self):
         endpoints.sign_off(self.table, "boot-1", 1.0)
--- a/libs/routing/test/test_suspicion.py
+++ b/libs/routing/test/test_suspicion.py
@@ -64,10 +64,10 @@
     def test_an_end_is_certain_once_confirmed_and_until_the_next_heartbeat(self):
         suspicions = Suspicions()
         suspicion.record_failure(suspicions, "boot", 10.0)
-        self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
+        self.assertFalse(suspicion.is_confirmed_dead(suspicions, "boot", 9.0))
         self.assertFalse(suspicion.record_confirmed_death(suspicions, "boot", 10.1))
-        self.assertTrue(suspicion.is_certainly_dead(suspicions, "boot", 9.0))
-        self.assertFalse(suspicion.is_certainly_dead(suspicions, "boot", 10.2))
+        self.assertTrue(suspicion.is_confirmed_dead(suspicions, "boot", 9.0))
+        self.assertFalse(suspicion.is_confirmed_dead(suspicions, "boot", 10.2))
 
     def test_a_confirmed_end_ejects_an_engine_without_own_evidence(self):
         suspicions = Suspicions()
@@ -111,16 +111,16 @@
 
     def test_a_refuted_end_does_not_count(self):
         found = Suspicions()
-        self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
+        self.assertFalse(suspicion.is_confirmed_dead(found, "e", 0.5))
         suspicion.record_failure(found, "e", 1.0)
         suspicion.record_confirmed_death(found, "e", 1.0)
-        self.assertTrue(suspicion.is_certainly_dead(found, "e", 0.5))
+        self.assertTrue(suspicion.is_confirmed_dead(found, "e", 0.5))
         suspicion.reinstate(found, "e")
-        self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
+        self.assertFalse(suspicion.is_confirmed_dead(found, "e", 0.5))
 
     def test_an_engine_that_others_missed_is_ejected_but_not_ended(self):
         """All processes that queried it may have been behind the same full links."""
         found = Suspicions()
         self.assertTrue(suspicion.record_report(found, "e", 1.0))
         self.assertTrue(suspicion.is_ejected(found, "e", 0.5, 1.1))
-        self.assertFalse(suspicion.is_certainly_dead(found, "e", 0.5))
+        self.assertFalse(suspicion.is_confirmed_dead(found, "e", 0.5))
