--- a/libs/node/src/cherryrudder/node/backpressure.py
+++ b/libs/node/src/cherryrudder/node/backpressure.py
@@ -49,7 +49,7 @@
         state.leaving_since_s.setdefault(engine_id, now_s)
         state.metrics.beliefs.labels("engine-leaving").inc()
         job.log_event("engine-leaving", True, engine_id=engine_id)
-        state.spread_endpoints([engine_id])
+        state.publish_endpoints([engine_id])
 
 
 def _record_backoff(job, engine_id, facts, now_s):
--- a/libs/node/src/cherryrudder/node/crashes.py
+++ b/libs/node/src/cherryrudder/node/crashes.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from .job import Job
 
-# Final for every client: the status blames the request itself. It doesn't say that the
-# request wasn't run.
+# Final for every client: the status marks the request itself as at fault. It doesn't
+# imply that the request wasn't run.
 REFUSED_AS_CRASHING = Refused(400, "it ends the engines that run it")
 # How long a request under which engines ended before waits for the verdict on the next
 # one. Control VMs reach it within some milliseconds; when two ask, it takes 0.4 s.
--- a/libs/node/src/cherryrudder/node/entrystate.py
+++ b/libs/node/src/cherryrudder/node/entrystate.py
@@ -77,8 +77,8 @@
         self.hangs = Hangs()
         self.rates = RateLimiter()
         self.backoffs = BackoffBook()
-        # Replaced by the uplink: sends out which engines said that they leave.
-        self.spread_endpoints: Callable[[list[str]], None] = lambda engine_ids: None
+        # Replaced by the uplink: publish engines whose answers stated that they leave.
+        self.publish_endpoints: Callable[[list[str]], None] = lambda engine_ids: None
         self.crashes = CrashTracker(self.boot, sink, metrics)
         self.broken = BrokenRuns()
         self.table: RouteTable | None = None
--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -174,7 +174,7 @@
     async def fail(self, failed: FailedAttempt) -> None:
         """Send the final answer after attempts that gave none.
 
-        It says "not run" only if an engine said so or nothing was sent.
+        It states "not run" only if an engine stated it or nothing was sent.
         """
         if failed.answer is not None:
             await self.pass_on(failed.answer)
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -82,7 +82,7 @@
         self._local_confirmed_s = float("-inf")
         state.rates.send_request = self._send_permit_request
         state.rates.publish = self._send_to_aggregators
-        state.spread_endpoints = self._publish_endpoints
+        state.publish_endpoints = self._publish_endpoints
 
     def start(self) -> None:
         """Start to listen and to send heartbeats."""
--- a/libs/policy/src/cherryrudder/policy/admission.py
+++ b/libs/policy/src/cherryrudder/policy/admission.py
@@ -23,8 +23,8 @@
 from .refusal import Drain, RetrySchedule
 
 # The waits of queued requests are estimated again this often, at the cost of one pass
-# over the queue. This is also the longest delay until a caller learns of a lost
-# endpoint.
+# over the queue. This is also the longest delay until a caller is informed of a
+# lost endpoint.
 REVIEW_INTERVAL_S = 0.25
 # The most requests of one pass that may be deferred. A higher limit would make a pass
 # expensive and the order unfair.
--- a/libs/policy/src/cherryrudder/policy/credits.py
+++ b/libs/policy/src/cherryrudder/policy/credits.py
@@ -1,6 +1,6 @@
 """Credits: the number of requests that each entry may have at an endpoint.
 
-Several entries send to the same endpoints and learn of their load seconds late. Without
+Several entries send to the same endpoints and receive their load seconds late. Without
 credits all entries see the same idle endpoint and send to it at the same moment, and
 the requests wait there while other endpoints have capacity (a herd). With credits,
 which the endpoint's sidecar grants, a request stays in the entry's queue until an
--- a/libs/policy/src/cherryrudder/policy/fleet.py
+++ b/libs/policy/src/cherryrudder/policy/fleet.py
@@ -2,9 +2,9 @@
 
 A thousand endpoints announce themselves, a few hundred requests a second each need a
 chain of them, and load reports lag by seconds. Scanning every endpoint for each choice
-would be too slow, and the reports would be stale. An entry knows at once what it has
-sent itself. So requests in flight, speeds and failures are counted here, and credits
-limit what each entry may send beside the others.
+would be too slow, and the reports would be stale. An entry has current data only on
+what it has sent itself. So requests in flight, speeds and failures are counted here,
+and credits limit what each entry may send beside the others.
 
 Endpoints that can accept a request are kept in one list for each layer range and data
 centre. A choice looks at a few of them, however many there are.
--- a/libs/policy/src/cherryrudder/policy/leaving.py
+++ b/libs/policy/src/cherryrudder/policy/leaving.py
@@ -4,7 +4,7 @@
 entries would send until their connections are refused, and requests that have begun
 would be cut off.
 
-An endpoint leaves as soon as its own announcement or a planned stop says so. Both are
+An endpoint is leaving once its own announcement or a planned stop states it. Both are
 checked because either may arrive first, and the absence of one does not cancel the
 other.
 """
--- a/libs/policy/src/cherryrudder/policy/refusal.py
+++ b/libs/policy/src/cherryrudder/policy/refusal.py
@@ -128,7 +128,7 @@
     """Return the wait behind that many tokens; 0 while the rate is unknown."""
     # While endpoints have capacity, the running requests are held down by customers'
     # own limits and do not show the platform's rate: callers beyond their own limit
-    # would be told that the platform is full.
+    # would get the answer that the platform is full.
     if drain.blocked_since_s is None or now_s < drain.credits_due_s:
         return 0.0
     rate = drain_rate(drain, now_s)
@@ -138,7 +138,7 @@
 
 
 class RetrySchedule:
-    """The times at which refused callers were told to come back."""
+    """The retry times that refused callers were given."""
 
     def __init__(self):
         self.next_s: dict[tuple[str, str], float] = {}
--- a/libs/policy/src/cherryrudder/policy/shareholder.py
+++ b/libs/policy/src/cherryrudder/policy/shareholder.py
@@ -91,7 +91,7 @@
 
 def _uncapped(holder, now_s):
     # A process that has just started may be an entry whose floor was lent before it
-    # died, by an allocator that it no longer knows. After one lease time the loan has
+    # died, by an allocator of which it has no record. After one lease time the loan has
     # ended; until then the entry is not ready and other entries serve.
     if now_s < holder.started_s + holder.lease_s:
         return NO_SHARE
--- a/libs/policy/src/cherryrudder/policy/shares.py
+++ b/libs/policy/src/cherryrudder/policy/shares.py
@@ -203,7 +203,7 @@
     lease_ends_s = now_s + allocator.lease_s
     others = _others(allocator, customer, parts, entry, now_s)
     available = [max(0, bound[field] - others.held[field]) for field in FIELD_INDEXES]
-    # A new allocator does not know the leases of the previous one. Until those have
+    # A new allocator has no record of the previous one's leases. Until those have
     # expired only floors are safe: otherwise both allocators would lend the same part.
     if now_s < allocator.started_s + allocator.lease_s:
         return Share(*map(min, part.floor, available)), lease_ends_s
--- a/libs/policy/test/test_capacityqueue.py
+++ b/libs/policy/test/test_capacityqueue.py
@@ -55,7 +55,7 @@
         self.assertEqual(order(queue, 0.6), ["begun", "in time"])
 
     def test_an_answer_that_has_begun_is_queued_whatever_the_length(self):
-        """If refused it would end in the middle; a new one can be told a retry time."""
+        """If refused it would end midway; a new one can be given a retry time."""
         waiting = [
             a_request(f"{n}")._replace(first_event_deadline_s=9.0) for n in range(40)
         ]
--- a/libs/policy/test/test_scenarios_load.py
+++ b/libs/policy/test/test_scenarios_load.py
@@ -46,7 +46,7 @@
     def test_callers_are_admitted_at_their_retry_time(self):
         """A burst of two seconds is half a minute's work under the contract.
 
-        If all are told to come back in a second, they come back together and one is
+        If all are given a retry time of one second, they retry together and one is
         admitted; some try thirty times. With a time for each, most need one more
         attempt.
         """
--- a/libs/routing/src/cherryrudder/routing/endpoints.py
+++ b/libs/routing/src/cherryrudder/routing/endpoints.py
@@ -51,7 +51,7 @@
     # It has signed off. Without an earlier draining notice it still serves its running
     # requests for as long as others do, and ends without another notice.
     has_signed_off: bool = False
-    # Its answers said that it leaves. Either of the other notices may still follow.
+    # Its answers stated that it leaves. Either of the other notices may still follow.
     has_notified_senders: bool = False
 
 
@@ -222,7 +222,7 @@
 
 
 def record_leaving(table: EndpointTable, engine_id: str, now_s: float) -> bool:
-    """Record that an endpoint's answer said that it leaves; return whether it's new."""
+    """Record that an endpoint's answer says it is leaving; return whether it is new."""
     known = table.entries.get(engine_id)
     if known is None or known.is_gone:
         return False
@@ -252,7 +252,7 @@
     """
     engine_id = received.announcement.engine_id
     if received.is_gone and not received.announcement.address:
-        # The sender never had a heartbeat of it and can't know whether it has drained.
+        # The sender never received its heartbeat and has no record whether it drained.
         return sign_off(table, engine_id, now_s)
     if received.is_gone:
         return record_departure(table, engine_id, now_s)
--- a/libs/routing/test/crashsim.py
+++ b/libs/routing/test/crashsim.py
@@ -14,10 +14,10 @@
 ENGINE_RESTART_S = 4.0
 PROMPT_S = (0.05, 0.3)
 CRASH_AFTER_S = (0.04, 0.1)
-# Delay until an entry, and all entries, know of a crash.
+# Delay until an entry, and all entries, have a record of a crash.
 NOTICE_S = 0.03
 REPLICATION_S = (0.05, 0.7)
-# Time after which every entry knows of a crash.
+# Time after which every entry has a record of a crash.
 KNOWN_AFTER_S = 3.0
 
 
--- a/libs/routing/test/test_endpoints.py
+++ b/libs/routing/test/test_endpoints.py
@@ -306,7 +306,7 @@
         rng.shuffle(shuffled)
         left = usable(play(events))
         right = usable(play(shuffled))
-        # Any message that says that an endpoint leaves counts, whatever its number.
+        # Any notice that an endpoint leaves counts, whatever its number.
         self.assertEqual(
             {engine_id for engine_id, _ in left},
             {engine_id for engine_id, _ in right},
