--- a/libs/node/src/cherryrudder/node/job.py
+++ b/libs/node/src/cherryrudder/node/job.py
@@ -137,7 +137,7 @@
         """Return the time left until the time limit of the client or the route."""
         return self.end_s - now_s() - ANSWER_MARGIN_S
 
-    def note(self, event: str, is_kept: bool = False, **fields) -> None:
+    def log_event(self, event: str, is_kept: bool = False, **fields) -> None:
         """Write a log line about this request."""
         self.state.sink.write(
             "request", event, is_kept, request_id=self.facts.request_id, **fields
@@ -176,7 +176,7 @@
     async def fail(self, failed: FailedAttempt) -> None:
         """Send the final answer after attempts that gave none.
 
-        It says "not run" only if an engine said so or nothing was sent.
+        It states "not run" only if an engine stated it or nothing was sent.
         """
         if failed.answer is not None:
             await self.pass_on(failed.answer)
--- a/libs/node/src/cherryrudder/node/streamchains.py
+++ b/libs/node/src/cherryrudder/node/streamchains.py
@@ -90,7 +90,7 @@
         one.engine_id
         for one in _first_engines(stream, now)
         if vm_zone in ("", one.vm_zone)
-        and not ratelimiter.may_begin(state, one.engine_id, now)
+        and not ratelimiter.may_send(state, one.engine_id, now)
         and not backoffs.is_active(state.backoffs, one.engine_id, now)
     ]
 
@@ -115,8 +115,8 @@
     if not state.backoffs.backoffs and not state.rates.book.limits:
         return False
     firsts = _first_engines(stream, now)
-    may_begin = (backpressure.may_begin(state, one.engine_id, now) for one in firsts)
-    return bool(firsts) and not any(may_begin)
+    may_send = (backpressure.may_send(state, one.engine_id, now) for one in firsts)
+    return bool(firsts) and not any(may_send)
 
 
 def _is_backoff_too_long(stream, now):
@@ -244,7 +244,7 @@
         for part in kept.chain
     ):
         return None
-    if not backpressure.may_begin(stream.job.state, kept.chain[0].engine_id, now):
+    if not backpressure.may_send(stream.job.state, kept.chain[0].engine_id, now):
         return None
     stream.expected_pause_s = kept.expected_pause_s
     return kept.chain
@@ -271,7 +271,7 @@
     if not chains.covers(chain, job.service.model.layers):
         # Check again: a layer left out or run twice makes every token wrong, and no
         # later step would detect it.
-        job.note("bad-chain", True, chain=[list(part) for part in chain])
+        job.log_event("bad-chain", True, chain=[list(part) for part in chain])
         return None
     stream.expected_pause_s = pace.expected_pause_s(job.service.model, chain, engines)
     return chain
@@ -300,8 +300,8 @@
     if now - state.started_s < ANNOUNCED_SHARE * state.settings.heartbeat_s:
         return None
     tokens = stream.job.facts.prompt_tokens
-    least_s = pipes.crossing_s(model, tokens, 1)
-    if not pipes.has_budget(state.pipes, least_s, state.entries, now):
+    min_s = pipes.crossing_s(model, tokens, 1)
+    if not pipes.has_budget(state.pipes, min_s, state.entries, now):
         # The search over all data centres is the most expensive part of a choice, and
         # streams that wait for room would repeat it.
         return None
@@ -312,7 +312,9 @@
     cost_s = pipes.crossing_s(model, tokens, count)
     if not pipes.try_cross(state.pipes, cost_s, state.entries, now):
         return None
-    stream.job.note("crossing", crossings=count, debt_s=round(state.pipes.debt_s, 3))
+    stream.job.log_event(
+        "crossing", crossings=count, debt_s=round(state.pipes.debt_s, 3)
+    )
     return chain
 
 
@@ -321,7 +323,7 @@
     job = stream.job
     engines = entrystate.candidates(job.state, job.service.name, now_s())
     layer, free = chains.tightest_layer(job.service.model, engines)
-    job.note(
+    job.log_event(
         "no-chain",
         reason=stream.refusal,
         tokens=stream.tokens,
--- a/libs/node/src/cherryrudder/node/uplink.py
+++ b/libs/node/src/cherryrudder/node/uplink.py
@@ -82,7 +82,7 @@
         self._local_confirmed_s = float("-inf")
         state.rates.send_request = self._send_permit_request
         state.rates.publish = self._send_to_aggregators
-        state.spread_endpoints = self._publish_endpoints
+        state.publish_endpoints = self._publish_endpoints
 
     def start(self) -> None:
         """Start to listen and to send heartbeats."""
@@ -225,9 +225,9 @@
         return own or min(aggregators.values(), default="")
 
     def _on_frames(self, peer, messages):
-        gossip.deliver(peer, messages, self._take)
+        gossip.deliver(peer, messages, self._handle)
 
-    def _take(self, message):
+    def _handle(self, message):
         match message:
             case ControlAnswer():
                 self._on_answer(message)
--- a/libs/node/test/test_rates.py
+++ b/libs/node/test/test_rates.py
@@ -34,44 +34,44 @@
         return ratelimits.limit_of(self.state.rates.book, ENGINE)
 
     def test_one_control_vm_of_each_data_centre_gets_the_limit(self):
-        self.hear(2.5)
+        self.record_answer(2.5)
         sent = [(address, type(message)) for address, message in self.sent]
         self.assertEqual(sent, [("a:1", LimitUpdate), ("b:1", LimitUpdate)])
-        self.hear(2.5)
+        self.record_answer(2.5)
         self.assertEqual(len(self.sent), 2)
 
     def test_an_entry_keeps_a_reported_limit(self):
-        self.uplink._take(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.1),)))
-        self.assertFalse(self.may_begin())
-        self.assertTrue(self.may_begin(OTHER))
+        self.uplink._handle(LimitUpdate((ReportedLimit(ENGINE, 2.5, 0.1),)))
+        self.assertFalse(self.may_send())
+        self.assertTrue(self.may_send(OTHER))
 
     def test_a_later_answer_without_a_limit_removes_it(self):
-        self.hear(2.5)
-        self.hear()
-        self.assertTrue(self.may_begin())
+        self.record_answer(2.5)
+        self.record_answer()
+        self.assertTrue(self.may_send())
         self.assertIsNone(self.sent[-1][1].limits[0].per_s)
 
     def test_an_answer_to_an_older_request_removes_nothing(self):
         sent_s = now_s()
-        self.hear(2.5)
-        self.hear(sent_s=sent_s)
+        self.record_answer(2.5)
+        self.record_answer(sent_s=sent_s)
         self.assertEqual(self.limit(), 2.5)
 
     def test_an_unreadable_limit_changes_nothing(self):
-        self.hear(2.5)
-        self.hear(has_bad_limit=True)
+        self.record_answer(2.5)
+        self.record_answer(has_bad_limit=True)
         self.assertEqual(self.limit(), 2.5)
 
     def test_it_ends_with_the_incarnation(self):
-        self.hear(2.5)
+        self.record_answer(2.5)
         ratelimiter.sweep(self.state.rates, {OTHER}, now_s())
-        self.assertTrue(self.may_begin())
+        self.assertTrue(self.may_send())
 
 
 class PermitTest(EntryCase):
     def setUp(self):
         super().setUp()
-        self.hear(2.5)
+        self.record_answer(2.5)
         self.sent.clear()
 
     def firsts(self):
@@ -87,7 +87,7 @@
     def test_a_permit_is_for_one_request(self):
         self.grant()
         backpressure.record_request(self.state, ENGINE, now_s())
-        self.assertFalse(self.may_begin())
+        self.assertFalse(self.may_send())
 
     def test_the_control_vm_of_its_data_centre_is_asked(self):
         ratelimiter.request_permits(self.state, [ENGINE], now_s())
@@ -105,7 +105,7 @@
                 group.start_soon(ratelimiter.acquire, self.state, [ENGINE])
                 await anyio.sleep(0.005)
                 self.grant()
-            return self.may_begin()
+            return self.may_send()
 
         self.assertTrue(anyio.run(scenario))
 
@@ -115,7 +115,7 @@
                 await ratelimiter.acquire(self.state, [ENGINE])
 
         anyio.run(scenario)
-        self.assertFalse(self.may_begin())
+        self.assertFalse(self.may_send())
         self.assertIn('"event":"permit-unanswered"', self.piped.text())
 
 
@@ -126,12 +126,12 @@
         return anyio.run(plainrelay._choose, self.a_job(**changes), set())
 
     def test_the_other_endpoint_is_chosen(self):
-        self.hear(2.5)
+        self.record_answer(2.5)
         self.assertEqual(self.choose().engine_id, OTHER)
 
     def test_without_a_permit_the_refusal_has_the_time_until_the_next(self):
         for engine_id in (ENGINE, OTHER):
-            self.hear(0.1, engine_id=engine_id)
+            self.record_answer(0.1, engine_id=engine_id)
             self.grant(permits=0, next_s=9.0, wait_s=9.0, engine_id=engine_id)
         failed = self.choose()
         self.assertTrue(failed.is_not_run)
@@ -139,7 +139,7 @@
 
     def test_it_waits_for_a_permit_that_comes_in_time(self):
         for engine_id in (ENGINE, OTHER):
-            self.hear(5, engine_id=engine_id)
+            self.record_answer(5, engine_id=engine_id)
             self.grant(permits=0, next_s=0.1, wait_s=0.1, engine_id=engine_id)
 
         async def scenario():
