--- a/libs/node/src/cherryrudder/node/verification.py
+++ b/libs/node/src/cherryrudder/node/verification.py
@@ -179,7 +179,7 @@
             True,
             engine_id=engine_id,
             senders=sorted(senders),
-            observation=own,
+            seen=own,
             others=answers,
             outcome=verdict,
         )
