--- a/libs/wire/src/cherryrudder/wire/sockets.py
+++ b/libs/wire/src/cherryrudder/wire/sockets.py
@@ -50,7 +50,7 @@
             if self._is_lost:
                 raise StreamBroken("the connection is lost")
             if self._has_ended:
-                raise StreamEnded("the peer has closed the connection")
+                raise StreamEnded("the peer has ended")
             self._read_waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._read_waiter
