--- a/libs/relay/src/cherryrudder/relay/server.py
+++ b/libs/relay/src/cherryrudder/relay/server.py
@@ -148,7 +148,7 @@
         try:
             self._stream.write(data)
         except StreamBroken as error:
-            raise ClientGone("the client closed the connection") from error
+            raise ClientGone("the client has gone") from error
 
     async def _serve_one(self, handler):
         """Serve one request; return whether the connection can be reused."""
