--- a/bench/control_scale.py
+++ b/bench/control_scale.py
@@ -29,7 +29,7 @@
 SETTLE_S = 5.0
 CHANGE_GAP_S = 0.2
 # Wait after the last change. A change not in force by then is counted as missing.
-IN_FORCE_TIMEOUT_S = 3.0
+IN_FORCE_WAIT_S = 3.0
 ENGINE = EngineSpec("engine-0", 0, 12)
 
 
@@ -154,7 +154,7 @@
         revision = reply.raise_for_status().json()["revision"]
         accepted[revision] = (sent_s, time.monotonic())
         time.sleep(CHANGE_GAP_S)
-    time.sleep(IN_FORCE_TIMEOUT_S)
+    time.sleep(IN_FORCE_WAIT_S)
     return accepted
 
 
