--- a/libs/daemon/test/builders.py
+++ b/libs/daemon/test/builders.py
@@ -17,9 +17,9 @@
 MODEL = "briefing"
 LAYERS = 12
 CUSTOMER = "petra-tours"
-# Wide, since CI may run on a busy machine; a condition ends the wait, not the time.
+# Long, since CI machines may be busy; the awaited condition normally ends the wait.
 WAIT_S = 60.0
-# Of each process's log, when a test fails.
+# Printed of each process's log when a test fails.
 LOG_LINES = 30
 
 
@@ -64,12 +64,12 @@
 
 
 def services(count):
-    """Return that many endpoints of the filing service."""
+    """Return a number of endpoints of the filing service."""
     return [ServiceSpec(f"filing-{number}") for number in range(count)]
 
 
 class DeploymentTestCase(unittest.TestCase):
-    """A test class over one deployment of real processes on loopback."""
+    """A test case with one deployment of real processes on loopback per class."""
 
     controls = 3
     entries = 2
@@ -100,9 +100,9 @@
             )
 
     def run(self, result=None):
-        """Run a test; when it fails, tell how each process stands and what it logged.
+        """Run a test; if it fails, print each process's exit code and last log lines.
 
-        Which process has ended, and with what last words, can't be had afterwards.
+        They are no longer available after the deployment is closed.
         """
         result = super().run(result or self.defaultTestResult())
         if any(test is self for test, _ in result.failures + result.errors):
@@ -124,12 +124,12 @@
         )
 
     def complete(self, prompt="a b c", max_tokens=8, entry=0, **options):
-        """Ask for a completion and return the answer."""
+        """Request a completion and return the answer."""
         body = {"model": MODEL, "prompt": prompt, "max_tokens": max_tokens}
         return self.post("/v1/completions", entry, json=body, **options)
 
     def file(self, key, text="slot 17", entry=0, **options):
-        """File once under a key and return the answer."""
+        """Send one filing under a key and return the answer."""
         return self.post(
             "/services/slots/filings",
             entry,
@@ -148,7 +148,7 @@
         return count
 
     def fault(self, name, **faults):
-        """Set a stand-in's faults."""
+        """Set the faults of a fake engine or service."""
         path = "/faults" if name.endswith(".service") else "/v1/faults"
         url = self.deployment.back_end(name) + path
         self.deployment.http.post(url, json=faults).raise_for_status()
--- a/libs/daemon/test/test_atmostonce.py
+++ b/libs/daemon/test/test_atmostonce.py
@@ -1,4 +1,4 @@
-"""Filings through real processes: at most once, and an honest answer, under failure."""
+"""At-most-once calls through real processes: runs and outcomes under failure."""
 
 import json
 import threading
@@ -34,9 +34,9 @@
         self.assertEqual(self.filings("keyless"), 0)
 
     def test_many_resends_at_once_through_both_entries_run_once(self):
-        """A caller's library resends at once over both entries, twelve copies in all.
+        """A client library sends twelve copies of a call at once through both entries.
 
-        One copy's claim is granted; the others find it open and ask the sidecar.
+        One copy's claim is granted; the others find it open and query the sidecar.
         Every copy gets an answer, and no answer may be false.
         """
         answers = []
@@ -55,10 +55,10 @@
         self.assertEqual(len({a.text for a in done}), 1)
 
     def test_a_service_that_drops_its_answer_leaves_an_unknown_outcome(self):
-        """The service files, then breaks the connection before its answer.
+        """The service runs the call, then closes the connection without an answer.
 
-        The sidecar cannot tell whether the call ran: the caller hears "unknown" at
-        once, never "not run", and a resend does not file a second time.
+        The sidecar cannot determine whether the call ran: the outcome is "unknown" at
+        once, never "not run", and a resend does not run the call again.
         """
         for spec in self.services:
             self.fault(f"{spec.name}.service", drop_answers=9)
@@ -73,10 +73,10 @@
         self.assertEqual(self.filings("four"), 1)
 
     def test_a_dead_service_is_told_as_not_run_or_done_elsewhere(self):
-        """One service process is killed; its sidecar still takes calls.
+        """One service process is killed; its sidecar still accepts calls.
 
-        Its connection is refused, so no byte was sent: the attempt is buried, closed
-        as not run, and another endpoint gets a new attempt.
+        The connection is refused, so no byte was sent: the attempt is closed as not
+        run, and another endpoint gets a new attempt.
         """
         self.deployment.nodes["filing-0.service"].kill()
         try:
@@ -112,11 +112,11 @@
     def tearDown(self):
         self.fault("filing-0.service", delay_s=0.0)
 
-    def test_an_entry_killed_in_the_middle_loses_no_answer(self):
-        """The entry that holds the claim dies while the service works.
+    def test_an_entry_killed_during_a_call_loses_no_answer(self):
+        """The entry that holds the claim dies while the service runs the call.
 
-        The caller resends through the other entry, which finds the open claim, asks
-        the sidecar, waits for the running call and gives its answer.
+        A resend through the other entry finds the open claim, queries the sidecar,
+        waits for the running call and returns its answer.
         """
         thread, _ = self.slow_filing("k6", "six", entry=0)
         self.deployment.entries[0].kill()
@@ -126,11 +126,11 @@
         self.assertEqual(again.headers["cherryrudder-outcome"], "done", again.text)
         self.assertEqual(self.filings("six"), 1)
 
-    def test_a_sidecar_killed_in_the_middle_leaves_unknown_and_one_run(self):
-        """The sidecar dies while the service works, and starts anew.
+    def test_a_sidecar_killed_during_a_call_leaves_unknown_and_one_run(self):
+        """The sidecar dies while the service runs the call, and restarts.
 
-        Nobody can tell the outcome: "unknown" at once. The new incarnation refuses
-        the claim of the old one, so a resend never files again.
+        The outcome is "unknown" at once. The new incarnation refuses the claim for
+        the old one, so a resend never runs the call again.
         """
         thread, answers = self.slow_filing("k7", "seven", entry=0)
         sidecar = self.deployment.nodes["filing-0"]
@@ -142,11 +142,11 @@
         self.assertEqual(again.headers["cherryrudder-outcome"], "unknown")
         self.assertLessEqual(self.filings("seven"), 1)
 
-    def test_a_doubled_and_a_late_run_file_once(self):
-        """The packet of a claimed call comes twice, and again after a restart.
+    def test_a_duplicate_and_a_late_run_file_once(self):
+        """The run of a claimed call arrives twice, and again after a restart.
 
         The sidecar runs an attempt once and replays its answer to the copy. Its next
-        incarnation has forgotten all that, and refuses the claim of the old one.
+        incarnation has no record of it, and refuses the claim for the old one.
         """
         run = self.claimed_run("k9", "nine")
         first = self.internal("filing-0", "/v1/run", run)
@@ -161,7 +161,7 @@
         self.assertEqual(self.filings("nine"), 1)
 
     def claimed_run(self, key, text):
-        """Claim a call as an entry does and return its run, not yet sent."""
+        """Claim a call as an entry does; return the run without sending it."""
         sidecar = self.deployment.dump(self.deployment.nodes["filing-0"])
         command = {
             "customer": CUSTOMER,
@@ -180,18 +180,18 @@
         return {"claim": answer["claim"], "call": call}
 
     def internal(self, name, path, value):
-        """Post to a process's internal surface and return the answer."""
+        """Post to a process's internal API and return the answer."""
         address = self.deployment.nodes[name].addresses["internal"]
         headers = {"authorization": f"Bearer {INTERNAL_KEY}"}
         url = f"http://{address}{path}"
         reply = self.deployment.http.post(url, json=value, headers=headers)
         return reply.raise_for_status().json()
 
-    def test_without_a_quorum_a_filing_is_honestly_not_run(self):
+    def test_without_a_quorum_a_filing_is_not_run(self):
         """Two of three control VMs freeze, then thaw.
 
-        No claim can be committed, so the call is not sent: "not run" with a time to
-        come back. After the thaw the same key runs, once.
+        No claim can be committed, so the call is not sent: the outcome is "not run"
+        with a retry time. After the thaw the same key runs once.
         """
         frozen = self.deployment.controls[:2]
         for control in frozen:
@@ -217,7 +217,7 @@
     services = services(1)
     contracts = (a_contract(), a_contract("ministry"))
 
-    def test_keys_of_two_customers_do_not_meet(self):
+    def test_equal_keys_of_two_customers_are_independent(self):
         mine = self.file("same", "mine")
         theirs = self.file("same", "theirs", customer="ministry")
         self.assertEqual((mine.status_code, theirs.status_code), (200, 200))
--- a/libs/daemon/test/test_controlprocesses.py
+++ b/libs/daemon/test/test_controlprocesses.py
@@ -1,4 +1,4 @@
-"""Contracts and the log through real control VMs: accepted is for ever, everywhere."""
+"""Contract changes through real control VMs: accepted changes are never lost."""
 
 import re
 import shutil
@@ -18,7 +18,7 @@
     contracts = (a_contract(),)
 
     def ask(self, path, control=0):
-        """Get a path of one control VM's operator surface."""
+        """Get a path of one control VM's operator API."""
         address = self.deployment.controls[control].addresses["operator"]
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         return self.deployment.http.get(f"http://{address}{path}", headers=headers)
@@ -35,7 +35,7 @@
         return self.deployment.change(change, control)
 
     def leader(self):
-        """Return the index of the control VM that leads, None without one."""
+        """Return the index of the leading control VM, None without a leader."""
         for index in range(self.controls):
             try:
                 status = self.ask("/v1/status", index).json()
@@ -46,26 +46,26 @@
         return None
 
     def wait_leader(self, but=None):
-        """Wait for a leader other than one VM and return its index."""
+        """Wait for a leader other than `but` and return its index."""
         self.wait(lambda: self.leader() not in (None, but), "a leader")
         return self.leader()
 
     def revisions(self, nodes):
-        """Return the revision that is in force at each process."""
+        """Return the configuration revision of each process."""
         return [self.deployment.dump(node)["revision"] for node in nodes]
 
     def followers(self):
-        """Return every process that holds the configuration, control VMs apart."""
+        """Return the processes that follow the configuration: entries and sidecars."""
         sidecars = [self.deployment.nodes[s.name] for s in self.services]
         return self.deployment.entries + sidecars
 
 
 class ChangeTest(ControlCase):
-    def test_of_two_racing_operators_one_wins_and_the_other_is_told(self):
-        """Two operators hold version 1 and change the contract at the same moment.
+    def test_of_two_racing_operators_one_wins_and_the_other_gets_a_conflict(self):
+        """Two operators change version 1 of a contract at the same moment.
 
-        They use different control VMs. One is accepted; the other hears "conflict"
-        with the version that won, and its change is nowhere.
+        They use different control VMs. One change is accepted; the other gets
+        "conflict" with the winning version and must have no effect.
         """
         self.assertEqual(self.put("race", 0).status_code, 200)
         answers = {}
@@ -99,7 +99,7 @@
         """One control VM freezes; an operator changes a contract through another.
 
         Every entry and sidecar follows several control VMs, so the change reaches
-        all of them within seconds, and no revision goes down.
+        all of them within seconds, and no revision decreases.
         """
         frozen = next(c for c in range(3) if c != self.wait_leader())
         self.deployment.controls[frozen].freeze()
@@ -134,10 +134,10 @@
 
 
 class LossTest(ControlCase):
-    def test_nothing_accepted_goes_when_the_leader_is_killed(self):
-        """The leader is killed while changes keep coming through the others.
+    def test_no_accepted_change_is_lost_when_the_leader_is_killed(self):
+        """The leader is killed while changes arrive through the other control VMs.
 
-        Those that were answered "ok" must all be there under the next leader; a
+        All changes that were answered "ok" must exist under the next leader; a
         change whose answer was lost is resent and gets one consistent answer.
         """
         leader = self.wait_leader()
@@ -161,10 +161,10 @@
         self.deployment.restart(f"control-{leader}")
 
     def test_a_frozen_control_vm_serves_nothing_stale_when_it_thaws(self):
-        """A control VM freezes for long without noticing; the others go on.
+        """A control VM freezes while the others accept changes.
 
-        The moment it thaws it must not show the old contracts: a read that it
-        answers is as fresh as the read's arrival, or it is refused.
+        After the thaw it must not serve the old contracts: it either answers a read
+        with state as new as the read's arrival, or refuses it.
         """
         frozen = self.wait_leader()
         other = next(c for c in range(3) if c != frozen)
@@ -186,9 +186,9 @@
             self.assertEqual(answer.status_code, 503)
 
     def test_a_process_that_restarts_far_behind_is_not_ready_before_it_caught_up(self):
-        """An entry is down while 100 changes go by, then starts again.
+        """An entry is down during 100 changes, then restarts.
 
-        From the first moment that it says ready, it holds the last of them.
+        When it first reports ready, it must hold the last of them.
         """
         entry = self.deployment.entries[1]
         entry.kill()
@@ -202,8 +202,8 @@
     def test_an_entry_that_starts_without_a_majority_is_not_ready(self):
         """Two control VMs are frozen while an entry restarts.
 
-        The third one still answers, but cannot know whether its configuration is
-        the newest. The entry must not say ready until a majority has confirmed it.
+        The third one still answers, but its configuration may be stale. The entry
+        must not report ready until a majority has confirmed the configuration.
         """
         frozen = self.deployment.controls[:2]
         entry = self.deployment.entries[1]
@@ -224,11 +224,11 @@
                 control.thaw()
         self.deployment.wait_ready(entry)
 
-    def test_without_a_majority_changes_are_refused_and_service_goes_on(self):
+    def test_without_a_majority_changes_are_refused_and_service_continues(self):
         """Two of three control VMs are killed.
 
-        No change is accepted. Callers under known contracts are still served by
-        what needs no claim: here a repeatable call.
+        No change is accepted. Callers with known contracts are still served if the
+        request needs no claim, such as an idempotent call.
         """
         for control in (1, 2):
             self.deployment.controls[control].kill()
@@ -249,7 +249,7 @@
 
 class RepairTest(ControlCase):
     def change_voters(self, action, voter):
-        """Change the voters by one through whichever control VM answers."""
+        """Change the voters by one through any control VM that answers."""
 
         def changed():
             for control in range(self.controls):
@@ -272,24 +272,24 @@
         self.wait(changed, action)
 
     def join(self, node):
-        """Give a control VM a new disk and return its id."""
+        """Create a new disk for a control VM and return its id."""
         shutil.rmtree(self.deployment.folder / f"{node.name}.data")
         command = [*node.command, "--join"]
         text = subprocess.run(command, capture_output=True, text=True, check=True)
         return re.search(r"disk (\S+) of VM", text.stdout).group(1)
 
     def test_a_lost_disk_is_repaired_and_then_a_second_vm_is_lost(self):
-        """A control VM loses its disk, is replaced, and right after that another dies.
+        """A control VM loses its disk and is repaired; then another one dies.
 
-        The wiped VM has no vote until it has caught up as a learner and was promoted.
-        Then the two that are left hold every accepted change and accept more.
+        The repaired VM has no vote until it has caught up as a learner and was
+        promoted. The two remaining VMs must hold every accepted change and accept more.
         """
         for number in range(20):
             self.assertEqual(self.put(f"repair-{number}", 0).status_code, 200)
         lost = self.deployment.controls[0]
         lost.kill()
         disk_id = self.join(lost)
-        # Not ready before it is a member: it has nobody to confirm its log with.
+        # Don't wait until it is ready: it can't confirm its log before it is a member.
         lost.start()
         frames = lost.addresses["frames"]
         new = {"vm": lost.name, "disk_id": disk_id, "address": frames}
--- a/libs/daemon/test/test_fenceprocesses.py
+++ b/libs/daemon/test/test_fenceprocesses.py
@@ -1,4 +1,4 @@
-"""Orders to engines through real processes: an old holder's order never wins."""
+"""Orders to engines through real processes: an old holder's order is refused."""
 
 import unittest
 
@@ -15,14 +15,14 @@
     contracts = (a_contract(),)
 
     def post(self, name, path, value):
-        """Post to a process's internal surface and return the answer."""
+        """Post to a process's internal API and return the answer."""
         address = self.deployment.nodes[name].addresses["internal"]
         headers = {"authorization": f"Bearer {INTERNAL_KEY}"}
         url = f"http://{address}{path}"
         return self.deployment.http.post(url, json=value, headers=headers)
 
     def take(self, endpoint, holder, control):
-        """Take a fencing number for an endpoint through one control VM."""
+        """Request a fencing number for an endpoint from one control VM."""
         value = {"request_id": f"{holder} {endpoint}", "endpoint": endpoint}
         return self.post(f"control-{control}", "/v1/fences", value).json()["fence"]
 
@@ -38,10 +38,10 @@
         return [order["version"] for order in orders if order["accepted"]]
 
     def test_of_two_holders_the_later_one_wins_at_both_kinds_of_engine(self):
-        """Two holders race to order an engine; the older one's order comes last.
+        """Two holders race to order an engine; the older one's order arrives last.
 
-        The sidecar refuses it, whether or not the engine itself would. A restarted
-        sidecar has forgotten what passed, and asks the log before its first order.
+        The sidecar refuses it, whether or not the engine checks the number. A
+        restarted sidecar reads the number from the log before its first order.
         """
         for endpoint in ("checks", "ignores"):
             with self.subTest(endpoint=endpoint):
--- a/libs/daemon/test/test_pipelineprocesses.py
+++ b/libs/daemon/test/test_pipelineprocesses.py
@@ -1,4 +1,4 @@
-"""Completions through real processes: the text is whole under failure, or says so."""
+"""Completions through real processes: under failure complete, or an explicit error."""
 
 import json
 import threading
@@ -22,7 +22,7 @@
 
 
 class Stream:
-    """One streamed completion, read in a thread of its own."""
+    """One streamed completion, read in its own thread."""
 
     def __init__(self, case, entry=0, max_tokens=TOKENS, prompt=PROMPT):
         self.case = case
@@ -60,11 +60,11 @@
             self.parts.append(json.loads(line[6:])["choices"][0]["text"])
 
     def wait_parts(self, count):
-        """Wait until that many parts have come."""
+        """Wait until that many parts have arrived."""
         self.case.wait(lambda: len(self.parts) >= count, "tokens")
 
     def assert_whole(self):
-        """Check that the text is the oracle's, to the last token."""
+        """Check that the text is complete and equals the expected one."""
         self.thread.join()
         self.case.assertEqual(self.outcome, "done")
         self.case.assertEqual("".join(self.parts), self.expected)
@@ -75,17 +75,17 @@
     contracts = (a_contract(),)
 
     def busy(self):
-        """Return the names of the engines that hold a part of a request."""
+        """Return the names of the engines that have a request in flight."""
         nodes = self.deployment.engines
         return [n.name for n in nodes if self.deployment.dump(n)["in_flight"]]
 
     def request_at(self, name):
-        """Return the request that an engine's sidecar holds."""
+        """Return the id of a request in flight at an engine's sidecar."""
         dump = self.deployment.dump(self.deployment.nodes[name])
         return next(iter(dump["host"]["requests"]))
 
     def assert_ran_once(self, request):
-        """Check that no layer ran twice for a position, on whichever engine."""
+        """Check that no layer ran twice for a position, on any engine."""
         times = Counter()
         for runs in self.runs_by_engine().values():
             for run in runs:
@@ -94,7 +94,7 @@
         self.assertEqual(set(times.values()), {1})
 
     def assert_nothing_left(self):
-        """Check that every stage and entry has let go of every request."""
+        """Check that every stage and entry has freed every request."""
         self.wait(lambda: not self.busy(), "stages are free")
         for entry in self.deployment.entries:
             self.assertEqual(self.deployment.dump(entry)["pipelines"], {})
@@ -112,8 +112,8 @@
     def test_a_stage_killed_while_decoding_leaves_the_text_whole(self):
         """A sidecar and its engine die in the middle of a stream.
 
-        The entry's link breaks at once; a new generation takes another endpoint for
-        the lost range alone, and its KV is rebuilt from the stage before it.
+        The entry's link breaks at once. A new generation replaces only the endpoint
+        of the lost range, and rebuilds its KV from the previous stage.
         """
         stream = Stream(self)
         stream.wait_parts(10)
@@ -129,8 +129,8 @@
     def assert_survivors_ran_once(self, request):
         """Check that no engine ran a layer of a request twice for a position.
 
-        The ledger of an engine that was killed is empty; those of the others also
-        have the rebuilt requests of other tests.
+        The ledger of a killed engine is empty; the ledgers of the others also contain
+        the rebuilt requests of other tests.
         """
         for name, runs in self.runs_by_engine().items():
             own = [run for run in runs if run["request"] == request]
@@ -140,8 +140,8 @@
     def test_two_stages_killed_at_once_leave_the_text_whole(self):
         """The first and last stage of a chain die together.
 
-        Both ranges are lost; both are rebuilt, the first from the prompt and the
-        tokens that the entry keeps, the last from what the middle stage kept.
+        Both ranges are rebuilt: the first from the prompt and the tokens that the
+        entry keeps, the last from the outputs that the middle stage keeps.
         """
         stream = Stream(self, entry=1)
         stream.wait_parts(10)
@@ -153,10 +153,10 @@
             self.deployment.restart(victim)
 
     def test_a_frozen_stage_is_replaced_and_refused_when_it_thaws(self):
-        """A sidecar freezes: its connections stay open, and nothing moves.
+        """A sidecar freezes: its connections stay open without any traffic.
 
-        The entry asks all stages, the frozen one is silent and is replaced. Thawed,
-        it still sends for its old generation, which everyone refuses.
+        The entry queries all stages; the frozen one does not answer and is replaced.
+        After the thaw it still sends for its old generation, which is refused.
         """
         stream = Stream(self)
         stream.wait_parts(10)
@@ -166,11 +166,11 @@
         victim.thaw()
         stream.assert_whole()
 
-    def test_an_engine_that_fails_its_steps_is_passed_over(self):
-        """An engine answers its steps with errors while its sidecar is well.
+    def test_an_engine_that_fails_its_steps_is_replaced(self):
+        """An engine answers its steps with errors while its sidecar works.
 
-        The stage says so and another endpoint takes its range; the caller sees only
-        a pause.
+        The stage reports the failure and another endpoint takes its range; the caller
+        sees only a pause.
         """
         stream = Stream(self)
         stream.wait_parts(5)
@@ -179,11 +179,11 @@
         stream.assert_whole()
         self.fault(f"{victim}.engine", fail_steps=0)
 
-    def test_a_caller_that_goes_away_frees_every_stage(self):
+    def test_a_caller_that_disconnects_frees_every_stage(self):
         """A caller closes its connection in the middle of a long answer.
 
-        Without cancellation the engines would go on for nobody; every stage and the
-        entry must have let go within seconds.
+        Without cancellation the engines would compute the unwanted rest. Every stage
+        and the entry must free the request within seconds.
         """
         address = self.deployment.entries[0].addresses["caller"]
         body = {"model": MODEL, "prompt": PROMPT, "max_tokens": 2000, "stream": True}
@@ -199,10 +199,10 @@
         self.assert_nothing_left()
 
     def test_a_stream_that_cannot_be_repaired_ends_in_an_error_event(self):
-        """Every endpoint that holds a range of layers dies in the middle of a stream.
+        """Every endpoint of a layer range dies in the middle of a stream.
 
-        The entry looks for another one for some time. Then the stream ends in an
-        explicit error event; what came before it is the beginning of the right text.
+        The entry looks for a replacement until a timeout. Then the stream ends in an
+        explicit error event; the text before it is a prefix of the expected one.
         """
         stream = Stream(self, max_tokens=2000)
         stream.wait_parts(10)
@@ -215,11 +215,11 @@
             self.deployment.restart(name)
         self.wait(lambda: self.complete().status_code == 200, "served again")
 
-    def test_a_range_that_is_gone_for_seconds_is_waited_for(self):
-        """Both endpoints of a range die in the middle of a stream; one comes back.
+    def test_a_stream_resumes_when_a_lost_range_returns_after_seconds(self):
+        """Both endpoints of a range die in the middle of a stream; one restarts.
 
-        Both stay announced for a lease. The entry must neither try the dead ones
-        until it gives up, nor forget the stream: it goes on when one is back.
+        Both stay announced for a lease. The entry must neither use up its retries on
+        the dead endpoints nor drop the stream, which continues after the restart.
         """
         stream = Stream(self, max_tokens=200)
         stream.wait_parts(10)
@@ -229,11 +229,11 @@
         stream.assert_whole()
         self.deployment.restart("b-1")
 
-    def test_a_killed_entry_leaves_nothing_behind_at_the_stages(self):
+    def test_a_killed_entry_leaves_no_requests_at_the_stages(self):
         """An entry dies in the middle of a long stream.
 
-        Its caller sees the connection break, never an answer that looks whole. The
-        stages lose their link to it and free the request after a time of grace.
+        Its caller's connection breaks, and the answer never looks complete. The
+        stages lose their link to the entry and free the request after a grace period.
         """
         stream = Stream(self, entry=1, max_tokens=4000)
         stream.wait_parts(5)
@@ -243,17 +243,17 @@
         self.wait(lambda: not self.busy(), "stages are free")
         self.deployment.restart("entry-1")
 
-    def test_a_caller_that_gives_up_a_whole_answer_frees_every_stage(self):
-        """A caller that did not ask for a stream closes its connection early.
+    def test_a_caller_that_abandons_an_unstreamed_answer_frees_every_stage(self):
+        """A caller that did not request a stream closes its connection early.
 
-        Nothing is sent before the end, so only the closed connection tells; the
-        engines must not go on with 4,000 tokens for nobody.
+        Nothing is sent before the end, so only the closed connection shows it. The
+        engines must not compute all 4,000 tokens.
         """
         with self.assertRaises(httpx.ReadTimeout):
             self.complete(max_tokens=4000, timeout_s=1.5)
         self.assert_nothing_left()
 
-    def test_many_streams_at_once_are_all_whole(self):
+    def test_many_concurrent_streams_are_all_complete(self):
         streams = [
             Stream(self, entry=n % 2, max_tokens=20, prompt=f"{PROMPT} {n}")
             for n in range(16)
@@ -264,11 +264,11 @@
 
 
 class PlannedStopTest(PipelineCase):
-    def test_sigterm_to_a_sidecar_cuts_nothing(self):
-        """A sidecar gets SIGTERM while it holds a stage.
+    def test_sigterm_to_a_sidecar_interrupts_no_stream(self):
+        """A sidecar gets SIGTERM while it has a stage in flight.
 
-        It announces that it leaves, takes no new request, finishes the one in flight
-        and only then exits, with code 0.
+        It announces that it leaves, accepts no new request, finishes the one in
+        flight and only then exits, with code 0.
         """
         stream = Stream(self)
         stream.wait_parts(10)
@@ -277,32 +277,32 @@
         code = self.deployment.nodes[victim].stop(60.0)
         stream.assert_whole()
         self.assertEqual(code, 0)
-        # Were it cut off, the text would still be whole, but rebuilt elsewhere.
+        # After an interruption the text would be complete too, but rebuilt elsewhere.
         self.assert_ran_once(request)
         self.deployment.restart(victim)
 
     def test_a_planned_stop_hands_a_long_answer_over(self):
         """A sidecar gets SIGTERM in the middle of an answer of 1,200 tokens.
 
-        Its KV moves to another endpoint, so the process ends long before the answer
-        does; no layer runs twice, and the text is whole.
+        Its KV is transferred to another endpoint, so the process ends long before the
+        answer; no layer runs twice, and the text is complete.
         """
         stream = Stream(self, max_tokens=1200)
         stream.wait_parts(20)
         victim = self.busy()[1]
         request = self.request_at(victim)
         code = self.deployment.nodes[victim].stop(60.0)
-        self.assertEqual(stream.outcome, "", "it ended only with the answer")
+        self.assertEqual(stream.outcome, "", "the process ended only after the answer")
         self.deployment.nodes[victim].start()
         stream.assert_whole()
         self.assertEqual(code, 0)
         self.assert_ran_once(request)
 
-    def test_sigterm_to_an_entry_cuts_nothing(self):
+    def test_sigterm_to_an_entry_interrupts_no_stream(self):
         """An entry gets SIGTERM while it streams.
 
-        Its probe fails for the balancer, the stream goes on to its end, and the exit
-        code is 0.
+        Its readiness probe fails, the stream continues to its end, and the exit code
+        is 0.
         """
         stream = Stream(self, entry=1)
         stream.wait_parts(5)
@@ -312,11 +312,11 @@
         self.assertEqual(code, 0)
         self.deployment.restart(node.name)
 
-    def test_a_planned_stop_of_a_vm_gives_it_no_new_work(self):
+    def test_a_vm_with_a_planned_stop_gets_no_new_work(self):
         """An operator announces a stop of a VM in the middle of a stream.
 
-        The stream ends whole; from two seconds later no layer runs on that VM's
-        engine, however many requests come.
+        The stream completes; from two seconds later no layer runs on that VM's
+        engine, however many requests arrive.
         """
         stream = Stream(self)
         stream.wait_parts(5)
@@ -330,7 +330,7 @@
                 self.deployment.dump(e)["endpoints"][victim]["leaving"]
                 for e in self.deployment.entries
             ),
-            "the entries know",
+            "the stop at the entries",
         )
         before = len(self.runs_by_engine()[victim])
         for number in range(6):
--- a/libs/daemon/test/test_surface.py
+++ b/libs/daemon/test/test_surface.py
@@ -1,4 +1,4 @@
-"""What callers and operators are told of bad input: a clear error, and nothing lost."""
+"""Bad input of callers and operators through real processes: a clear error each."""
 
 import subprocess
 import sys
@@ -73,11 +73,11 @@
         self.assertIn(answer.status_code, (503, 504))
         self.assertLess(answer.elapsed.total_seconds(), 30)
 
-    def test_a_caller_over_its_rate_is_refused_with_a_time_to_come_back(self):
-        """A customer sends twenty requests at once under one request a second.
+    def test_a_caller_over_its_rate_is_refused_with_a_retry_time(self):
+        """A customer sends twenty requests at once under a limit of one per second.
 
-        What cannot start within its longest wait is refused at once: "not run", 429,
-        and when to come back.
+        Requests that cannot start within the maximum wait are refused at once: "not
+        run", status 429 and a retry time.
         """
         answers = [
             self.post("/v1/completions", json=BODY, customer="slow-lane")
@@ -89,7 +89,7 @@
             self.assertEqual(answer.headers["cherryrudder-outcome"], "not-run")
             self.assertGreaterEqual(int(answer.headers["retry-after"]), 1)
 
-    def test_internal_and_operator_surfaces_ask_for_their_keys(self):
+    def test_internal_and_operator_apis_require_their_keys(self):
         entry = self.deployment.entries[0].addresses["internal"]
         control = self.deployment.controls[0].addresses["operator"]
         for url in (f"http://{entry}/v1/dump", f"http://{control}/v1/contracts"):
